--- a/bench/emulator/baselines.go
+++ b/bench/emulator/baselines.go
@@ -29,7 +29,7 @@
 	default:
 		r.engine = w.any()
 	}
-	prefill := direct.Prefill(&w.config.Engine, r.tokens)
+	prefill := direct.PrefillTime(&w.config.Engine, r.tokens)
 	r.entry.outstanding[r.engine]++
 	r.engine.submit(&job{
 		request: r, memory: r.tokens + outputTokens, helpers: helpers, missing: 1 + len(helpers), part: prefill / time.Duration(1+len(helpers)), events: r.kind.Events,
@@ -65,7 +65,7 @@
 	list := r.world.ordered()
 	half := max(len(list)/2, 1)
 	short, long := list[:half], list[half:]
-	if len(long) == 0 || !direct.IsLong(r.world.service, r.tokens) {
+	if len(long) == 0 || !direct.IsLongPrompt(r.world.service, r.tokens) {
 		return e.least(short), nil
 	}
 	slices.SortStableFunc(long, func(a, b *engine) int { return cmp.Compare(e.outstanding[a], e.outstanding[b]) })
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -172,7 +172,7 @@
 	name string
 	// outstanding is what it has sent to each engine, for the baselines.
 	outstanding map[*engine]int
-	ledger      *direct.Ledger
+	ledger      *direct.LoadTracker
 	policy      *direct.Policy
 }
 
@@ -185,9 +185,9 @@
 	tokens int
 	began  time.Duration
 	gap    time.Duration
-	charge *direct.Charge
+	charge *direct.RequestLoad
 	engine *engine
-	held   *direct.Held
+	held   *direct.QueuedPrompt
 	// latest is until when it may be held back, from its arrival.
 	latest time.Duration
 }
@@ -212,8 +212,8 @@
 		w.engines[listed.Life] = &engine{world: w, model: &w.config.Engine, pace: 1}
 	}
 	for i := range w.config.Entries {
-		ledger := direct.NewLedger()
-		ledger.SetEntries(w.config.Entries)
+		ledger := direct.NewLoadTracker()
+		ledger.SetEntryCount(w.config.Entries)
 		if w.config.has(Affinity) {
 			ledger.SetRank(i, w.config.Entries)
 		}
@@ -249,7 +249,7 @@
 // tellPace tells all entries how slow an engine is, again and again while it lasts.
 func (w *world) tellPace(life directory.Life, pace float64, until time.Duration) {
 	for _, e := range w.entries {
-		e.ledger.SetPace(w.clock(), life, pace)
+		e.ledger.SetSlowdown(w.clock(), life, pace)
 	}
 	if pace > 1 && w.Now() < until {
 		w.After(time.Second, func() { w.tellPace(life, w.engines[life].pace, until) })
@@ -269,11 +269,11 @@
 func (w *world) heartbeat() time.Duration { return cmp.Or(w.config.Heartbeat, heartbeat) }
 
 func (w *world) tell(e *entry) {
-	demands, opens := e.ledger.Demands(w.clock()), e.ledger.Opens(w.clock())
+	demands, opens := e.ledger.Demands(w.clock()), e.ledger.Loads(w.clock())
 	for _, other := range w.entries {
 		lost := w.config.HeartbeatLoss > 0 && w.rand.Float64() < w.config.HeartbeatLoss
 		if other != e && !lost {
-			w.After(w.way(), func() { other.ledger.TellPeer(w.clock(), e.name, demands, opens) })
+			w.After(w.way(), func() { other.ledger.ReplacePeerLoad(w.clock(), e.name, demands, opens) })
 		}
 	}
 }
@@ -357,17 +357,17 @@
 		r.placeBaseline()
 		return
 	}
-	if !direct.IsLong(w.service, r.tokens) {
+	if !direct.IsLongPrompt(w.service, r.tokens) {
 		r.place()
 		return
 	}
-	expected := r.entry.policy.Expect(w.clock(), w.service, len(w.list), r.tokens)
+	expected := r.entry.policy.AddLongPrompt(w.clock(), w.service, len(w.list), r.tokens)
 	if expected.TooLate(r.kind.Target) && w.config.has(Refusing) {
 		r.result.Refused++
 		return
 	}
 	r.latest = expected.LatestStart(r.kind.Target)
-	r.held = r.entry.policy.Hold(w.service, r.tokens)
+	r.held = r.entry.policy.Enqueue(w.service, r.tokens)
 	r.wait()
 }
 
@@ -376,10 +376,10 @@
 	w := r.world
 	room := !w.config.has(Waiting) || r.held.MayStart(w.clock(), w.list)
 	if !room && w.Now()-r.began < r.latest {
-		w.After(direct.HeldPoll, r.wait)
+		w.After(direct.QueuePollInterval, r.wait)
 		return
 	}
-	r.held.Release()
+	r.held.Dequeue()
 	if !room && w.config.has(Refusing) {
 		r.result.Refused++
 		return
@@ -390,10 +390,10 @@
 // place sends a request to an engine, or to another one where its memory finds no room.
 func (r *request) place() {
 	w := r.world
-	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, Pause: r.kind.PauseLimit, Tried: map[directory.Life]bool{}}
+	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.PauseLimit, Tried: map[directory.Life]bool{}}
 	for range placings {
 		plan := r.entry.policy.Place(w.clock(), &placing, w.list)
-		if plan == nil || plan.Crowded {
+		if plan == nil || plan.Overloaded {
 			break
 		}
 		j := newJob(r, plan)
@@ -421,7 +421,7 @@
 
 func (r *request) prefilled() {
 	if r.charge != nil {
-		r.charge.Prefilled()
+		r.charge.FinishPrefill()
 	}
 }
 
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -232,8 +232,8 @@
 // newJob makes the job of a request by a plan.
 func newJob(r *request, plan *direct.Plan) *job {
 	j := &job{
-		request: r, memory: plan.FirstMemory, level: direct.Level(r.tokens, 1), part: plan.Prefill,
-		missing: 1 + len(plan.Helpers), events: r.kind.Events, holders: plan.Holders, reserved: plan.HelperMemory, needed: plan.Memory - plan.FirstMemory,
+		request: r, memory: plan.EndpointMemoryTokens, level: direct.EnginePriority(r.tokens, 1), part: plan.PartPrefill,
+		missing: 1 + len(plan.Helpers), events: r.kind.Events, holders: plan.ReservingHelpers, reserved: plan.HelperMemoryTokens, needed: plan.MemoryTokens - plan.EndpointMemoryTokens,
 	}
 	return j
 }
--- a/bench/run.go
+++ b/bench/run.go
@@ -189,7 +189,7 @@
 		DataCentre: "dc", Tried: f.tried,
 	}
 	var refusal admission.Verdict
-	var asking routing.Asking
+	var asking routing.RetryState
 	for again := true; again; {
 		picked := asking.Pick(m.clock(), f.entry.policy, &request, j.key, f.entry.view)
 		if picked == nil {
@@ -207,7 +207,7 @@
 		if refusal.Code == 0 || verdict.Deferral || verdict.RetryAfter < refusal.RetryAfter {
 			refusal = verdict
 		}
-		again = asking.Again(&request, f.entry.view, refusal.Code.Busy())
+		again = asking.RecordRefusal(&request, f.entry.view, refusal.Code.Busy())
 	}
 	m.refuse(f, refusal)
 }
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -39,7 +39,7 @@
 	delivered strings.Builder
 	tokens    uint64
 	ran       result.Ran
-	asking    routing.Asking
+	asking    routing.RetryState
 	refusal   *result.Error // the deferral, or the one with the shortest wait
 }
 
@@ -124,7 +124,7 @@
 	if failure.Code == result.PromptTooLong || failure.Code == result.NoEndpoint && len(g.routing.Tried) == 0 {
 		return failure
 	}
-	if g.asking.Again(&g.routing, *g.entry.control.endpoints.Load(), g.refusal.Code.Busy()) {
+	if g.asking.RecordRefusal(&g.routing, *g.entry.control.endpoints.Load(), g.refusal.Code.Busy()) {
 		return nil
 	}
 	return g.refusal
--- a/entry/generate_test.go
+++ b/entry/generate_test.go
@@ -51,14 +51,14 @@
 func TestTheHomeIsAskedLastAndItsWaitIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	g := testGeneration(t, "a", "b", "c", "d")
-	for range routing.MaxAsked - 1 {
+	for range routing.MaxAttempts - 1 {
 		_, final := g.refuseNext(time.Second)
 		is.True(final == nil)
 	}
 	home, final := g.refuseNext(time.Minute)
 	is.Equal(final.RetryAfter, time.Minute)
 	other := testGeneration(t, "d", "c", "b", "a")
-	for range routing.MaxAsked - 1 {
+	for range routing.MaxAttempts - 1 {
 		other.refuseNext(time.Second)
 	}
 	again, _ := other.refuseNext(time.Second)
--- a/entry/once.go
+++ b/entry/once.go
@@ -69,7 +69,7 @@
 	ctx, cancel := o.call.timeout(context.WithoutCancel(ctx))
 	defer cancel()
 	var last *result.Error
-	for tries := 0; tries < routing.MaxAsked; tries++ {
+	for tries := 0; tries < routing.MaxAttempts; tries++ {
 		claim, failure := o.read(ctx)
 		if failure != nil {
 			return reply{}, failure
--- a/entry/service.go
+++ b/entry/service.go
@@ -29,7 +29,7 @@
 		switch {
 		case ctx.Err() != nil:
 			return reply{}, result.Fail(result.DeadlineExceeded, ran, "the deadline passed")
-		case failure.Code == result.ServiceFailed, refusals >= routing.MaxAsked, len(request.Tried) == 0:
+		case failure.Code == result.ServiceFailed, refusals >= routing.MaxAttempts, len(request.Tried) == 0:
 			if ran != result.RanNo && failure.Code.Refusal() {
 				failure.Code = result.EndpointFailed
 			}
--- a/entry/span.go
+++ b/entry/span.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		total += routing.MaxPromptTokens(e)
-		if (routing.Serves{}).Keep(r, e) {
+		if (routing.CanServe{}).Keep(r, e) {
 			usable = append(usable, e)
 		}
 	}
@@ -55,7 +55,7 @@
 func fitsOne(r *routing.Request, endpoints []routing.Endpoint) bool {
 	for i := range endpoints {
 		e := &endpoints[i]
-		if e.MemoryTokens > 0 && (routing.Memory{}).Keep(r, e) {
+		if e.MemoryTokens > 0 && (routing.FitsMemory{}).Keep(r, e) {
 			return true
 		}
 	}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -90,5 +90,5 @@
 		return min(c.route.Timeout, plainEstimate)
 	}
 	events := c.OutputTokens/engine.Stride + 1
-	return min(c.route.Timeout, firstEstimate+2*direct.Prefill(engine, c.PromptTokens)+time.Duration(events)*passEstimate)
+	return min(c.route.Timeout, firstEstimate+2*direct.PrefillTime(engine, c.PromptTokens)+time.Duration(events)*passEstimate)
 }
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -8,5 +8,5 @@
 
 // TellReading lets the gateway hear that another entry has so much prefill under way.
 func (g *Gateway) TellReading(service string, reading time.Duration) {
-	g.ledger.TellPeer(time.Now(), "another", []direct.Demand{{Service: service, Reading: reading}}, nil)
+	g.ledger.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: reading}}, nil)
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -36,7 +36,7 @@
 	f.retrier = attempt.Retrier{Repeatable: c.route.Repeatable(), MaxArrivals: c.route.MaxAttempts}
 	f.request = direct.Request{
 		Service: c.service, PromptTokens: c.PromptTokens, OutputTokens: c.OutputTokens,
-		DataCentre: c.gateway.settings.DataCentre, Pause: c.route.TargetGap, Tried: map[directory.Life]bool{},
+		DataCentre: c.gateway.settings.DataCentre, MaxPause: c.route.TargetGap, Tried: map[directory.Life]bool{},
 	}
 	if c.route.Kind == directory.Streaming {
 		f.relay = &relay{call: c, last: c.LastEvent}
@@ -52,7 +52,7 @@
 		if plan == nil {
 			return f.noEndpoint()
 		}
-		if plan.Crowded {
+		if plan.Overloaded {
 			return f.refuseCapacity(plan)
 		}
 		outcome, err := f.send(ctx, plan)
@@ -80,12 +80,12 @@
 func (c *call) place(r *direct.Request) *direct.Plan {
 	snapshot := c.gateway.snapshot.Load()
 	plan := c.gateway.policy.Place(time.Now(), r, snapshot.Endpoints(c.service.Name))
-	if plan == nil || plan.Crowded {
+	if plan == nil || plan.Overloaded {
 		return plan
 	}
 	c.endpoint = plan.Endpoint.ID
 	c.log.Add("placed", zap.String("endpoint", plan.Endpoint.ID), zap.String("service", c.service.Name), zap.Uint64("at", snapshot.At),
-		zap.Int("candidates", plan.Candidates), zap.Duration("cost_ms", plan.Cost), zap.Duration("prefill_ms", plan.Prefill), zap.Strings("helpers", plan.HelperIDs()))
+		zap.Int("candidates", plan.Candidates), zap.Duration("cost_ms", plan.Cost), zap.Duration("prefill_ms", plan.PartPrefill), zap.Strings("helpers", plan.HelperIDs()))
 	return plan
 }
 
@@ -104,9 +104,9 @@
 	defer begun()
 	prefilled := func() {
 		begun()
-		charge.Prefilled()
+		charge.FinishPrefill()
 	}
-	if plan.HelperMemory > 0 {
+	if plan.HelperMemoryTokens > 0 {
 		f.reserving++
 		held, err := f.gateway.reserve(ctx, f.call, plan, f.reserving)
 		if err != nil {
@@ -128,7 +128,7 @@
 		return failed.outcome, failed
 	}
 	if reply.answer.HasLoad {
-		f.gateway.ledger.Tell(time.Now(), plan.Endpoint.Life, reply.answer.Running, reply.answer.Waiting)
+		f.gateway.ledger.RecordLoadReport(time.Now(), plan.Endpoint.Life, reply.answer.Running, reply.answer.Waiting)
 	}
 	if outcome, err := classify(reply); err != nil {
 		reply.abandonOrFinish()
@@ -205,13 +205,13 @@
 	if f.account != nil {
 		d.Account = f.account.Name
 	}
-	if plan.HelperMemory == 0 {
+	if plan.HelperMemoryTokens == 0 {
 		for _, helper := range plan.Helpers {
 			d.Helpers = append(d.Helpers, helper.Addr)
 		}
 	}
 	if f.service.Engine != nil {
-		d.Priority, d.HasPriority = direct.Level(f.PromptTokens, f.priority()), true
+		d.Priority, d.HasPriority = direct.EnginePriority(f.PromptTokens, f.priority()), true
 	}
 	if f.relay != nil {
 		d.LastEvent = f.relay.last
@@ -254,7 +254,7 @@
 
 // refuseCapacity ends a call whose prompt would hold up others for too long.
 func (f *forwarding) refuseCapacity(plan *direct.Plan) *result.Error {
-	f.log.Add("capacity_refused", zap.Duration("prefill_ms", plan.Prefill), zap.Int("engines", 1+len(plan.Helpers)), zap.Int("open", plan.Open), zap.Int("harmed", plan.Harmed))
+	f.log.Add("capacity_refused", zap.Duration("prefill_ms", plan.PartPrefill), zap.Int("engines", 1+len(plan.Helpers)), zap.Int("open", plan.InFlight), zap.Int("harmed", plan.Delayed))
 	if f.retrier.MayHaveRun() {
 		return result.Fail(result.EndpointFailed, result.RanUnknown, "the endpoint failed and no other has room")
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -43,7 +43,7 @@
 	requestLogs *eventlog.RequestLogs
 	metrics     *metrics.Set
 	snapshot    atomic.Pointer[directory.Snapshot]
-	ledger      *direct.Ledger
+	ledger      *direct.LoadTracker
 	policy      *direct.Policy
 	retries     *admission.RetryWindow
 	quarantine  *attempt.Quarantine
@@ -109,7 +109,7 @@
 
 // New makes a gateway; Serve starts it.
 func New(c Config) *Gateway {
-	ledger := direct.NewLedger()
+	ledger := direct.NewLoadTracker()
 	if c.Settings.PeersListen == "" {
 		ledger.SetRank(0, 1) // it hears of no other entry and shares the engines with none
 	}
@@ -124,7 +124,7 @@
 	g.callers = newCallers(g)
 	g.prober = newProber(g)
 	g.pacer, g.paces = c.Pacer, newPaces(g)
-	g.peers = &peers{gateway: g, told: map[direct.EndpointHash]direct.Open{}}
+	g.peers = &peers{gateway: g, told: map[direct.EndpointHash]direct.EndpointLoad{}}
 	g.longQueue = admission.NewSemaphore(1)
 	g.expose(c.LogWriter)
 	return g
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -27,7 +27,7 @@
 func (g *Gateway) expose(writer *eventlog.Writer) {
 	g.metrics.NewGauge("aspenyard_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
 	g.metrics.NewGauge("aspenyard_gateway_endpoints", func() float64 { return float64(g.snapshot.Load().Len()) })
-	g.metrics.NewGauge("aspenyard_gateway_slow_endpoints", func() float64 { return float64(len(g.ledger.Slows(time.Now()))) })
+	g.metrics.NewGauge("aspenyard_gateway_slow_endpoints", func() float64 { return float64(len(g.ledger.SlowEndpoints(time.Now()))) })
 	g.metrics.NewGauge("aspenyard_gateway_config_version", func() float64 {
 		if config := g.snapshot.Load().Config; config != nil {
 			return float64(config.Version)
@@ -54,11 +54,11 @@
 // exposePeers registers what tells how much of the other entries' work is known, and what it
 // takes to know it.
 func (g *Gateway) exposePeers() {
-	knowledge := func() direct.Knowledge { return g.ledger.Knowledge(time.Now()) }
-	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(knowledge().Entries) })
+	knowledge := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
+	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(knowledge().Peers) })
 	g.metrics.NewGauge("aspenyard_gateway_peers_heard", func() float64 { return float64(knowledge().Heard) })
-	g.metrics.NewGauge("aspenyard_gateway_peer_age_seconds", func() float64 { return knowledge().Mean.Seconds() })
-	g.metrics.NewGauge("aspenyard_gateway_peer_oldest_seconds", func() float64 { return knowledge().Oldest.Seconds() })
+	g.metrics.NewGauge("aspenyard_gateway_peer_age_seconds", func() float64 { return knowledge().MeanAge.Seconds() })
+	g.metrics.NewGauge("aspenyard_gateway_peer_oldest_seconds", func() float64 { return knowledge().OldestAge.Seconds() })
 	for direction, bytes := range map[string]func(s *membership.Stats) uint64{
 		"in":  func(s *membership.Stats) uint64 { return s.ReceivedBytes.Load() },
 		"out": func(s *membership.Stats) uint64 { return s.SentBytes.Load() },
--- a/gateway/pace.go
+++ b/gateway/pace.go
@@ -88,7 +88,7 @@
 			g.log.Warn("pace_unknown", zap.String("endpoint", e.ID), eventlog.Error(err))
 			return
 		}
-		slow, changed := g.ledger.SetPace(time.Now(), e.Life, pace)
+		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Life, pace)
 		if changed {
 			g.peers.announce()
 			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", pace))
@@ -114,7 +114,7 @@
 		return func() {}
 	}
 	engines := append([]*directory.Listed{plan.Endpoint}, plan.Helpers...)
-	timer := time.AfterFunc(lateFactor*plan.Expected, func() { f.gateway.paces.suspect(engines...) })
+	timer := time.AfterFunc(lateFactor*plan.ExpectedFirstToken, func() { f.gateway.paces.suspect(engines...) })
 	return func() { timer.Stop() }
 }
 
@@ -123,7 +123,7 @@
 	if gap <= latePasses*direct.PassTime(f.service.Engine) {
 		return
 	}
-	if f.gateway.ledger.Reading(time.Now(), plan.Endpoint.Life) == 0 {
+	if f.gateway.ledger.PendingPrefill(time.Now(), plan.Endpoint.Life) == 0 {
 		f.gateway.paces.suspect(plan.Endpoint)
 	}
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -59,7 +59,7 @@
 	lease atomic.Uint64
 	// told is what the other entries were told of each endpoint since wholeAt, when all of
 	// it was told. Both belong to the control thread.
-	told    map[direct.EndpointHash]direct.Open
+	told    map[direct.EndpointHash]direct.EndpointLoad
 	wholeAt time.Time
 }
 
@@ -160,35 +160,35 @@
 // Fill implements membership.Delegate. Between whole heartbeats only changes are told: a
 // tenth of the bytes, and of the work of those who take them in.
 func (p *peers) Fill(now time.Time, h *wire.Heartbeat) {
-	opens := p.gateway.ledger.Opens(now)
+	opens := p.gateway.ledger.Loads(now)
 	if h.Partial = now.Sub(p.wholeAt) < wholeInterval; !h.Partial {
 		p.wholeAt = now
 		clear(p.told)
 	}
 	for _, o := range p.changed(opens) {
 		h.OpenEndpoints = append(h.OpenEndpoints, uint32(o.Endpoint))
-		h.OpenCounts = append(h.OpenCounts, uint32(o.Count))
-		h.ReadingMs = append(h.ReadingMs, uint32(max(o.Reading.Milliseconds(), 0)))
-		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(o.Memory, 0)+memoryUnit-1)/memoryUnit)
+		h.OpenCounts = append(h.OpenCounts, uint32(o.InFlight))
+		h.ReadingMs = append(h.ReadingMs, uint32(max(o.PendingPrefill.Milliseconds(), 0)))
+		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(o.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
 		fillStreams(h, o.Streams)
 	}
-	for _, s := range p.gateway.ledger.Slows(now) {
+	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
-		h.SlowPercents = append(h.SlowPercents, uint32(s.Pace*percent))
+		h.SlowPercents = append(h.SlowPercents, uint32(s.Slowdown*percent))
 	}
 	fillFindings(h, p.gateway.quarantine.Findings(now, !h.Partial, findingsMost))
 	for _, d := range p.gateway.ledger.Demands(now) {
 		h.Demands = append(h.Demands, &wire.Demand{
-			Service: d.Service, LongPrefillMs: uint32(d.LongPrefill.Milliseconds()), OpenShort: uint32(max(d.OpenShort, 0)),
-			ReadingMs: uint32(max(d.Reading.Milliseconds(), 0)), WaitingMs: uint32(max(d.Waiting.Milliseconds(), 0)),
+			Service: d.Service, LongPrefillMs: uint32(d.LongPrefill.Milliseconds()), OpenShort: uint32(max(d.ShortInFlight, 0)),
+			ReadingMs: uint32(max(d.PendingPrefill.Milliseconds(), 0)), WaitingMs: uint32(max(d.QueuedPrefill.Milliseconds(), 0)),
 		})
 	}
 }
 
 // changed gives those of an entry's loads that differ from what was told, and notes that
 // they are told.
-func (p *peers) changed(opens []direct.Open) []direct.Open {
-	var list []direct.Open
+func (p *peers) changed(opens []direct.EndpointLoad) []direct.EndpointLoad {
+	var list []direct.EndpointLoad
 	present := make(map[direct.EndpointHash]bool, len(opens))
 	for _, o := range opens {
 		present[o.Endpoint] = true
@@ -200,7 +200,7 @@
 	for endpoint := range p.told {
 		if !present[endpoint] {
 			delete(p.told, endpoint)
-			list = append(list, direct.Open{Endpoint: endpoint})
+			list = append(list, direct.EndpointLoad{Endpoint: endpoint})
 		}
 	}
 	return list
@@ -211,38 +211,38 @@
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
 		demands = append(demands, direct.Demand{
-			Service: d.Service, LongPrefill: milliseconds(d.LongPrefillMs), OpenShort: int(d.OpenShort),
-			Reading: milliseconds(d.ReadingMs), Waiting: milliseconds(d.WaitingMs),
+			Service: d.Service, LongPrefill: milliseconds(d.LongPrefillMs), ShortInFlight: int(d.OpenShort),
+			PendingPrefill: milliseconds(d.ReadingMs), QueuedPrefill: milliseconds(d.WaitingMs),
 		})
 	}
-	open := make([]direct.Open, 0, len(h.OpenEndpoints))
+	open := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
 	for i := range min(len(h.OpenEndpoints), len(h.OpenCounts), len(h.ReadingMs)) {
-		o := direct.Open{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), Count: int(h.OpenCounts[i]), Reading: milliseconds(h.ReadingMs[i])}
-		if len(h.StreamKeys) == 0 && o.Count > 0 { // an earlier version: none may be made late
-			o.Streams[0] = int16(o.Count)
+		o := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
+		if len(h.StreamKeys) == 0 && o.InFlight > 0 { // an earlier version: none may be made late
+			o.Streams[0] = int16(o.InFlight)
 		}
 		if i < len(h.MemoryKtokens) { // entries of an earlier version do not tell
-			o.Memory = int(h.MemoryKtokens[i]) * memoryUnit
+			o.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
 		}
 		open = append(open, o)
 	}
 	readStreams(h, open)
-	p.gateway.ledger.TellSlows(now, slows(h))
+	p.gateway.ledger.RecordPeerSlowEndpoints(now, slows(h))
 	for _, request := range p.gateway.quarantine.Hear(now, findings(h)) {
 		p.gateway.noteQuarantined(request, h.Node)
 	}
 	if h.Partial {
-		p.gateway.ledger.TellPeerChanges(now, h.Node, demands, open)
+		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, open)
 		return
 	}
-	p.gateway.ledger.TellPeer(now, h.Node, demands, open)
+	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, open)
 }
 
 // streamKeyBase is what an endpoint's index is multiplied by in the key of its streams.
 const streamKeyBase = 16
 
 // fillStreams tells of the streams at the last endpoint of a heartbeat.
-func fillStreams(h *wire.Heartbeat, streams direct.Streams) {
+func fillStreams(h *wire.Heartbeat, streams direct.StreamCounts) {
 	index := len(h.OpenEndpoints) - 1
 	for class, n := range streams {
 		if n > 0 {
@@ -253,7 +253,7 @@
 }
 
 // readStreams reads what a heartbeat tells of the streams at its endpoints.
-func readStreams(h *wire.Heartbeat, open []direct.Open) {
+func readStreams(h *wire.Heartbeat, open []direct.EndpointLoad) {
 	for i := range min(len(h.StreamKeys), len(h.StreamCounts)) {
 		index, class := int(h.StreamKeys[i]/streamKeyBase), int(h.StreamKeys[i]%streamKeyBase)
 		if index < len(open) && class < len(open[index].Streams) {
@@ -284,10 +284,10 @@
 }
 
 // slows reads which endpoints another entry knows to be slow.
-func slows(h *wire.Heartbeat) []direct.Slow {
-	list := make([]direct.Slow, 0, len(h.SlowEndpoints))
+func slows(h *wire.Heartbeat) []direct.SlowEndpoint {
+	list := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
 	for i := range min(len(h.SlowEndpoints), len(h.SlowPercents)) {
-		list = append(list, direct.Slow{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Pace: float64(h.SlowPercents[i]) / percent})
+		list = append(list, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
 	}
 	return list
 }
@@ -295,7 +295,7 @@
 // Tick implements membership.Delegate.
 func (p *peers) Tick(now time.Time, members *membership.View) {
 	p.gateway.retries.SetEntries(now, members.SharingCount()+1)
-	p.gateway.ledger.SetEntries(members.EntryCount() + 1)
+	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
 	number := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
 	p.gateway.ledger.SetRank(number, len(alive)+1)
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -26,7 +26,7 @@
 // is by arrival, and a longer prompt lets those pass that come while it could not have
 // been read itself.
 func (f *forwarding) waitInQueue(ctx context.Context) *result.Error {
-	if f.service.Engine == nil || !direct.IsLong(f.service, f.PromptTokens) {
+	if f.service.Engine == nil || !direct.IsLongPrompt(f.service, f.PromptTokens) {
 		return nil
 	}
 	if failure := f.refuseQuarantined(); failure != nil {
@@ -35,22 +35,22 @@
 	g := f.gateway
 	endpoints := g.snapshot.Load().Endpoints(f.service.Name)
 	engines := len(endpoints)
-	expected := g.policy.Expect(f.started, f.service, engines, f.PromptTokens)
+	expected := g.policy.AddLongPrompt(f.started, f.service, engines, f.PromptTokens)
 	if expected.TooLate(f.route.Target) {
 		return f.refuseExpected(expected, drainFactor*(expected.FirstToken()-f.route.Target))
 	}
-	if plan := g.policy.Place(f.started, &f.request, endpoints); plan != nil && plan.Crowded {
+	if plan := g.policy.Place(f.started, &f.request, endpoints); plan != nil && plan.Overloaded {
 		return f.refuseCapacity(plan) // known now: waiting would only delay the refusal
 	}
-	held := g.policy.Hold(f.service, f.PromptTokens)
+	held := g.policy.Enqueue(f.service, f.PromptTokens)
 	room := f.untilRoom(ctx, held, f.started.Add(expected.LatestStart(f.route.Target)))
-	held.Release()
+	held.Dequeue()
 	if ctx.Err() != nil {
 		return f.ended(ctx)
 	}
 	g.measureWait(time.Since(f.started))
 	if !room {
-		now := g.policy.ExpectAgain(time.Now(), f.service, engines, f.PromptTokens)
+		now := g.policy.EstimateFirstToken(time.Now(), f.service, engines, f.PromptTokens)
 		return f.refuseExpected(now, now.Wait)
 	}
 	f.log.Add("queue_left", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("waited_ms", time.Since(f.started)), zap.Int("waiting", g.longQueue.Waiting()))
@@ -60,14 +60,14 @@
 // untilRoom waits until the engines have room for the prompt. False: they have none when its first
 // token would begin to be late, or ctx has ended. Where the route names no target nothing is late,
 // and nothing is waited for.
-func (f *forwarding) untilRoom(ctx context.Context, held *direct.Held, latest time.Time) bool {
+func (f *forwarding) untilRoom(ctx context.Context, held *direct.QueuedPrompt, latest time.Time) bool {
 	if f.route.Target == 0 {
 		return true
 	}
 	ctx, cancel := context.WithDeadline(ctx, latest)
 	defer cancel()
 	g := f.gateway
-	if err := g.longQueue.Acquire(ctx, f.started.Add(direct.Prefill(f.service.Engine, f.PromptTokens))); err != nil {
+	if err := g.longQueue.Acquire(ctx, f.started.Add(direct.PrefillTime(f.service.Engine, f.PromptTokens))); err != nil {
 		return false
 	}
 	defer g.longQueue.Release()
@@ -75,14 +75,14 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		membership.Sleep(ctx, direct.HeldPoll)
+		membership.Sleep(ctx, direct.QueuePollInterval)
 	}
 	return true
 }
 
 // refuseExpected ends a call whose first token is expected too late, or whose turn did not come in
 // time.
-func (f *forwarding) refuseExpected(expected direct.Expectation, comeBack time.Duration) *result.Error {
+func (f *forwarding) refuseExpected(expected direct.FirstTokenEstimate, comeBack time.Duration) *result.Error {
 	f.log.Add("queue_refused", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("wait_ms", expected.Wait), zap.Duration("limit_ms", f.route.Target), zap.Duration("waited_ms", time.Since(f.started)))
 	return result.Refuse(result.Overloaded, max(comeBack, comeBackLeast), "its first token is expected after %v", expected.FirstToken())
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -92,11 +92,11 @@
 // engine cannot hold has a place.
 func (g *Gateway) reserve(ctx context.Context, c *call, plan *direct.Plan, try int) (*reservations, error) {
 	r := &reservations{gateway: g}
-	results := make([]error, plan.Holders)
-	tickets := make([]*ticket, plan.Holders)
+	results := make([]error, plan.ReservingHelpers)
+	tickets := make([]*ticket, plan.ReservingHelpers)
 	var wait sync.WaitGroup
-	for i, helper := range plan.Helpers[:plan.Holders] {
-		tickets[i] = &ticket{Reservation: g.reservation(c, helper, plan.HelperMemory, try)}
+	for i, helper := range plan.Helpers[:plan.ReservingHelpers] {
+		tickets[i] = &ticket{Reservation: g.reservation(c, helper, plan.HelperMemoryTokens, try)}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
@@ -122,13 +122,13 @@
 		refused++
 		r.helpers = append(r.helpers, tickets[i].Addr)
 	}
-	for _, helper := range plan.Helpers[plan.Holders:] {
+	for _, helper := range plan.Helpers[plan.ReservingHelpers:] {
 		r.helpers = append(r.helpers, helper.Addr)
 	}
-	c.log.Add("memory_reserved", zap.Int("helpers", plan.Holders-refused), zap.Int("refused", refused), zap.Int("tokens", free), zap.Int("needed", plan.Memory-plan.FirstMemory))
-	if free < plan.Memory-plan.FirstMemory {
+	c.log.Add("memory_reserved", zap.Int("helpers", plan.ReservingHelpers-refused), zap.Int("refused", refused), zap.Int("tokens", free), zap.Int("needed", plan.MemoryTokens-plan.EndpointMemoryTokens))
+	if free < plan.MemoryTokens-plan.EndpointMemoryTokens {
 		r.release()
-		return nil, errors.Wrapf(ErrNoMemory, "%d of %d helpers", plan.Holders-refused, plan.Holders)
+		return nil, errors.Wrapf(ErrNoMemory, "%d of %d helpers", plan.ReservingHelpers-refused, plan.ReservingHelpers)
 	}
 	renewing, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
--- a/routing/direct/affinity_test.go
+++ b/routing/direct/affinity_test.go
@@ -12,7 +12,7 @@
 // ranked is an entry's policy that knows its rank.
 func ranked(number, of int) *Policy {
 	p := policy(uint64(number))
-	p.ledger.SetEntries(of)
+	p.ledger.SetEntryCount(of)
 	p.ledger.SetRank(number, of)
 	return p
 }
@@ -52,7 +52,7 @@
 	placed := map[string]int{}
 	for number := range entries {
 		p := ranked(number, entries)
-		p.ledger.TellPeer(testNow, "x", []Demand{{Service: "m", OpenShort: 400}}, nil)
+		p.ledger.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
 		for range each {
 			plan := p.Place(testNow, prompt(3000), list)
 			p.ledger.Begin(testNow, plan)
@@ -69,7 +69,7 @@
 	const entries, engines = 4, 24
 	list := endpoints(engines)
 	p := ranked(1, entries)
-	p.ledger.TellPeer(testNow, "x", []Demand{{Service: "m", OpenShort: 400}}, nil)
+	p.ledger.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
 	own, away := 0, 0
 	for range 200 {
 		plan := p.Place(testNow, prompt(3000), list)
--- a/routing/direct/demand.go
+++ b/routing/direct/demand.go
@@ -65,17 +65,17 @@
 	Service string
 	// LongPrefill is the prefill of the long prompts that came in demandWindow, and
 	// OpenShort how many requests with short ones are under way.
-	LongPrefill time.Duration
-	OpenShort   int
-	// Reading is the prefill of long prompts that was sent to engines and is not done,
-	// Waiting that of those that are held back.
-	Reading, Waiting time.Duration
+	LongPrefill   time.Duration
+	ShortInFlight int
+	// PendingPrefill is the prefill of long prompts that was sent to engines and is not done,
+	// QueuedPrefill that of those that are held back.
+	PendingPrefill, QueuedPrefill time.Duration
 }
 
 // shortShare is the part of a service's engines that short prompts may take.
 func shortShare(d Demand, engine *directory.Engine) float64 {
 	long := d.LongPrefill.Seconds() / demandWindow.Seconds() / fullUse
-	short := float64(d.OpenShort) / (float64(max(engine.Slots, 1)) * openUse)
+	short := float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * openUse)
 	if long+short == 0 {
 		return 1 - leastLong
 	}
@@ -92,7 +92,7 @@
 // meet no others; within their share.
 func enginesForShort(d Demand, engine *directory.Engine, engines, entries int) int {
 	share := mostShort(d, engine, engines)
-	filled := math.Ceil(float64(d.OpenShort) / (float64(max(engine.Slots, 1)) * fillUse))
+	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillUse))
 	own := min(entries, int(ownShare*float64(engines)))
 	return max(min(max(int(filled)+spareShort, own), share), 1)
 }
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -30,7 +30,7 @@
 
 func service() *directory.Service { return &directory.Service{Name: "m", Engine: siteEngine()} }
 
-func policy(seed uint64) *Policy { return NewPolicy(NewLedger(), rand.New(rand.NewPCG(seed, 1))) }
+func policy(seed uint64) *Policy { return NewPolicy(NewLoadTracker(), rand.New(rand.NewPCG(seed, 1))) }
 
 func prompt(tokens int) *Request {
 	return &Request{Service: service(), PromptTokens: tokens, OutputTokens: 1000, Tried: map[directory.Life]bool{}}
@@ -44,11 +44,11 @@
 	near := func(got time.Duration, want float64) bool {
 		return got.Seconds() > want*0.99 && got.Seconds() < want*1.01
 	}
-	is.True(near(Prefill(siteEngine(), 4960), 0.0342))
-	is.True(near(Prefill(siteEngine(), 182_000), 3.865))
-	is.True(near(Prefill(siteEngine(), 276_614)/14, 0.571))
-	is.True(near(Prefill(siteEngine(), 376_818)/17, 0.820))
-	is.Equal(Prefill(nil, 1000), time.Duration(0))
+	is.True(near(PrefillTime(siteEngine(), 4960), 0.0342))
+	is.True(near(PrefillTime(siteEngine(), 182_000), 3.865))
+	is.True(near(PrefillTime(siteEngine(), 276_614)/14, 0.571))
+	is.True(near(PrefillTime(siteEngine(), 376_818)/17, 0.820))
+	is.Equal(PrefillTime(nil, 1000), time.Duration(0))
 }
 
 // Symptom: short streams are late by a pause. Sequence: long prompts come beside many
@@ -62,7 +62,7 @@
 	}
 	together := 0
 	for i := range 6 {
-		p.Expect(testNow, service(), len(list), 150_000)
+		p.AddLongPrompt(testNow, service(), len(list), 150_000)
 		long := p.Place(testNow.Add(time.Duration(i)*time.Millisecond), prompt(150_000), list)
 		is.True(long.Long)
 		for _, e := range append(long.Helpers, long.Endpoint) {
@@ -70,7 +70,7 @@
 				together++
 			}
 		}
-		p.ledger.Begin(testNow, long).Prefilled()
+		p.ledger.Begin(testNow, long).FinishPrefill()
 	}
 	before := map[directory.Life]int{}
 	for id, l := range p.ledger.loads {
@@ -93,8 +93,8 @@
 	e := siteEngine()
 	is.Equal(shortShare(Demand{}, e), 1-leastLong)
 	is.Equal(shortShare(Demand{LongPrefill: time.Minute}, e), leastShort)
-	is.Equal(shortShare(Demand{OpenShort: 100}, e), 1-leastLong)
-	half := shortShare(Demand{OpenShort: 80, LongPrefill: time.Duration(10 * 3 * fullUse * float64(time.Second))}, e)
+	is.Equal(shortShare(Demand{ShortInFlight: 100}, e), 1-leastLong)
+	half := shortShare(Demand{ShortInFlight: 80, LongPrefill: time.Duration(10 * 3 * fullUse * float64(time.Second))}, e)
 	is.True(half > 0.45 && half < 0.55)
 }
 
@@ -104,11 +104,11 @@
 	is := is.New(t)
 	e := siteEngine()
 	is.Equal(enginesForShort(Demand{}, e, 20, 1), 1)
-	is.Equal(enginesForShort(Demand{OpenShort: 10}, e, 20, 1), 2)
-	is.Equal(enginesForShort(Demand{OpenShort: 100}, e, 20, 1), 11)
-	is.Equal(enginesForShort(Demand{OpenShort: 1000}, e, 20, 1), 13) // their share
-	is.Equal(enginesForShort(Demand{OpenShort: 100, LongPrefill: time.Minute}, e, 20, 1), 7)
-	is.Equal(enginesForShort(Demand{OpenShort: 1000}, e, 1, 1), 1)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 10}, e, 20, 1), 2)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 100}, e, 20, 1), 11)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 20, 1), 13) // their share
+	is.Equal(enginesForShort(Demand{ShortInFlight: 100, LongPrefill: time.Minute}, e, 20, 1), 7)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 1, 1), 1)
 }
 
 // Symptom: on a site with ten times as many engines as entries and little to do, short prompts are
@@ -116,22 +116,22 @@
 func TestEachEntryHasAnEngineForShortPromptsWhereEnginesAbound(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
-	is.Equal(enginesForShort(Demand{OpenShort: 10}, e, 320, 33), 33)
-	is.Equal(enginesForShort(Demand{OpenShort: 10}, e, 80, 22), 10) // engines do not abound
-	is.Equal(enginesForShort(Demand{OpenShort: 1000}, e, 320, 33), 95)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 10}, e, 320, 33), 33)
+	is.Equal(enginesForShort(Demand{ShortInFlight: 10}, e, 80, 22), 10) // engines do not abound
+	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 320, 33), 95)
 }
 
 // Symptom: entries divide the engines differently. Sequence: each sees a few long
 // prompts of its own. Cause: no word of the others'.
 func TestOtherEntriesDemandCounts(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger()
-	l.TellPeer(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second, OpenShort: 4, Reading: time.Second, Waiting: 2 * time.Second}}, nil)
-	l.TellPeer(testNow, "c", []Demand{{Service: "m", LongPrefill: time.Second}, {Service: "other", OpenShort: 50}}, nil)
+	l := NewLoadTracker()
+	l.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second, ShortInFlight: 4, PendingPrefill: time.Second, QueuedPrefill: 2 * time.Second}}, nil)
+	l.ReplacePeerLoad(testNow, "c", []Demand{{Service: "m", LongPrefill: time.Second}, {Service: "other", ShortInFlight: 50}}, nil)
 	sum := l.total(testNow, "m")
 	is.Equal(sum.LongPrefill, 10*time.Second)
-	is.Equal(sum.OpenShort, 4)
-	is.Equal(sum.Reading+sum.Waiting, 3*time.Second)
+	is.Equal(sum.ShortInFlight, 4)
+	is.Equal(sum.PendingPrefill+sum.QueuedPrefill, 3*time.Second)
 	is.Equal(l.total(testNow.Add(2*peerValid), "m").LongPrefill, time.Duration(0)) // silent entries are forgotten
 	is.Equal(len(l.peerLoads), 0)
 }
@@ -145,31 +145,31 @@
 	p.ledger.Begin(testNow, p.Place(testNow, prompt(150_000), endpoints(20)))
 	told := p.ledger.Demands(testNow)
 	is.Equal(len(told), 1)
-	is.True(told[0].Reading > time.Second)
+	is.True(told[0].PendingPrefill > time.Second)
 }
 
 // An operator sees how much of the others is known, and how old it is.
 func TestKnowledgeOfOtherEntriesIsTold(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger()
-	is.Equal(l.Knowledge(testNow), Knowledge{})
-	l.SetEntries(5)
-	l.TellPeer(testNow.Add(-2*peerValid), "a", nil, nil)
-	l.TellPeer(testNow.Add(-300*time.Millisecond), "b", nil, nil)
-	l.TellPeerChanges(testNow.Add(-100*time.Millisecond), "c", nil, nil)
-	is.Equal(l.Knowledge(testNow), Knowledge{Entries: 4, Heard: 2, Oldest: 300 * time.Millisecond, Mean: 200 * time.Millisecond})
+	l := NewLoadTracker()
+	is.Equal(l.PeerStatus(testNow), PeerStatus{})
+	l.SetEntryCount(5)
+	l.ReplacePeerLoad(testNow.Add(-2*peerValid), "a", nil, nil)
+	l.ReplacePeerLoad(testNow.Add(-300*time.Millisecond), "b", nil, nil)
+	l.UpdatePeerLoad(testNow.Add(-100*time.Millisecond), "c", nil, nil)
+	is.Equal(l.PeerStatus(testNow), PeerStatus{Peers: 4, Heard: 2, OldestAge: 300 * time.Millisecond, MeanAge: 200 * time.Millisecond})
 }
 
 func TestAnEndpointThatOthersUseIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	p := policy(3)
 	list := endpoints(4)
-	var open []Open
+	var open []EndpointLoad
 	for _, e := range list[:3] {
-		open = append(open, Open{Endpoint: HashEndpoint(e.Life), Count: 8})
+		open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 8})
 	}
-	p.ledger.SetEntries(3)
-	p.ledger.TellPeer(testNow, "b", nil, open) // one of two others is heard of
+	p.ledger.SetEntryCount(3)
+	p.ledger.ReplacePeerLoad(testNow, "b", nil, open) // one of two others is heard of
 	for range 20 {
 		is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.ID, list[3].ID)
 	}
@@ -181,18 +181,18 @@
 // leave nothing behind when it falls silent.
 func TestChangesOfAnEntrysLoadAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, whole := NewLedger(), NewLedger()
-		state := map[EndpointHash]Open{}
+		l, whole := NewLoadTracker(), NewLoadTracker()
+		state := map[EndpointHash]EndpointLoad{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
-			o := Open{EndpointHash(rapid.IntRange(0, 5).Draw(t, "endpoint")), rapid.IntRange(0, 3).Draw(t, "open"), time.Duration(rapid.IntRange(0, 2).Draw(t, "reading")), rapid.IntRange(0, 2).Draw(t, "memory"), Streams{3: int16(rapid.IntRange(0, 2).Draw(t, "streams"))}}
+			o := EndpointLoad{EndpointHash(rapid.IntRange(0, 5).Draw(t, "endpoint")), rapid.IntRange(0, 3).Draw(t, "open"), time.Duration(rapid.IntRange(0, 2).Draw(t, "reading")), rapid.IntRange(0, 2).Draw(t, "memory"), StreamCounts{3: int16(rapid.IntRange(0, 2).Draw(t, "streams"))}}
 			state[o.Endpoint] = o
-			l.TellPeerChanges(testNow, "b", nil, []Open{o})
+			l.UpdatePeerLoad(testNow, "b", nil, []EndpointLoad{o})
 		}
-		var all []Open
+		var all []EndpointLoad
 		for _, o := range state {
 			all = append(all, o)
 		}
-		whole.TellPeer(testNow, "b", nil, all)
+		whole.ReplacePeerLoad(testNow, "b", nil, all)
 		if fmt.Sprint(l.peerLoads) != fmt.Sprint(whole.peerLoads) {
 			t.Fatalf("%v, told at once %v", l.peerLoads, whole.peerLoads)
 		}
@@ -213,12 +213,12 @@
 		placed := map[string]int{}
 		for entry := range entries {
 			p := policy(uint64(entry))
-			p.ledger.SetEntries(entries)
-			var open []Open
+			p.ledger.SetEntryCount(entries)
+			var open []EndpointLoad
 			for n, e := range list {
-				open = append(open, Open{Endpoint: HashEndpoint(e.Life), Count: 1, Reading: time.Duration(n) * time.Millisecond})
+				open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, PendingPrefill: time.Duration(n) * time.Millisecond})
 			}
-			p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 400}}, open)
+			p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, open)
 			placed[p.Place(testNow, prompt(3000), list).Endpoint.ID]++
 		}
 		most := 0
@@ -236,16 +236,16 @@
 	is := is.New(t)
 	p := policy(1)
 	list := endpoints(40)
-	p.ledger.SetEntries(2)
-	var open []Open
+	p.ledger.SetEntryCount(2)
+	var open []EndpointLoad
 	for i, e := range list {
-		o := Open{Endpoint: HashEndpoint(e.Life), Reading: 40 * time.Millisecond}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), PendingPrefill: 40 * time.Millisecond}
 		if i%2 == 0 {
-			o.Count, o.Reading = 1, 0
+			o.InFlight, o.PendingPrefill = 1, 0
 		}
 		open = append(open, o)
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", LongPrefill: 100 * time.Second}}, open)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 100 * time.Second}}, open)
 	plan := p.Place(testNow, prompt(250_000), list)
 	used := 0
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
@@ -281,23 +281,23 @@
 	p := policy(5)
 	plan := p.Place(testNow, prompt(500_000), endpoints(23))
 	is.Equal(len(plan.Helpers), 16)
-	is.True(plan.FirstMemory+plan.Holders*plan.HelperMemory >= plan.Memory)
-	is.True(plan.FirstMemory+(plan.Holders-1)*plan.HelperMemory >= plan.Memory) // also when one refuses
-	is.True(plan.FirstMemory <= aloneMemory(siteEngine()))
-	p.ledger.TellPeer(testNow, "b", nil, opens(endpoints(23), 2))
-	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Crowded) // engines in use
+	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
+	is.True(plan.EndpointMemoryTokens+(plan.ReservingHelpers-1)*plan.HelperMemoryTokens >= plan.MemoryTokens) // also when one refuses
+	is.True(plan.EndpointMemoryTokens <= aloneMemory(siteEngine()))
+	p.ledger.ReplacePeerLoad(testNow, "b", nil, opens(endpoints(23), 2))
+	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // engines in use
 }
 
 // streams are so many requests that allow a pause.
-func streams(pause time.Duration, count int) Streams {
-	var s Streams
+func streams(pause time.Duration, count int) StreamCounts {
+	var s StreamCounts
 	s[PauseClass(pause)] = int16(count)
 	return s
 }
 
 // opens gives each endpoint so many requests.
-func opens(list []*directory.Listed, count int) []Open {
-	return eachOf(list, Open{Count: count, Streams: streams(250*time.Millisecond, count)})
+func opens(list []*directory.Listed, count int) []EndpointLoad {
+	return eachOf(list, EndpointLoad{InFlight: count, Streams: streams(250*time.Millisecond, count)})
 }
 
 // Symptom: a quarter of the long prompts are refused while engines have room. Sequence:
@@ -310,16 +310,16 @@
 	for range 3 {
 		p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), list))
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 160, LongPrefill: 17 * time.Second}}, opens(list[:4], 9))
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, opens(list[:4], 9))
 	plan := p.Place(testNow, prompt(250_000), list)
-	is.True(!plan.Crowded)
-	is.True(plan.Prefill <= longestPart(service()))
+	is.True(!plan.Overloaded)
+	is.True(plan.PartPrefill <= longestPart(service()))
 	is.True(len(plan.Helpers) >= 8)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		is.True(p.ledger.peerLoads[HashEndpoint(e.Life)].Count == 0) // those with the least open
+		is.True(p.ledger.peerLoads[HashEndpoint(e.Life)].InFlight == 0) // those with the least open
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 160, LongPrefill: 17 * time.Second}}, opens(list, 9))
-	is.True(p.Place(testNow, prompt(250_000), list).Crowded)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, opens(list, 9))
+	is.True(p.Place(testNow, prompt(250_000), list).Overloaded)
 }
 
 // Whatever is placed and ended in whatever order, a ledger ends empty.
@@ -327,19 +327,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := policy(rapid.Uint64().Draw(t, "seed"))
 		list := endpoints(rapid.IntRange(1, 25).Draw(t, "engines"))
-		var open []*Charge
+		var open []*RequestLoad
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if len(open) > 0 && rapid.Bool().Draw(t, "end") {
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				if rapid.Bool().Draw(t, "prefilled") {
-					open[i].Prefilled()
+					open[i].FinishPrefill()
 				}
 				open[i].End()
 				open = append(open[:i], open[i+1:]...)
 				continue
 			}
 			plan := p.Place(testNow, prompt(rapid.IntRange(1, 900_000).Draw(t, "tokens")), list)
-			if plan.Crowded {
+			if plan.Overloaded {
 				continue
 			}
 			seen := map[string]bool{plan.Endpoint.ID: true}
@@ -355,7 +355,7 @@
 			c.End()
 		}
 		for id, l := range p.ledger.loads {
-			if l.open != 0 || l.prefill != 0 || l.memory != 0 || l.streams != (Streams{}) {
+			if l.open != 0 || l.prefill != 0 || l.memory != 0 || l.streams != (StreamCounts{}) {
 				t.Fatalf("%s: %+v", id, *l)
 			}
 		}
@@ -367,11 +367,11 @@
 
 func TestShorterPromptsHaveAHigherPriority(t *testing.T) {
 	is := is.New(t)
-	is.True(Level(1000, 1) < Level(20_000, 1))
-	is.True(Level(20_000, 1) < Level(80_000, 1))
-	is.True(Level(80_000, 1) < Level(200_000, 1))
-	is.True(Level(1000, 1) < Level(1000, 2))
-	is.True(Level(900_000, 9) <= lowestLevel)
+	is.True(EnginePriority(1000, 1) < EnginePriority(20_000, 1))
+	is.True(EnginePriority(20_000, 1) < EnginePriority(80_000, 1))
+	is.True(EnginePriority(80_000, 1) < EnginePriority(200_000, 1))
+	is.True(EnginePriority(1000, 1) < EnginePriority(1000, 2))
+	is.True(EnginePriority(900_000, 9) <= lowestLevel)
 }
 
 // Symptom: a prompt that takes 0.4 s to read begins after 3 to 5 s. Sequence: an engine
@@ -382,16 +382,16 @@
 	is := is.New(t)
 	list := endpoints(12)
 	p := policy(1)
-	p.ledger.SetEntries(2)
-	var open []Open
+	p.ledger.SetEntryCount(2)
+	var open []EndpointLoad
 	for i, e := range list {
-		o := Open{Endpoint: HashEndpoint(e.Life), Count: 1, Memory: 210_000}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, MemoryTokens: 210_000}
 		if i == 11 {
-			o.Reading, o.Memory = 200*time.Millisecond, 20_000 // room, and the most to do
+			o.PendingPrefill, o.MemoryTokens = 200*time.Millisecond, 20_000 // room, and the most to do
 		}
 		open = append(open, o)
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second}}, open)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second}}, open)
 	plan := p.Place(testNow, prompt(200_000), list)
 	is.Equal(plan.Endpoint.Life, list[11].Life)
 	p.ledger.Begin(testNow, plan)
@@ -406,18 +406,18 @@
 	is := is.New(t)
 	p := policy(2)
 	list := endpoints(21)
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 60, LongPrefill: 15 * time.Second}}, opens(list[:9], 7))
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 15 * time.Second}}, opens(list[:9], 7))
 	boundary := p.boundary(testNow, service(), len(list))
 	own := map[directory.Life]bool{}
 	for _, e := range list[:boundary] {
 		own[e.Life] = true
 	}
 	plan := p.Place(testNow, prompt(380_000), list)
-	is.True(plan.HelperMemory > 0)
+	is.True(plan.HelperMemoryTokens > 0)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
 		is.True(!own[e.Life])
 	}
-	is.True(plan.FirstMemory+plan.Holders*plan.HelperMemory >= plan.Memory)
+	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
 }
 
 // Memory decides how few engines a prompt may be spread over.
@@ -430,7 +430,7 @@
 	is.Equal(holders(e, 900_000), 5)
 	p := policy(2)
 	list := endpoints(6) // two of them for long prompts
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 400}}, nil)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
 	plan := p.Place(testNow, prompt(500_000), list)
 	is.Equal(len(plan.Helpers), 5)
 }
@@ -444,9 +444,9 @@
 	list := endpoints(21)
 	open := opens(list[:4], 6)
 	for i := range open {
-		open[i].Memory = 40_000
+		open[i].MemoryTokens = 40_000
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 20, LongPrefill: 40 * time.Second}}, open)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 20, LongPrefill: 40 * time.Second}}, open)
 	boundary := p.boundary(testNow, service(), len(list))
 	plan := p.Place(testNow, prompt(60_000), list)
 	is.True(!plan.Long && len(plan.Helpers) > boundary)
@@ -461,7 +461,7 @@
 	is := is.New(t)
 	p := policy(3)
 	list := endpoints(21)
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 60, LongPrefill: 20 * time.Second}}, opens(list[:8], 6))
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 20 * time.Second}}, opens(list[:8], 6))
 	boundary := p.boundary(testNow, service(), len(list))
 	plan := p.Place(testNow, prompt(60_000), list)
 	is.True(!plan.Long && len(plan.Helpers) > 0 && len(plan.Helpers) <= len(list)-boundary)
@@ -478,7 +478,7 @@
 	is := is.New(t)
 	p := policy(4)
 	list := endpoints(21)
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 200, LongPrefill: 4 * time.Second}}, opens(list[:14], 14))
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200, LongPrefill: 4 * time.Second}}, opens(list[:14], 14))
 	for range 14 {
 		plan := p.Place(testNow, prompt(3000), list)
 		is.True(slices.Contains(list[:14], plan.Endpoint))
@@ -494,10 +494,10 @@
 	list := endpoints(4)
 	open := opens(list, 9)
 	for i := range open {
-		open[i].Reading = 400 * time.Millisecond
+		open[i].PendingPrefill = 400 * time.Millisecond
 	}
-	open[0] = Open{Endpoint: open[0].Endpoint, Count: 1, Memory: 404_000}
-	p.ledger.TellPeer(testNow, "b", nil, open)
+	open[0] = EndpointLoad{Endpoint: open[0].Endpoint, InFlight: 1, MemoryTokens: 404_000}
+	p.ledger.ReplacePeerLoad(testNow, "b", nil, open)
 	for range 10 {
 		is.True(p.Place(testNow, prompt(3000), list).Endpoint.Life != list[0].Life)
 		parts := p.Place(testNow, prompt(60_000), list)
@@ -519,7 +519,7 @@
 	narrow := atRest(r)
 	r.Service = s
 	is.True(len(atRest(r).Helpers) < len(narrow.Helpers))
-	is.True(IsLong(service(), 100_000) && !IsLong(s, 100_000))
+	is.True(IsLongPrompt(service(), 100_000) && !IsLongPrompt(s, 100_000))
 }
 
 // atRest places a request at rest.
--- a/routing/direct/held.go
+++ b/routing/direct/held.go
@@ -23,32 +23,32 @@
 	chances = 1 << 20
 )
 
-// HeldPoll is how often a prompt that is held back asks whether it may start: a fraction of the
+// QueuePollInterval is how often a prompt that is held back asks whether it may start: a fraction of the
 // time in which one of them is prefilled.
-const HeldPoll = 20 * time.Millisecond
+const QueuePollInterval = 20 * time.Millisecond
 
-// Held is a long prompt that is held back until the engines have room for it.
-type Held struct {
+// QueuedPrompt is a long prompt that is held back until the engines have room for it.
+type QueuedPrompt struct {
 	policy  *Policy
 	service *directory.Service
 	prefill time.Duration
 }
 
-// Hold notes that a long prompt waits, until it is released.
-func (p *Policy) Hold(service *directory.Service, promptTokens int) *Held {
-	h := &Held{policy: p, service: service, prefill: Prefill(service.Engine, promptTokens)}
+// Enqueue notes that a long prompt waits, until it is released.
+func (p *Policy) Enqueue(service *directory.Service, promptTokens int) *QueuedPrompt {
+	h := &QueuedPrompt{policy: p, service: service, prefill: PrefillTime(service.Engine, promptTokens)}
 	p.ledger.hold(service.Name, h.prefill)
 	return h
 }
 
-// Release ends the wait. It must be called once.
-func (h *Held) Release() { h.policy.ledger.hold(h.service.Name, -h.prefill) }
+// Dequeue ends the wait. It must be called once.
+func (h *QueuedPrompt) Dequeue() { h.policy.ledger.hold(h.service.Name, -h.prefill) }
 
 // MayStart tells whether the engines for long prompts, which are those at the end of the list,
 // have room for the prompt. Longer prompts wait for more to be done: what one of them takes would
 // make several shorter ones late. Where as many engines are idle as a prompt may use, none is
 // made late, however much others have to prefill.
-func (h *Held) MayStart(now time.Time, endpoints []*directory.Listed) bool {
+func (h *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.Listed) bool {
 	p := h.policy
 	p.ledger.mu.Lock()
 	defer p.ledger.mu.Unlock()
@@ -57,11 +57,11 @@
 	long := p.forLong(demand, h.service, len(endpoints))
 	limit := time.Duration(long) * readingLimit
 	before := max(limit-h.prefill, time.Duration(leastReading*float64(limit)))
-	if demand.Reading <= before {
-		return p.takesTurn(limit-demand.Reading, demand.Waiting)
+	if demand.PendingPrefill <= before {
+		return p.takesTurn(limit-demand.PendingPrefill, demand.QueuedPrefill)
 	}
 	idle := p.idle(now, h.service, endpoints, long)
-	return idle >= maxParts && p.takesTurn(time.Duration(idle)*readingLimit, demand.Waiting)
+	return idle >= maxParts && p.takesTurn(time.Duration(idle)*readingLimit, demand.QueuedPrefill)
 }
 
 // takesTurn draws whether one of the prompts that wait takes of the room now. All entries see the
--- a/routing/direct/held_test.go
+++ b/routing/direct/held_test.go
@@ -10,30 +10,30 @@
 )
 
 // tellOthers lets a policy hear that others have so much to prefill, and of some engines.
-func tellOthers(p *Policy, demand Demand, open ...Open) {
+func tellOthers(p *Policy, demand Demand, open ...EndpointLoad) {
 	demand.Service = "m"
-	p.ledger.TellPeer(testNow, "other", []Demand{demand}, open)
+	p.ledger.ReplacePeerLoad(testNow, "other", []Demand{demand}, open)
 }
 
 // Guards against holding the longest prompts back while engines are idle.
 func TestALongPromptStartsWhereEnoughEnginesAreIdle(t *testing.T) {
 	is := is.New(t)
 	p, list := policy(1), endpoints(40)
-	held := p.Hold(service(), 380_000)
-	defer held.Release()
+	held := p.Enqueue(service(), 380_000)
+	defer held.Dequeue()
 	is.True(held.MayStart(testNow, list))
-	backlog := Demand{LongPrefill: time.Minute, Reading: time.Minute}
+	backlog := Demand{LongPrefill: time.Minute, PendingPrefill: time.Minute}
 	tellOthers(p, backlog)
 	is.True(held.MayStart(testNow, list)) // what is read is read elsewhere
-	tellOthers(p, backlog, eachOf(list, Open{Reading: time.Second})...)
+	tellOthers(p, backlog, eachOf(list, EndpointLoad{PendingPrefill: time.Second})...)
 	is.True(!held.MayStart(testNow, list))
 	tellOthers(p, backlog, opens(list, 1)...)
 	is.True(!held.MayStart(testNow, list)) // they would be made late
 }
 
 // eachOf gives the same of each endpoint.
-func eachOf(list []*directory.Listed, o Open) []Open {
-	var all []Open
+func eachOf(list []*directory.Listed, o EndpointLoad) []EndpointLoad {
+	var all []EndpointLoad
 	for _, e := range list {
 		o.Endpoint = HashEndpoint(e.Life)
 		all = append(all, o)
@@ -45,13 +45,13 @@
 func TestEntriesTakeTurnsAtTheRoomThatAllSee(t *testing.T) {
 	is := is.New(t)
 	const entries, rounds = 40, 20
-	list, prefill := endpoints(40), Prefill(siteEngine(), 150_000)
+	list, prefill := endpoints(40), PrefillTime(siteEngine(), 150_000)
 	started := 0
 	for seed := range uint64(rounds) {
 		for i := range uint64(entries) {
 			p := policy(1 + seed*entries + i)
-			tellOthers(p, Demand{LongPrefill: time.Minute, Reading: 2 * time.Second, Waiting: (entries - 1) * prefill})
-			held := p.Hold(service(), 150_000)
+			tellOthers(p, Demand{LongPrefill: time.Minute, PendingPrefill: 2 * time.Second, QueuedPrefill: (entries - 1) * prefill})
+			held := p.Enqueue(service(), 150_000)
 			for range looksPerHeartbeat {
 				if held.MayStart(testNow, list) {
 					started++
@@ -68,6 +68,6 @@
 
 	alone := policy(1)
 	for range entries {
-		is.True(alone.Hold(service(), 150_000).MayStart(testNow, list)) // nobody else takes it
+		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // nobody else takes it
 	}
 }
--- a/routing/direct/ledger.go
+++ b/routing/direct/ledger.go
@@ -10,8 +10,8 @@
 	"aspenyard.example/directory"
 )
 
-// Ledger holds what this entry has given each endpoint to do. Safe for concurrent use.
-type Ledger struct {
+// LoadTracker holds what this entry has given each endpoint to do. Safe for concurrent use.
+type LoadTracker struct {
 	mu    sync.Mutex
 	loads map[directory.Life]*load
 	// demands and shorts are by service: what its long prompts ask for, and how many
@@ -25,24 +25,24 @@
 	// endpoint.
 	entries   int
 	rank      rank
-	peerLoads map[EndpointHash]Open
+	peerLoads map[EndpointHash]EndpointLoad
 	// peerPaces holds which endpoints other entries know to be slow.
 	peerPaces map[EndpointHash]peerPace
 	// peers holds what other entries last told, by their names.
 	peers map[string]*peer
 	// prefilling holds the charges of this entry's long prompts whose first token has not come.
-	prefilling map[*Charge]struct{}
+	prefilling map[*RequestLoad]struct{}
 }
 
-// Open is what an entry has given an endpoint to do: how many requests are open there, by
+// EndpointLoad is what an entry has given an endpoint to do: how many requests are open there, by
 // the pause that they allow too, the prefill that is not done, and the KV cache that they
 // need, in tokens.
-type Open struct {
-	Endpoint EndpointHash
-	Count    int
-	Reading  time.Duration
-	Memory   int
-	Streams  Streams
+type EndpointLoad struct {
+	Endpoint       EndpointHash
+	InFlight       int
+	PendingPrefill time.Duration
+	MemoryTokens   int
+	Streams        StreamCounts
 }
 
 // EndpointHash names a life of an endpoint in messages between entries: what an entry
@@ -56,22 +56,22 @@
 	return EndpointHash(xxhash.Sum64String(life.String()))
 }
 
-// Opens gives what this entry has given each endpoint to do.
-func (l *Ledger) Opens(now time.Time) []Open {
+// Loads gives what this entry has given each endpoint to do.
+func (l *LoadTracker) Loads(now time.Time) []EndpointLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance(now)
-	list := make([]Open, 0, len(l.loads))
+	list := make([]EndpointLoad, 0, len(l.loads))
 	for life, known := range l.loads {
 		if known.open > 0 || known.prefill > 0 || known.memory > 0 {
-			list = append(list, Open{HashEndpoint(life), known.open, known.prefill, known.memory, known.streams})
+			list = append(list, EndpointLoad{HashEndpoint(life), known.open, known.prefill, known.memory, known.streams})
 		}
 	}
 	return list
 }
 
 // Demands gives what this entry's own requests ask of engines, by service.
-func (l *Ledger) Demands(now time.Time) []Demand {
+func (l *LoadTracker) Demands(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.advance(now)
@@ -82,14 +82,14 @@
 	return list
 }
 
-func (l *Ledger) own(now time.Time, service string) Demand {
+func (l *LoadTracker) own(now time.Time, service string) Demand {
 	d := l.demand(service)
 	d.expire(now)
-	return Demand{Service: service, LongPrefill: d.sum, OpenShort: l.shorts[service], Reading: l.reading[service], Waiting: l.waiting[service]}
+	return Demand{Service: service, LongPrefill: d.sum, ShortInFlight: l.shorts[service], PendingPrefill: l.reading[service], QueuedPrefill: l.waiting[service]}
 }
 
 // total sums a service's demand over this entry and those heard of lately.
-func (l *Ledger) total(now time.Time, service string) Demand {
+func (l *LoadTracker) total(now time.Time, service string) Demand {
 	sum := l.own(now, service)
 	for name, peer := range l.peers {
 		if now.Sub(peer.at) > peerValid {
@@ -99,9 +99,9 @@
 		for _, d := range peer.demands {
 			if d.Service == service {
 				sum.LongPrefill += d.LongPrefill
-				sum.OpenShort += d.OpenShort
-				sum.Reading += d.Reading
-				sum.Waiting += d.Waiting
+				sum.ShortInFlight += d.ShortInFlight
+				sum.PendingPrefill += d.PendingPrefill
+				sum.QueuedPrefill += d.QueuedPrefill
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 
 type load struct {
 	open    int
-	streams Streams
+	streams StreamCounts
 	prefill time.Duration
 	// memory is the KV cache that one's own requests need, in tokens.
 	memory int
@@ -130,15 +130,15 @@
 // doubtful tells whether other endpoints are to be preferred.
 func (l *load) doubtful(now time.Time) bool { return l.unreachable || now.Before(l.avoidUntil) }
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{loads: map[directory.Life]*load{}, demands: map[string]*demand{}, shorts: map[string]int{}, peers: map[string]*peer{}, reading: map[string]time.Duration{}, waiting: map[string]time.Duration{}, peerLoads: map[EndpointHash]Open{}, peerPaces: map[EndpointHash]peerPace{}, prefilling: map[*Charge]struct{}{}}
+// NewLoadTracker makes an empty ledger.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{loads: map[directory.Life]*load{}, demands: map[string]*demand{}, shorts: map[string]int{}, peers: map[string]*peer{}, reading: map[string]time.Duration{}, waiting: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerPaces: map[EndpointHash]peerPace{}, prefilling: map[*RequestLoad]struct{}{}}
 }
 
-// Charge is what one request weighs on its endpoints, until it ends. Safe for use by
+// RequestLoad is what one request weighs on its endpoints, until it ends. Safe for use by
 // one goroutine.
-type Charge struct {
-	ledger *Ledger
+type RequestLoad struct {
+	ledger *LoadTracker
 	parts  []part
 	open   directory.Life
 	memory []memoryPart
@@ -163,9 +163,9 @@
 }
 
 // Begin charges a plan that is carried out from now on.
-func (l *Ledger) Begin(now time.Time, p *Plan) *Charge {
-	c := &Charge{ledger: l, open: p.Endpoint.Life, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
-	c.progress = progress{began: now, expected: p.Expected, part: p.Prefill}
+func (l *LoadTracker) Begin(now time.Time, p *Plan) *RequestLoad {
+	c := &RequestLoad{ledger: l, open: p.Endpoint.Life, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
+	c.progress = progress{began: now, expected: p.ExpectedFirstToken, part: p.PartPrefill}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load(c.open).open++
@@ -175,12 +175,12 @@
 	} else {
 		l.shorts[c.service]++
 	}
-	c.parts = append(c.parts, part{c.open, p.Prefill})
-	c.memory = append(c.memory, memoryPart{c.open, p.FirstMemory})
+	c.parts = append(c.parts, part{c.open, p.PartPrefill})
+	c.memory = append(c.memory, memoryPart{c.open, p.EndpointMemoryTokens})
 	for i, h := range p.Helpers {
-		c.parts = append(c.parts, part{h.Life, p.Prefill})
-		if i < p.Holders {
-			c.memory = append(c.memory, memoryPart{h.Life, p.HelperMemory})
+		c.parts = append(c.parts, part{h.Life, p.PartPrefill})
+		if i < p.ReservingHelpers {
+			c.memory = append(c.memory, memoryPart{h.Life, p.HelperMemoryTokens})
 		}
 	}
 	for _, m := range c.memory {
@@ -195,8 +195,8 @@
 	return c
 }
 
-// Prefilled ends the charge for the prompt: its first token has come.
-func (c *Charge) Prefilled() {
+// FinishPrefill ends the charge for the prompt: its first token has come.
+func (c *RequestLoad) FinishPrefill() {
 	if c.parts == nil {
 		return
 	}
@@ -215,8 +215,8 @@
 }
 
 // End ends the charge.
-func (c *Charge) End() {
-	c.Prefilled()
+func (c *RequestLoad) End() {
+	c.FinishPrefill()
 	c.ledger.mu.Lock()
 	defer c.ledger.mu.Unlock()
 	if !c.long {
@@ -234,8 +234,8 @@
 	c.memory = nil
 }
 
-// Tell notes an endpoint's own word of its load.
-func (l *Ledger) Tell(now time.Time, endpoint directory.Life, running, waiting int) {
+// RecordLoadReport notes an endpoint's own word of its load.
+func (l *LoadTracker) RecordLoadReport(now time.Time, endpoint directory.Life, running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -260,7 +260,7 @@
 // estimate gives what is thought of an endpoint's life. How many requests are open is the
 // endpoint's last word, corrected by what this entry has begun and ended since, or what the
 // other entries tell, for as many as there are, whichever is more.
-func (l *Ledger) estimate(now time.Time, life directory.Life) estimate {
+func (l *LoadTracker) estimate(now time.Time, life directory.Life) estimate {
 	hash := HashEndpoint(life)
 	peers, scale := l.peerLoads[hash], l.peerScale()
 	known := l.loads[life]
@@ -268,9 +268,9 @@
 		known = &load{}
 	}
 	e := estimate{
-		open:    known.open + int(float64(peers.Count)*scale+0.5),
-		reading: known.prefill + time.Duration(float64(peers.Reading)*scale),
-		memory:  known.memory + int(float64(peers.Memory)*scale),
+		open:    known.open + int(float64(peers.InFlight)*scale+0.5),
+		reading: known.prefill + time.Duration(float64(peers.PendingPrefill)*scale),
+		memory:  known.memory + int(float64(peers.MemoryTokens)*scale),
 		pace:    l.pace(now, known, hash),
 	}
 	if !known.told.IsZero() && now.Sub(known.told) <= toldValid {
@@ -281,7 +281,7 @@
 
 // streams gives what is thought of the requests that are open at an endpoint's life, by the
 // pause that they allow: those of all entries.
-func (l *Ledger) streams(life directory.Life) Streams {
+func (l *LoadTracker) streams(life directory.Life) StreamCounts {
 	others := l.peerLoads[HashEndpoint(life)].Streams.times(l.peerScale())
 	if known := l.loads[life]; known != nil {
 		return known.streams.plus(others)
@@ -290,7 +290,7 @@
 }
 
 // SetUnreachable notes whether an endpoint accepts connections; it tells whether that is new.
-func (l *Ledger) SetUnreachable(endpoint directory.Life, unreachable bool) bool {
+func (l *LoadTracker) SetUnreachable(endpoint directory.Life, unreachable bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -300,13 +300,13 @@
 }
 
 // Avoid passes an endpoint over until a time, as long as there are others.
-func (l *Ledger) Avoid(endpoint directory.Life, until time.Time) {
+func (l *LoadTracker) Avoid(endpoint directory.Life, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load(endpoint).avoidUntil = until
 }
 
-func (l *Ledger) load(endpoint directory.Life) *load {
+func (l *LoadTracker) load(endpoint directory.Life) *load {
 	known := l.loads[endpoint]
 	if known == nil {
 		known = &load{}
@@ -315,13 +315,13 @@
 	return known
 }
 
-func (l *Ledger) hold(service string, prefill time.Duration) {
+func (l *LoadTracker) hold(service string, prefill time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waiting[service] += prefill
 }
 
-func (l *Ledger) demand(service string) *demand {
+func (l *LoadTracker) demand(service string) *demand {
 	known := l.demands[service]
 	if known == nil {
 		known = &demand{}
@@ -331,7 +331,7 @@
 }
 
 // Prune forgets endpoints that are not known any more, ended lives among them.
-func (l *Ledger) Prune(known func(life directory.Life) bool) {
+func (l *LoadTracker) Prune(known func(life directory.Life) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.loads, func(life directory.Life, _ *load) bool { return !known(life) })
--- a/routing/direct/level.go
+++ b/routing/direct/level.go
@@ -10,10 +10,10 @@
 // lowestLevel is the last of the engines' priorities.
 const lowestLevel = 9
 
-// Level is the engines' priority of a request, 0 first: shorter prompts go first,
+// EnginePriority is the engines' priority of a request, 0 first: shorter prompts go first,
 // since they cost a longer one milliseconds and a long one costs them seconds; among
 // equals the configured priority decides.
-func Level(promptTokens, priority int) int {
+func EnginePriority(promptTokens, priority int) int {
 	level := 0
 	switch {
 	case promptTokens > longPrompt:
--- a/routing/direct/limits.go
+++ b/routing/direct/limits.go
@@ -47,6 +47,8 @@
 	return prefill > maxParts*partTarget(s)
 }
 
-// IsLong tells whether a prompt is long for a service's engines: even in as many parts as
+// IsLongPrompt tells whether a prompt is long for a service's engines: even in as many parts as
 // there may be, its prefill would hold up others.
-func IsLong(s *directory.Service, tokens int) bool { return isLong(s, Prefill(s.Engine, tokens)) }
+func IsLongPrompt(s *directory.Service, tokens int) bool {
+	return isLong(s, PrefillTime(s.Engine, tokens))
+}
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -54,13 +54,13 @@
 // first ones, which have most of it free: each holder takes an order to reserve, one to release and one a
 // second between them, and the other helpers prefill their parts without any.
 func (plan *Plan) divideMemory(engine *directory.Engine) {
-	plan.FirstMemory = plan.Memory
-	if plan.Memory <= aloneMemory(engine) || len(plan.Helpers) == 0 {
+	plan.EndpointMemoryTokens = plan.MemoryTokens
+	if plan.MemoryTokens <= aloneMemory(engine) || len(plan.Helpers) == 0 {
 		return
 	}
-	plan.FirstMemory = firstMemory(engine, plan.Memory)
-	reserved := reserveSpare * float64(plan.Memory-plan.FirstMemory)
+	plan.EndpointMemoryTokens = firstMemory(engine, plan.MemoryTokens)
+	reserved := reserveSpare * float64(plan.MemoryTokens-plan.EndpointMemoryTokens)
 	each := helperShare * float64(engine.MemoryTokens)
-	plan.Holders = min(max(leastHolders, int(math.Ceil(reserved/each))), len(plan.Helpers))
-	plan.HelperMemory = int(math.Ceil(reserved / float64(plan.Holders)))
+	plan.ReservingHelpers = min(max(leastHolders, int(math.Ceil(reserved/each))), len(plan.Helpers))
+	plan.HelperMemoryTokens = int(math.Ceil(reserved / float64(plan.ReservingHelpers)))
 }
--- a/routing/direct/model.go
+++ b/routing/direct/model.go
@@ -15,10 +15,10 @@
 // speaks of.
 const pairsUnit = 1e6
 
-// Prefill is how long an engine that does nothing else takes to prefill a prompt.
+// PrefillTime is how long an engine that does nothing else takes to prefill a prompt.
 // Attention makes it grow with the square of the length: 5,000 tokens take 34 ms and
 // 182,000 take 3.9 s on the engines of the users' sites.
-func Prefill(e *directory.Engine, tokens int) time.Duration {
+func PrefillTime(e *directory.Engine, tokens int) time.Duration {
 	if e == nil || e.PrefillPerSecond <= 0 {
 		return 0
 	}
--- a/routing/direct/pace.go
+++ b/routing/direct/pace.go
@@ -20,9 +20,9 @@
 	slowPassShare = 2
 )
 
-// SetPace notes how many times as long as described an endpoint's work takes. It tells
+// SetSlowdown notes how many times as long as described an endpoint's work takes. It tells
 // whether the endpoint has turned slow or has recovered.
-func (l *Ledger) SetPace(now time.Time, endpoint directory.Life, pace float64) (slow, changed bool) {
+func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Life, pace float64) (slow, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -32,21 +32,21 @@
 	return slow, slow != before
 }
 
-// Slow is an endpoint that told an entry that its work takes Pace times as long as
+// SlowEndpoint is an endpoint that told an entry that its work takes Pace times as long as
 // described.
-type Slow struct {
+type SlowEndpoint struct {
 	Endpoint EndpointHash
-	Pace     float64
+	Slowdown float64
 }
 
-// Slows lists the endpoints that told this entry that they are slow.
-func (l *Ledger) Slows(now time.Time) []Slow {
+// SlowEndpoints lists the endpoints that told this entry that they are slow.
+func (l *LoadTracker) SlowEndpoints(now time.Time) []SlowEndpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []Slow
+	var list []SlowEndpoint
 	for life, known := range l.loads {
 		if known.slow(now) {
-			list = append(list, Slow{HashEndpoint(life), known.pace})
+			list = append(list, SlowEndpoint{HashEndpoint(life), known.pace})
 		}
 	}
 	return list
@@ -58,12 +58,12 @@
 	at   time.Time
 }
 
-// TellSlows notes which endpoints told another entry that they are slow.
-func (l *Ledger) TellSlows(now time.Time, list []Slow) {
+// RecordPeerSlowEndpoints notes which endpoints told another entry that they are slow.
+func (l *LoadTracker) RecordPeerSlowEndpoints(now time.Time, list []SlowEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
-		l.peerPaces[s.Endpoint] = peerPace{s.Pace, now}
+		l.peerPaces[s.Endpoint] = peerPace{s.Slowdown, now}
 	}
 	for endpoint, told := range l.peerPaces {
 		if now.Sub(told.at) > peerPaceValid {
@@ -79,7 +79,7 @@
 
 // pace is how many times as long as described the work of an endpoint takes of which this
 // entry knows a load: its own word, or what another entry was told.
-func (l *Ledger) pace(now time.Time, known *load, hash EndpointHash) float64 {
+func (l *LoadTracker) pace(now time.Time, known *load, hash EndpointHash) float64 {
 	if known.slow(now) {
 		return known.pace
 	}
@@ -89,8 +89,8 @@
 	return 1
 }
 
-// Reading estimates what all entries have given an endpoint to prefill.
-func (l *Ledger) Reading(now time.Time, endpoint directory.Life) time.Duration {
+// PendingPrefill estimates what all entries have given an endpoint to prefill.
+func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Life) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.estimate(now, endpoint).reading
--- a/routing/direct/pace_test.go
+++ b/routing/direct/pace_test.go
@@ -25,8 +25,8 @@
 	is := is.New(t)
 	list := endpoints(20)
 	p := policy(1)
-	p.ledger.SetPace(testNow, list[19].Life, 3)
-	p.ledger.TellSlows(testNow, []Slow{{HashEndpoint(list[18].Life), 2}}) // another entry's word
+	p.ledger.SetSlowdown(testNow, list[19].Life, 3)
+	p.ledger.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Life), 2}}) // another entry's word
 	for _, tokens := range []int{60_000, 150_000, 300_000} {
 		parts := enginesOf(p.Place(testNow, prompt(tokens), list))
 		is.True(!parts[list[19].Life] && !parts[list[18].Life])
@@ -34,7 +34,7 @@
 	later := testNow.Add(paceValid + time.Second)
 	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Life]) // nobody told of it again
 	for _, e := range list {
-		p.ledger.SetPace(testNow, e.Life, 2)
+		p.ledger.SetSlowdown(testNow, e.Life, 2)
 	}
 	is.True(p.Place(testNow, prompt(150_000), list) != nil) // slow ones are better than none
 }
@@ -46,11 +46,11 @@
 	is := is.New(t)
 	list := endpoints(4)
 	p := ranked(0, 1)
-	p.ledger.SetPace(testNow, list[0].Life, 5)
+	p.ledger.SetSlowdown(testNow, list[0].Life, 5)
 	for range 3 {
-		p.Expect(testNow, service(), len(list), 150_000)
+		p.AddLongPrompt(testNow, service(), len(list), 150_000)
 		plan := p.Place(testNow, prompt(150_000), list)
-		is.True(plan.Prefill > longestPart(service()) || len(plan.Helpers) < 3)
+		is.True(plan.PartPrefill > longestPart(service()) || len(plan.Helpers) < 3)
 		is.True(!enginesOf(plan)[list[0].Life])
 	}
 }
@@ -60,25 +60,25 @@
 	is := is.New(t)
 	list := endpoints(3) // two of them for short prompts
 	p := policy(2)
-	p.ledger.SetPace(testNow, list[0].Life, 3)
+	p.ledger.SetSlowdown(testNow, list[0].Life, 3)
 	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Life, list[1].Life)
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", OpenShort: 200}}, []Open{{Endpoint: HashEndpoint(list[1].Life), Count: 16, Reading: time.Second}, {Endpoint: HashEndpoint(list[2].Life), Count: 16, Reading: time.Second}})
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200}}, []EndpointLoad{{Endpoint: HashEndpoint(list[1].Life), InFlight: 16, PendingPrefill: time.Second}, {Endpoint: HashEndpoint(list[2].Life), InFlight: 16, PendingPrefill: time.Second}})
 	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Life, list[0].Life)
 }
 
 // What an endpoint said before it was restarted is not believed of its next life.
 func TestANewLifeIsNotSlow(t *testing.T) {
 	is := is.New(t)
-	l := NewLedger()
+	l := NewLoadTracker()
 	before, after := directory.Life{ID: "a", Born: 1}, directory.Life{ID: "a", Born: 2}
-	slow, changed := l.SetPace(testNow, before, 4)
+	slow, changed := l.SetSlowdown(testNow, before, 4)
 	is.True(slow && changed)
-	l.TellSlows(testNow, []Slow{{HashEndpoint(before), 4}})
+	l.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(before), 4}})
 	is.Equal(l.estimate(testNow, before).pace, 4.0)
 	is.Equal(l.estimate(testNow, after).pace, 1.0)
-	is.Equal(len(l.Slows(testNow)), 1)
-	slow, changed = l.SetPace(testNow, before, 1)
+	is.Equal(len(l.SlowEndpoints(testNow)), 1)
+	slow, changed = l.SetSlowdown(testNow, before, 1)
 	is.True(!slow && changed)
-	l.TellSlows(testNow.Add(time.Minute), nil)
+	l.RecordPeerSlowEndpoints(testNow.Add(time.Minute), nil)
 	is.Equal(len(l.peerPaces), 0)
 }
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -31,15 +31,15 @@
 	}
 	plan.Endpoint, plan.Cost = list[first].endpoint, list[first].cost
 	helpers := append(list[:first:first], list[first+1:parts]...)
-	if plan.Memory > alone {
+	if plan.MemoryTokens > alone {
 		slices.SortStableFunc(helpers, func(a, b scored) int { return cmp.Compare(a.memory, b.memory) })
 	}
 	for _, s := range helpers {
 		plan.Helpers = append(plan.Helpers, s.endpoint)
 	}
 	for _, s := range list[:parts] {
-		plan.Open += s.open
-		plan.Harmed += s.harmed
+		plan.InFlight += s.open
+		plan.Delayed += s.harmed
 		before = max(before, s.reading)
 	}
 	return before
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -16,8 +16,8 @@
 	PromptTokens, OutputTokens int
 	// DataCentre is the entry's own.
 	DataCentre string
-	// Pause is the longest pause between events that its route allows; 0: any.
-	Pause time.Duration
+	// MaxPause is the longest pause between events that its route allows; 0: any.
+	MaxPause time.Duration
 	// Tried holds the endpoints that it was sent to already.
 	Tried map[directory.Life]bool
 }
@@ -27,21 +27,21 @@
 	Endpoint *directory.Listed
 	// Helpers prefill parts of the prompt.
 	Helpers []*directory.Listed
-	// Prefill is the estimated time of each part.
-	Prefill time.Duration
+	// PartPrefill is the estimated time of each part.
+	PartPrefill time.Duration
 	// Long is set when the whole prompt's prefill is long.
 	Long bool
-	// Memory is the KV cache that the request needs, in tokens. Of it, FirstMemory may
-	// be at the endpoint; where that is less, HelperMemory is to be reserved at each of the
-	// first Holders of the helpers.
-	Memory, FirstMemory, HelperMemory, Holders int
-	// Crowded is set when the request must not be sent now: Harmed of the Open requests on the
+	// MemoryTokens is the KV cache that the request needs, in tokens. Of it, EndpointMemoryTokens may
+	// be at the endpoint; where that is less, HelperMemoryTokens is to be reserved at each of the
+	// first ReservingHelpers of the helpers.
+	MemoryTokens, EndpointMemoryTokens, HelperMemoryTokens, ReservingHelpers int
+	// Overloaded is set when the request must not be sent now: Harmed of the Open requests on the
 	// engines would be late by the pause that its parts are for them. Parts that are short enough
 	// are not counted for it.
-	Crowded      bool
-	Open, Harmed int
-	// Expected is when the first token is expected.
-	Expected time.Duration
+	Overloaded        bool
+	InFlight, Delayed int
+	// ExpectedFirstToken is when the first token is expected.
+	ExpectedFirstToken time.Duration
 	// Cost is the estimate by which the endpoint was picked.
 	Cost time.Duration
 	// Candidates is how many endpoints it was picked from.
@@ -67,12 +67,12 @@
 
 // Policy places requests.
 type Policy struct {
-	ledger *Ledger
+	ledger *LoadTracker
 	rand   Rand
 }
 
 // NewPolicy makes a policy over a ledger.
-func NewPolicy(ledger *Ledger, rand Rand) *Policy {
+func NewPolicy(ledger *LoadTracker, rand Rand) *Policy {
 	return &Policy{ledger: ledger, rand: rand}
 }
 
@@ -128,8 +128,8 @@
 // placeEngine picks an engine, and helpers where the prompt is prefilled in parts.
 func (p *Policy) placeEngine(now time.Time, r *Request, kept []*directory.Listed) *Plan {
 	engine := r.Service.Engine
-	prefill := Prefill(engine, r.PromptTokens)
-	plan := &Plan{Long: isLong(r.Service, prefill), Memory: r.PromptTokens + r.OutputTokens, Candidates: len(kept), pauseClass: PauseClass(r.Pause)}
+	prefill := PrefillTime(engine, r.PromptTokens)
+	plan := &Plan{Long: isLong(r.Service, prefill), MemoryTokens: r.PromptTokens + r.OutputTokens, Candidates: len(kept), pauseClass: PauseClass(r.MaxPause)}
 	var list []scored
 	var parts int
 	if plan.Long {
@@ -137,27 +137,27 @@
 	} else {
 		list, parts = p.shortEngines(now, r, kept, prefill)
 	}
-	plan.Prefill = prefill / time.Duration(parts)
-	if plan.Prefill <= longestPart(r.Service) {
+	plan.PartPrefill = prefill / time.Duration(parts)
+	if plan.PartPrefill <= longestPart(r.Service) {
 		p.assign(plan, list, parts, engine)
 		return plan
 	}
-	p.countHarmed(list, partPause(engine, plan.Prefill))
+	p.countHarmed(list, partPause(engine, plan.PartPrefill))
 	sparing, stopping := *plan, *plan
 	p.assign(&sparing, weighHarm(list, true), parts, engine)
-	if sparing.Harmed <= quietHarmed {
+	if sparing.Delayed <= quietHarmed {
 		return &sparing
 	}
 	// Rather than be refused, the prompt stops others that are read.
 	p.assign(&stopping, weighHarm(list, false), parts, engine)
-	stopping.Crowded = stopping.Harmed > quietHarmed
+	stopping.Overloaded = stopping.Delayed > quietHarmed
 	return &stopping
 }
 
 // assign gives a plan so many parts of a list of engines.
 func (p *Policy) assign(plan *Plan, list []scored, parts int, engine *directory.Engine) {
 	before := p.choose(plan, list, parts, aloneMemory(engine))
-	plan.Expected = before + plan.Prefill + 2*PassTime(engine)
+	plan.ExpectedFirstToken = before + plan.PartPrefill + 2*PassTime(engine)
 	plan.divideMemory(engine)
 }
 
--- a/routing/direct/progress.go
+++ b/routing/direct/progress.go
@@ -26,7 +26,7 @@
 // advance counts down what this entry's long prompts have left to prefill. Counted in full until
 // their first tokens, engines that are nearly done would look as busy as those that have begun. Whoever
 // reads loads or demands calls it first, once under the lock.
-func (l *Ledger) advance(now time.Time) {
+func (l *LoadTracker) advance(now time.Time) {
 	for c := range l.prefilling {
 		left := c.progress.left(now)
 		for i := range c.parts {
@@ -36,7 +36,7 @@
 }
 
 // countDown sets what a part of a long prompt has left, which never grows.
-func (l *Ledger) countDown(service string, p *part, left time.Duration) {
+func (l *LoadTracker) countDown(service string, p *part, left time.Duration) {
 	done := p.prefill - left
 	if done <= 0 {
 		return
--- a/routing/direct/progress_test.go
+++ b/routing/direct/progress_test.go
@@ -14,19 +14,19 @@
 	p := policy(1)
 	plan := p.Place(testNow, prompt(150_000), endpoints(20))
 	charge := p.ledger.Begin(testNow, plan)
-	whole := p.ledger.Demands(testNow)[0].Reading
-	is.Equal(whole, plan.Prefill*time.Duration(1+len(plan.Helpers)))
-	half := p.ledger.Demands(testNow.Add(plan.Expected / 2))[0].Reading
+	whole := p.ledger.Demands(testNow)[0].PendingPrefill
+	is.Equal(whole, plan.PartPrefill*time.Duration(1+len(plan.Helpers)))
+	half := p.ledger.Demands(testNow.Add(plan.ExpectedFirstToken / 2))[0].PendingPrefill
 	is.True(half > whole*4/10 && half < whole*6/10)
 	late := testNow.Add(time.Minute)
-	is.True(p.ledger.Demands(late)[0].Reading > 0) // its first token has not come
-	for _, o := range p.ledger.Opens(late) {
-		is.True(o.Reading > 0 && o.Reading < plan.Prefill)
+	is.True(p.ledger.Demands(late)[0].PendingPrefill > 0) // its first token has not come
+	for _, o := range p.ledger.Loads(late) {
+		is.True(o.PendingPrefill > 0 && o.PendingPrefill < plan.PartPrefill)
 	}
-	charge.Prefilled()
-	is.Equal(p.ledger.Demands(late)[0].Reading, time.Duration(0))
-	for _, o := range p.ledger.Opens(late) {
-		is.Equal(o.Reading, time.Duration(0))
+	charge.FinishPrefill()
+	is.Equal(p.ledger.Demands(late)[0].PendingPrefill, time.Duration(0))
+	for _, o := range p.ledger.Loads(late) {
+		is.Equal(o.PendingPrefill, time.Duration(0))
 	}
 }
 
@@ -34,7 +34,7 @@
 func TestWhatIsLeftIsThatOfTheParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, list, now := policy(rapid.Uint64().Draw(t, "seed")), endpoints(20), testNow
-		var open []*Charge
+		var open []*RequestLoad
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			switch {
@@ -56,10 +56,10 @@
 }
 
 // checkLeft compares what a ledger says with the parts of what is open.
-func checkLeft(t *rapid.T, l *Ledger, now time.Time, open []*Charge) {
+func checkLeft(t *rapid.T, l *LoadTracker, now time.Time, open []*RequestLoad) {
 	var told, parts, reading time.Duration
-	for _, o := range l.Opens(now) {
-		told += o.Reading
+	for _, o := range l.Loads(now) {
+		told += o.PendingPrefill
 	}
 	for _, c := range open {
 		for _, p := range c.parts {
--- a/routing/direct/scorer.go
+++ b/routing/direct/scorer.go
@@ -32,7 +32,7 @@
 
 // openCostFor is what each open request adds to an engine's cost for a prompt.
 func openCostFor(s *directory.Service, tokens int) time.Duration {
-	if IsLong(s, tokens) {
+	if IsLongPrompt(s, tokens) {
 		return longOpenCost
 	}
 	return openCost
--- a/routing/direct/streams.go
+++ b/routing/direct/streams.go
@@ -21,8 +21,8 @@
 	anyPause = time.Hour
 )
 
-// Streams counts the requests that are open at an endpoint by the pause that they allow.
-type Streams [pauseClasses]int16
+// StreamCounts counts the requests that are open at an endpoint by the pause that they allow.
+type StreamCounts [pauseClasses]int16
 
 // PauseClass is the class of a pause that a route allows between two events; 0: it allows any.
 func PauseClass(allowed time.Duration) int {
@@ -37,7 +37,7 @@
 }
 
 // plus adds other counts.
-func (s Streams) plus(other Streams) Streams {
+func (s StreamCounts) plus(other StreamCounts) StreamCounts {
 	for i := range s {
 		s[i] += other[i]
 	}
@@ -45,7 +45,7 @@
 }
 
 // minus takes other counts away.
-func (s Streams) minus(other Streams) Streams {
+func (s StreamCounts) minus(other StreamCounts) StreamCounts {
 	for i := range s {
 		s[i] -= other[i]
 	}
@@ -53,7 +53,7 @@
 }
 
 // times scales the counts.
-func (s Streams) times(factor float64) Streams {
+func (s StreamCounts) times(factor float64) StreamCounts {
 	for i := range s {
 		s[i] = int16(math.Round(float64(s[i]) * factor))
 	}
@@ -61,7 +61,7 @@
 }
 
 // under is how many of them allow no pause of such a length.
-func (s Streams) under(pause time.Duration) int {
+func (s StreamCounts) under(pause time.Duration) int {
 	sum := 0
 	for i, n := range s {
 		if pauseLimits[i] < pause {
--- a/routing/direct/streams_test.go
+++ b/routing/direct/streams_test.go
@@ -15,12 +15,12 @@
 	list := endpoints(18)
 	crowded := func(pause time.Duration) bool {
 		p := ranked(0, 2)
-		open := make([]Open, 0, len(list))
+		open := make([]EndpointLoad, 0, len(list))
 		for _, e := range list {
-			open = append(open, Open{Endpoint: HashEndpoint(e.Life), Count: 1, Streams: streams(pause, 1)})
+			open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, Streams: streams(pause, 1)})
 		}
-		p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
-		return p.Place(testNow, prompt(380_000), list).Crowded // parts of 0.83 s
+		p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
+		return p.Place(testNow, prompt(380_000), list).Overloaded // parts of 0.83 s
 	}
 	is.True(crowded(250 * time.Millisecond))
 	is.True(crowded(800 * time.Millisecond))
@@ -33,24 +33,24 @@
 	is := is.New(t)
 	list := endpoints(40)
 	p := ranked(0, 2)
-	open := make([]Open, 0, len(list))
+	open := make([]EndpointLoad, 0, len(list))
 	for i, e := range list {
-		o := Open{Endpoint: HashEndpoint(e.Life), Reading: 150 * time.Millisecond}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), PendingPrefill: 150 * time.Millisecond}
 		if i%2 == 0 {
-			o = Open{Endpoint: HashEndpoint(e.Life), Count: 1, Streams: streams(250*time.Millisecond, 1)}
+			o = EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, Streams: streams(250*time.Millisecond, 1)}
 		}
 		open = append(open, o)
 	}
-	p.ledger.TellPeer(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
 	plan := p.Place(testNow, prompt(380_000), list) // parts of 0.83 s
-	is.True(!plan.Crowded)
-	is.Equal(plan.Harmed, 0)
+	is.True(!plan.Overloaded)
+	is.Equal(plan.Delayed, 0)
 }
 
 // Guards against holding a prompt back until it can only be late.
 func TestAPromptIsHeldBackOnlyWhileItCanBeInTime(t *testing.T) {
 	is := is.New(t)
-	e := Expectation{Wait: time.Second, Prefill: 2 * time.Second}
+	e := FirstTokenEstimate{Wait: time.Second, Prefill: 2 * time.Second}
 	is.True(e.LatestStart(4*time.Second) < 2*time.Second)
 	is.True(e.LatestStart(4*time.Second) > 0)
 	is.Equal(e.LatestStart(time.Second), time.Duration(0))
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -7,9 +7,9 @@
 	"aspenyard.example/admission"
 )
 
-// Dispatches counts what this entry has recently sent to each endpoint, to
+// RecentDispatches counts what this entry has recently sent to each endpoint, to
 // correct reports that were made before it.
-type Dispatches struct {
+type RecentDispatches struct {
 	mu   sync.Mutex
 	keep time.Duration
 	sent map[string][]dispatch
@@ -21,14 +21,14 @@
 	prompt, memory int
 }
 
-// NewDispatches remembers dispatches for the duration keep, which should exceed
+// NewRecentDispatches remembers dispatches for the duration keep, which should exceed
 // the reports' lag.
-func NewDispatches(keep time.Duration) *Dispatches {
-	return &Dispatches{keep: keep, sent: map[string][]dispatch{}}
+func NewRecentDispatches(keep time.Duration) *RecentDispatches {
+	return &RecentDispatches{keep: keep, sent: map[string][]dispatch{}}
 }
 
-// Note remembers a dispatch.
-func (d *Dispatches) Note(now time.Time, r *Request, endpoint string) {
+// Record remembers a dispatch.
+func (d *RecentDispatches) Record(now time.Time, r *Request, endpoint string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := d.sent[endpoint]
@@ -41,8 +41,8 @@
 	})
 }
 
-// Since sums the prefill sent to an endpoint after a report arrived, by level.
-func (d *Dispatches) Since(endpoint string, reported time.Time) *admission.Backlog {
+// BacklogSince sums the prefill sent to an endpoint after a report arrived, by level.
+func (d *RecentDispatches) BacklogSince(endpoint string, reported time.Time) *admission.Backlog {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var backlog admission.Backlog
@@ -56,7 +56,7 @@
 
 // CountSince counts the requests sent after a report arrived, and their memory
 // in tokens.
-func (d *Dispatches) CountSince(endpoint string, reported time.Time) (count, memory int) {
+func (d *RecentDispatches) CountSince(endpoint string, reported time.Time) (count, memory int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, sent := range d.sent[endpoint] {
--- a/routing/filter_memory.go
+++ b/routing/filter_memory.go
@@ -2,12 +2,12 @@
 
 import "aspenyard.example/admission"
 
-// Memory drops endpoints whose whole memory could not hold the request, so that
+// FitsMemory drops endpoints whose whole memory could not hold the request, so that
 // no caller waits in a queue for a place that can never be.
-type Memory struct{}
+type FitsMemory struct{}
 
 // Keep implements Filter.
-func (Memory) Keep(r *Request, e *Endpoint) bool {
+func (FitsMemory) Keep(r *Request, e *Endpoint) bool {
 	if e.MemoryTokens == 0 {
 		return true
 	}
--- a/routing/filter_serves.go
+++ b/routing/filter_serves.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Serves keeps live endpoints that have the model or service, and drops those
+// CanServe keeps live endpoints that have the model or service, and drops those
 // that are suspect, leaving, or have failed this request before.
-type Serves struct{}
+type CanServe struct{}
 
 // Keep implements Filter.
-func (Serves) Keep(r *Request, e *Endpoint) bool {
+func (CanServe) Keep(r *Request, e *Endpoint) bool {
 	if e.Suspect || e.Leaving || r.Tried[e.Name] {
 		return false
 	}
--- a/routing/filter_test.go
+++ b/routing/filter_test.go
@@ -25,7 +25,7 @@
 			is := is.New(t)
 			r, e := request(1000), endpoint("a")
 			c.change(r, &e)
-			is.Equal(Serves{}.Keep(r, &e), c.want)
+			is.Equal(CanServe{}.Keep(r, &e), c.want)
 		})
 	}
 }
@@ -33,8 +33,8 @@
 func TestMemory(t *testing.T) {
 	is := is.New(t)
 	e := endpoint("a")
-	is.True(Memory{}.Keep(request(320_000), &e))
-	is.True(!Memory{}.Keep(request(320_001), &e)) // a fifth is kept for short prompts
+	is.True(FitsMemory{}.Keep(request(320_000), &e))
+	is.True(!FitsMemory{}.Keep(request(320_001), &e)) // a fifth is kept for short prompts
 	e.MemoryTokens = 0
-	is.True(Memory{}.Keep(request(1), &e)) // a plain service has no such memory
+	is.True(FitsMemory{}.Keep(request(1), &e)) // a plain service has no such memory
 }
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -16,9 +16,9 @@
 	for key := range uint64(300) {
 		r := request(1000)
 		r.Key = key
-		home := Home(r, one).Name
+		home := HomeEndpoint(r, one).Name
 		r.Tried[home] = true
-		is.Equal(Home(r, other).Name, home)
+		is.Equal(HomeEndpoint(r, other).Name, home)
 		seen[home]++
 	}
 	for _, e := range one {
@@ -33,7 +33,7 @@
 	for key := range uint64(20) {
 		r := request(1000)
 		r.Key = key
-		is.Equal(Home(r, endpoints).Name, "b")
+		is.Equal(HomeEndpoint(r, endpoints).Name, "b")
 	}
-	is.True(Home(request(400_000), endpoints) == nil) // no endpoint holds it alone
+	is.True(HomeEndpoint(request(400_000), endpoints) == nil) // no endpoint holds it alone
 }
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// Lowest picks the lowest cost; among those within Slack seconds of it, one at
+// LowestCost picks the lowest cost; among those within Slack seconds of it, one at
 // random, so that many entries with the same view do not all pick the same.
-type Lowest struct {
+type LowestCost struct {
 	Slack float64
 	Rand  Rand
 }
 
 // Pick implements Picker.
-func (p Lowest) Pick(_ *Request, scored []Scored) *Endpoint {
+func (p LowestCost) Pick(_ *Request, scored []Scored) *Endpoint {
 	lowest := scored[0].Cost
 	for _, s := range scored[1:] {
 		lowest = min(lowest, s.Cost)
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -42,14 +42,14 @@
 
 // New makes a policy by name. outstanding is needed by least-outstanding only.
 func New(name string, random Rand, outstanding Outstanding) (*Policy, error) {
-	basic := []Filter{Serves{}, Memory{}}
+	basic := []Filter{CanServe{}, FitsMemory{}}
 	switch name {
 	case PolicyRandom:
 		return &Policy{Name: name, Filters: basic, Picker: Random{random}}, nil
 	case PolicyRoundRobin:
 		return &Policy{Name: name, Filters: basic, Picker: &RoundRobin{}}, nil
 	case PolicyLeastOutstanding:
-		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{InFlight{outstanding}}, Picker: Lowest{Rand: random}}, nil
+		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{InFlight{outstanding}}, Picker: LowestCost{Rand: random}}, nil
 	case PolicyTwoChoices:
 		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{ReportedLoad{}}, Picker: TwoChoices{random}}, nil
 	case PolicyAspenyard:
@@ -59,19 +59,19 @@
 }
 
 func aspenyard(random Rand) *Policy {
-	sent := NewDispatches(dispatchMemory)
+	sent := NewRecentDispatches(dispatchMemory)
 	prefixes := NewPrefixIndex(prefixMemory)
 	return &Policy{
 		Name:       PolicyAspenyard,
-		Filters:    []Filter{Serves{}, Memory{}},
+		Filters:    []Filter{CanServe{}, FitsMemory{}},
 		Sample:     Sample{Count: sampleCount, MaxTokens: sampleMaxTokens, Rand: random},
-		Scorers:    []Scorer{QueueDelay{sent}, Crowding{sent}, Interference{sent, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreTrip}},
-		Picker:     Lowest{Slack: pickSlack, Rand: random},
+		Scorers:    []Scorer{QueueDelay{sent}, CapacityWait{sent}, Interference{sent, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreTrip}},
+		Picker:     LowestCost{Slack: pickSlack, Rand: random},
 		Priorities: true,
 		Admission:  true,
-		Note: func(now time.Time, r *Request, e *Endpoint) {
-			sent.Note(now, r, e.Name)
-			prefixes.Note(r, e.Name)
+		OnPick: func(now time.Time, r *Request, e *Endpoint) {
+			sent.Record(now, r, e.Name)
+			prefixes.Record(r, e.Name)
 		},
 	}
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -91,8 +91,8 @@
 	Sample  Sample
 	Scorers []Scorer
 	Picker  Picker
-	// Note, when set, is told of every choice.
-	Note func(now time.Time, r *Request, e *Endpoint)
+	// OnPick, when set, is told of every choice.
+	OnPick func(now time.Time, r *Request, e *Endpoint)
 	// Priorities is set when the policy uses the engines' priorities.
 	Priorities bool
 	// Admission is set when the policy uses the agents' queue and refusals.
@@ -116,8 +116,8 @@
 		scored = append(scored, Scored{Endpoint: e, Cost: p.cost(r, e)})
 	}
 	picked := p.Picker.Pick(r, scored)
-	if p.Note != nil {
-		p.Note(now, r, picked)
+	if p.OnPick != nil {
+		p.OnPick(now, r, picked)
 	}
 	return picked
 }
--- a/routing/scorer_interference.go
+++ b/routing/scorer_interference.go
@@ -7,7 +7,7 @@
 // engines and starve whatever long prompt is being prefilled there, although
 // engines without one are as quick for them.
 type Interference struct {
-	Sent *Dispatches
+	Sent *RecentDispatches
 	// Weight is the cost of a second's delay to the work behind, in seconds of the
 	// request's own delay.
 	Weight float64
@@ -17,7 +17,7 @@
 func (s Interference) Cost(r *Request, e *Endpoint) float64 {
 	behind := e.Backlog.Total() - e.Backlog.Before(r.Level())
 	if s.Sent != nil {
-		sent := s.Sent.Since(e.Name, e.Reported)
+		sent := s.Sent.BacklogSince(e.Name, e.Reported)
 		behind += sent.Total() - sent.Before(r.Level())
 	}
 	if behind < admission.MediumTokens {
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -51,8 +51,8 @@
 	return &PrefixIndex{size: size, entries: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Note remembers that the prompt went to an endpoint.
-func (x *PrefixIndex) Note(r *Request, endpoint string) {
+// Record remembers that the prompt went to an endpoint.
+func (x *PrefixIndex) Record(r *Request, endpoint string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, hash := range r.Prefix {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Cached estimates how many tokens of the prompt an endpoint has cached.
-func (x *PrefixIndex) Cached(r *Request, endpoint string) int {
+// CachedTokens estimates how many tokens of the prompt an endpoint has cached.
+func (x *PrefixIndex) CachedTokens(r *Request, endpoint string) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for i := len(r.Prefix) - 1; i >= 0; i-- {
@@ -109,5 +109,5 @@
 	if len(r.Prefix) == 0 {
 		return 0
 	}
-	return -float64(s.Index.Cached(r, e.Name)) / rate(e)
+	return -float64(s.Index.CachedTokens(r, e.Name)) / rate(e)
 }
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -9,7 +9,7 @@
 // reports goes to the endpoint that was idle at the first, which by then is the
 // busiest.
 type QueueDelay struct {
-	Sent *Dispatches
+	Sent *RecentDispatches
 }
 
 // unknownRate stands for an endpoint that has not told its prefill rate.
@@ -19,7 +19,7 @@
 func (s QueueDelay) Cost(r *Request, e *Endpoint) float64 {
 	tokens := e.Backlog.Before(r.Level())
 	if s.Sent != nil {
-		tokens += s.Sent.Since(e.Name, e.Reported).Before(r.Level())
+		tokens += s.Sent.BacklogSince(e.Name, e.Reported).Before(r.Level())
 	}
 	return float64(tokens) / rate(e)
 }
@@ -31,16 +31,16 @@
 	return float64(e.PrefillRate)
 }
 
-// Crowding is the expected wait for a place in the batch and for memory.
-type Crowding struct {
-	Sent *Dispatches
+// CapacityWait is the expected wait for a place in the batch and for memory.
+type CapacityWait struct {
+	Sent *RecentDispatches
 }
 
 // slotTurnover is how long a full batch takes to free a place, in seconds.
 const slotTurnover = 0.25
 
 // Cost implements Scorer.
-func (s Crowding) Cost(r *Request, e *Endpoint) float64 {
+func (s CapacityWait) Cost(r *Request, e *Endpoint) float64 {
 	running := e.Running + e.Queued
 	memory := e.FreeMemory
 	if s.Sent != nil {
--- a/routing/scorer_test.go
+++ b/routing/scorer_test.go
@@ -31,11 +31,11 @@
 func TestCrowding(t *testing.T) {
 	is := is.New(t)
 	e := endpoint("a")
-	is.Equal(Crowding{}.Cost(request(1000), &e), 0.0)
+	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.0)
 	e.Running = 33
-	is.Equal(Crowding{}.Cost(request(1000), &e), 0.5) // two over a batch of 32
+	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.5) // two over a batch of 32
 	e.Running, e.FreeMemory = 0, 80_000
-	is.Equal(Crowding{}.Cost(request(100_000), &e), 1.0) // 20,000 tokens short
+	is.Equal(CapacityWait{}.Cost(request(100_000), &e), 1.0) // 20,000 tokens short
 }
 
 func TestDistance(t *testing.T) {
@@ -52,10 +52,10 @@
 	one := &Request{Prefix: PrefixHashes(shared+strings.Repeat("one ", 2048), 4)}
 	two := &Request{Prefix: PrefixHashes(shared+strings.Repeat("two ", 2048), 4)}
 	index := NewPrefixIndex(100)
-	index.Note(one, "a")
-	is.Equal(index.Cached(two, "a"), 2048)
-	is.Equal(index.Cached(two, "b"), 0)
-	is.Equal(index.Cached(one, "a"), 4096)
+	index.Record(one, "a")
+	is.Equal(index.CachedTokens(two, "a"), 2048)
+	is.Equal(index.CachedTokens(two, "b"), 0)
+	is.Equal(index.CachedTokens(one, "a"), 4096)
 	is.True(PrefixAffinity{index}.Cost(two, &Endpoint{Name: "a", PrefillRate: 2048}) == -1) // a second saved
 }
 
@@ -63,21 +63,21 @@
 	is := is.New(t)
 	index := NewPrefixIndex(3)
 	for hash := range uint64(10) {
-		index.Note(&Request{Prefix: []uint64{hash}}, "a")
+		index.Record(&Request{Prefix: []uint64{hash}}, "a")
 	}
-	is.Equal(index.Cached(&Request{Prefix: []uint64{0}}, "a"), 0)
-	is.Equal(index.Cached(&Request{Prefix: []uint64{9}}, "a"), 1024)
+	is.Equal(index.CachedTokens(&Request{Prefix: []uint64{0}}, "a"), 0)
+	is.Equal(index.CachedTokens(&Request{Prefix: []uint64{9}}, "a"), 1024)
 }
 
 func TestDispatchesAreCountedSinceTheReport(t *testing.T) {
 	is := is.New(t)
-	d := NewDispatches(10 * time.Second)
-	d.Note(testNow, request(1000), "a")
-	d.Note(testNow.Add(2*time.Second), request(3000), "a")
-	is.Equal(d.Since("a", testNow.Add(time.Second)).Total(), 3000)
+	d := NewRecentDispatches(10 * time.Second)
+	d.Record(testNow, request(1000), "a")
+	d.Record(testNow.Add(2*time.Second), request(3000), "a")
+	is.Equal(d.BacklogSince("a", testNow.Add(time.Second)).Total(), 3000)
 	count, memory := d.CountSince("a", testNow.Add(-time.Second))
 	is.Equal(count, 2)
 	is.Equal(memory, 4000)
-	d.Note(testNow.Add(time.Minute), request(1), "a") // forgets what is old
-	is.Equal(d.Since("a", testNow.Add(-time.Second)).Total(), 1)
+	d.Record(testNow.Add(time.Minute), request(1), "a") // forgets what is old
+	is.Equal(d.BacklogSince("a", testNow.Add(-time.Second)).Total(), 1)
 }
