--- a/admission/budget.go
+++ b/admission/budget.go
@@ -11,26 +11,26 @@
 	budgetStore  = 10 * retryCosts
 )
 
-// Budget bounds the retries of one class of work. Safe for concurrent use.
-type Budget struct {
+// RetryBudget bounds the retries of one class of work. Safe for concurrent use.
+type RetryBudget struct {
 	mu    sync.Mutex
 	level int
 	// Spent and Denied count retries made and refused.
 	spent, denied uint64
 }
 
-// NewBudget makes a full budget.
-func NewBudget() *Budget { return &Budget{level: budgetStore} }
+// NewRetryBudget makes a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{level: budgetStore} }
 
-// Success earns a part of a retry.
-func (b *Budget) Success() {
+// RecordSuccess earns a part of a retry.
+func (b *RetryBudget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.level = min(budgetStore, b.level+successEarns)
 }
 
 // Take spends one retry and tells whether there was one.
-func (b *Budget) Take() bool {
+func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.level < retryCosts {
@@ -43,7 +43,7 @@
 }
 
 // Counts tells how many retries were made and refused.
-func (b *Budget) Counts() (spent, denied uint64) {
+func (b *RetryBudget) Counts() (spent, denied uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spent, b.denied
--- a/admission/deferral.go
+++ b/admission/deferral.go
@@ -60,7 +60,7 @@
 // open is the part of the longest wait that is open to a job: all of it for one
 // that comes back when it was told to, or later.
 func (d *deferrals) open(now time.Time, job *Job) float64 {
-	if own, found := d.byKey[job.Key]; found && !now.Before(own.at) {
+	if own, found := d.byKey[job.DeferralKey]; found && !now.Before(own.at) {
 		return 1
 	}
 	return newShare
@@ -70,24 +70,24 @@
 // wait: a job that comes too early is told its old time again. False when it gets
 // no deferral.
 func (d *deferrals) add(now time.Time, job *Job, wait time.Duration) (time.Duration, bool) {
-	if job.Key == 0 {
+	if job.DeferralKey == 0 {
 		return wait, false
 	}
-	if own, found := d.byKey[job.Key]; found && now.Before(own.at) {
+	if own, found := d.byKey[job.DeferralKey]; found && now.Before(own.at) {
 		return own.at.Sub(now), true
 	}
-	d.remove(job.Key)
+	d.remove(job.DeferralKey)
 	if len(d.byKey) >= maxDeferrals || d.byAccount[job.Account] >= maxAccountDeferrals {
 		return wait, false
 	}
-	d.byKey[job.Key] = deferral{account: job.Account, at: now.Add(wait), level: job.level(), tokens: job.PromptTokens}
+	d.byKey[job.DeferralKey] = deferral{account: job.Account, at: now.Add(wait), level: job.level(), tokens: job.PromptTokens}
 	d.byAccount[job.Account]++
 	return wait, true
 }
 
 // accept ends the deferral of a job that was accepted.
 func (d *deferrals) accept(job *Job) {
-	if d.remove(job.Key) {
+	if d.remove(job.DeferralKey) {
 		d.count(1)
 	}
 }
@@ -114,7 +114,7 @@
 // level and of more urgent ones, of a job with a deferral only those before
 // its own. Those whose job did not come back are forgotten.
 func (d *deferrals) ahead(now time.Time, job *Job) int {
-	own, holds := d.byKey[job.Key]
+	own, holds := d.byKey[job.DeferralKey]
 	sum := 0
 	for key, other := range d.byKey {
 		if now.Sub(other.at) > deferralGrace {
@@ -122,7 +122,7 @@
 			d.count(0)
 			continue
 		}
-		if key == job.Key || other.level > job.level() || holds && !other.at.Before(own.at) {
+		if key == job.DeferralKey || other.level > job.level() || holds && !other.at.Before(own.at) {
 			continue
 		}
 		sum += other.tokens
--- a/admission/deferral_test.go
+++ b/admission/deferral_test.go
@@ -20,7 +20,7 @@
 }
 
 func asking(key uint64) Job {
-	return Job{ID: key, Key: key, Account: "a", Class: Normal, PromptTokens: 1000}
+	return Job{ID: key, DeferralKey: key, Account: "a", Class: Normal, PromptTokens: 1000}
 }
 
 // Symptom: a caller that obeys Retry-After is refused again and again. Sequence:
@@ -31,7 +31,7 @@
 	q := fullQueue(25 * time.Second)
 	first := q.Offer(testStart, withDeadline(asking(1)))
 	is.Equal(first.Code, result.Overloaded)
-	is.True(first.Deferral)
+	is.True(first.Deferred)
 	at := testStart.Add(first.RetryAfter)
 	newer := withDeadline(asking(2))
 	is.Equal(q.Offer(at, newer).Code, result.Overloaded)
@@ -49,7 +49,7 @@
 	q := fullQueue(25 * time.Second)
 	verdict := q.Offer(testStart, withDeadline(asking(0)))
 	is.True(verdict.RetryAfter > 0)
-	is.True(!verdict.Deferral)
+	is.True(!verdict.Deferred)
 	is.Equal(len(q.deferred.byKey), 0)
 }
 
@@ -58,9 +58,9 @@
 func TestWorkThatIsTooLongForItsDeadlineIsNotDeferred(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
-	verdict := q.Offer(testStart, Job{ID: 1, Key: 1, Account: "a", PromptTokens: 1000, OutputTokens: 2000, Deadline: testStart.Add(time.Second)})
+	verdict := q.Offer(testStart, Job{ID: 1, DeferralKey: 1, Account: "a", PromptTokens: 1000, OutputTokens: 2000, Deadline: testStart.Add(time.Second)})
 	is.Equal(verdict.Code, result.DeadlineUnmeetable)
-	is.True(!verdict.Deferral)
+	is.True(!verdict.Deferred)
 	is.Equal(len(q.deferred.byKey), 0)
 }
 
--- a/admission/inflow.go
+++ b/admission/inflow.go
@@ -12,7 +12,7 @@
 // inflow averages the prefill tokens a second that arrive, by level, with
 // exponentially falling weight.
 type inflow struct {
-	rates [Levels]float64
+	rates [LevelCount]float64
 	at    time.Time
 }
 
--- a/admission/lending.go
+++ b/admission/lending.go
@@ -12,8 +12,8 @@
 // borrower's. A new home lends nothing for as long as a lease of the old one may
 // last. Without a home, an entry is left with its own part.
 const (
-	// OwnPart of the limits is shared equally among the entries.
-	OwnPart = 0.2
+	// StaticShare of the limits is shared equally among the entries.
+	StaticShare = 0.2
 	// LendingLease is how long a loan lasts. Longer survives more lost answers;
 	// shorter follows moving traffic sooner.
 	LendingLease = 2 * time.Second
@@ -44,9 +44,9 @@
 	return &Lender{started: now, accounts: map[string]map[string]*loan{}}
 }
 
-// Borrow lends an entry a share of an account, 0 to 1-OwnPart, for LendingLease.
+// Lend lends an entry a share of an account, 0 to 1-OwnPart, for LendingLease.
 // demand is the requests a second that arrive there.
-func (l *Lender) Borrow(now time.Time, account, entry string, demand float64) float64 {
+func (l *Lender) Lend(now time.Time, account, entry string, demand float64) float64 {
 	if now.Sub(l.started) < LendingLease {
 		return 0
 	}
@@ -62,7 +62,7 @@
 		loans[entry] = own
 	}
 	own.demand += demandWeight * (demand - own.demand)
-	free, total := 1-OwnPart, 0.0
+	free, total := 1-StaticShare, 0.0
 	for name, other := range loans {
 		total += other.demand
 		if name != entry {
@@ -71,7 +71,7 @@
 	}
 	target := 0.0
 	if total > 0 {
-		target = (1 - OwnPart) * own.demand / total
+		target = (1 - StaticShare) * own.demand / total
 	}
 	own.grant(now, max(0, min(target, free)))
 	return own.share
@@ -108,8 +108,8 @@
 	}
 }
 
-// Shares is the borrower's side. It belongs to one thread.
-type Shares struct {
+// Borrower is the borrower's side. It belongs to one thread.
+type Borrower struct {
 	lent map[string]lentShare
 }
 
@@ -118,18 +118,18 @@
 	expires time.Time
 }
 
-// NewShares makes a borrower without loans.
-func NewShares() *Shares { return &Shares{lent: map[string]lentShare{}} }
+// NewBorrower makes a borrower without loans.
+func NewBorrower() *Borrower { return &Borrower{lent: map[string]lentShare{}} }
 
-// Lent takes in a loan. asked is when it was asked for: the lease is reckoned from
+// SetLoan takes in a loan. asked is when it was asked for: the lease is reckoned from
 // there, so that it ends here before it ends at the home.
-func (s *Shares) Lent(asked time.Time, account string, share float64) {
+func (s *Borrower) SetLoan(asked time.Time, account string, share float64) {
 	s.lent[account] = lentShare{share: share, expires: asked.Add(LendingLease)}
 }
 
-// Of is this entry's part of an account's limits with this many entries.
-func (s *Shares) Of(now time.Time, account string, entries int) float64 {
-	own := OwnPart / float64(max(1, entries))
+// Share is this entry's part of an account's limits with this many entries.
+func (s *Borrower) Share(now time.Time, account string, entries int) float64 {
+	own := StaticShare / float64(max(1, entries))
 	lent, found := s.lent[account]
 	if !found {
 		return own
--- a/admission/lending_test.go
+++ b/admission/lending_test.go
@@ -13,15 +13,15 @@
 	is := is.New(t)
 	lender := NewLender(testStart)
 	now := testStart.Add(LendingLease)
-	lendable := 1 - OwnPart
-	is.Equal(lender.Borrow(testStart, "a", "n1", 10), 0.0)  // a new home waits
-	is.Equal(lender.Borrow(now, "a", "n1", 10), lendable)   // all the traffic is there
-	is.Equal(lender.Borrow(now, "a", "n2", 10), 0.0)        // it is lent to n1 for now
-	is.Equal(lender.Borrow(now, "a", "n1", 10), lendable/2) // lowered, still counted whole
-	is.Equal(lender.Borrow(now, "a", "n2", 10), 0.0)
+	lendable := 1 - StaticShare
+	is.Equal(lender.Lend(testStart, "a", "n1", 10), 0.0)  // a new home waits
+	is.Equal(lender.Lend(now, "a", "n1", 10), lendable)   // all the traffic is there
+	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)        // it is lent to n1 for now
+	is.Equal(lender.Lend(now, "a", "n1", 10), lendable/2) // lowered, still counted whole
+	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)
 	later := now.Add(LendingLease + time.Millisecond)
-	lender.Borrow(now.Add(LendingLease/2), "a", "n1", 10)
-	is.Equal(lender.Borrow(later, "a", "n2", 10), lendable/2)
+	lender.Lend(now.Add(LendingLease/2), "a", "n1", 10)
+	is.Equal(lender.Lend(later, "a", "n2", 10), lendable/2)
 }
 
 // lentCopy is what a borrower holds.
@@ -44,7 +44,7 @@
 			"borrow": func(t *rapid.T) {
 				name, asked := entry(t), now
 				pass(rapid.IntRange(0, 800).Draw(t, "delay there"))
-				share := lender.Borrow(now, "a", name, float64(rapid.IntRange(0, 100).Draw(t, "demand")))
+				share := lender.Lend(now, "a", name, float64(rapid.IntRange(0, 100).Draw(t, "demand")))
 				pass(rapid.IntRange(0, 800).Draw(t, "delay back"))
 				if !rapid.Bool().Draw(t, "answer lost") {
 					held[name] = lentCopy{share, asked.Add(LendingLease)}
@@ -64,7 +64,7 @@
 						sum += copy.share
 					}
 				}
-				if sum > 1-OwnPart+1e-9 {
+				if sum > 1-StaticShare+1e-9 {
 					t.Fatalf("%.3f is lent", sum)
 				}
 			},
--- a/admission/level.go
+++ b/admission/level.go
@@ -22,8 +22,8 @@
 	bandCount    = 4
 )
 
-// Levels is how many levels there are.
-const Levels = classCount * bandCount
+// LevelCount is how many levels there are.
+const LevelCount = classCount * bandCount
 
 // Level is an order of service: all work of a lower level goes first at the
 // engine. It depends on nothing but class and length, so that an entry can tell
@@ -63,10 +63,10 @@
 }
 
 // Backlog is prefill not yet done, in tokens, by level.
-type Backlog [Levels]int
+type Backlog [LevelCount]int
 
-// Before sums the backlog that goes before new work of a level.
-func (b *Backlog) Before(level Level) int {
+// UpTo sums the backlog that goes before new work of a level.
+func (b *Backlog) UpTo(level Level) int {
 	sum := 0
 	for l := Level(0); l <= level; l++ {
 		sum += b[l]
@@ -76,14 +76,14 @@
 
 // Total sums the whole backlog.
 func (b *Backlog) Total() int {
-	return b.Before(Levels - 1)
+	return b.UpTo(LevelCount - 1)
 }
 
 // BytesPerToken is how entries and agents estimate the tokens of a text. They have
 // no tokenizer: a wrong estimate costs a refusal or a wait, never an answer.
 const BytesPerToken = 4
 
-// CountTokens estimates the tokens of a text, rounded up.
-func CountTokens(text string) int {
+// EstimateTokens estimates the tokens of a text, rounded up.
+func EstimateTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Demand gives the requests that each account sent since the last call, and
+// TakeDemand gives the requests that each account sent since the last call, and
 // forgets accounts that have been idle for longer than idle.
-func (l *Limiter) Demand(now time.Time, idle time.Duration) map[string]float64 {
+func (l *Limiter) TakeDemand(now time.Time, idle time.Duration) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	demand := make(map[string]float64, len(l.accounts))
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -46,7 +46,7 @@
 
 func TestBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
-	b := NewBudget()
+	b := NewRetryBudget()
 	retries := 0
 	for range 1000 {
 		if b.Take() {
@@ -55,7 +55,7 @@
 	}
 	is.Equal(retries, 10) // nothing succeeds: the store only
 	for range 100 {
-		b.Success()
+		b.RecordSuccess()
 	}
 	for range 1000 {
 		if b.Take() {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -21,22 +21,22 @@
 	// MaxLongRunning bounds the prompts over LongTokens that run at once; default
 	// 2. More keeps memory from short prompts; fewer makes long ones queue.
 	MaxLongRunning int
-	// MaxFilling bounds the jobs that are started and not yet prefilled; default 4.
+	// MaxPrefilling bounds the jobs that are started and not yet prefilled; default 4.
 	// More lets the engine's own order decide and takes batch places and memory
 	// from short prompts; fewer may leave the engine without prefill to do. A job
 	// that would go first at the engine is not bounded.
-	MaxFilling int
-	// Patience is how long work of each class may wait before it goes ahead of
+	MaxPrefilling int
+	// AgingDelay is how long work of each class may wait before it goes ahead of
 	// newer work of more urgent classes; defaults 0s, 1s, 10s.
-	Patience [classCount]time.Duration
+	AgingDelay [classCount]time.Duration
 	// MaxWait refuses work whose estimated wait exceeds it, by class; defaults
 	// 10s, 15s, 30s. Shorter refuses earlier and keeps the admitted work faster:
 	// at 10s, 30s, 5m a lasting overload of 1.3 kept long prompts waiting four times
 	// as long, and a tenth more of the bulk work was done at its first asking.
 	MaxWait [classCount]time.Duration
-	// ShortReserve is the share of memory that long prompts may not take;
+	// ShortPromptReserve is the share of memory that long prompts may not take;
 	// default 0.2.
-	ShortReserve float64
+	ShortPromptReserve float64
 }
 
 // WithDefaults fills the fields left at zero.
@@ -50,17 +50,17 @@
 	if c.MaxLongRunning == 0 {
 		c.MaxLongRunning = 2
 	}
-	if c.MaxFilling == 0 {
-		c.MaxFilling = 4
+	if c.MaxPrefilling == 0 {
+		c.MaxPrefilling = 4
 	}
-	if c.Patience == [classCount]time.Duration{} {
-		c.Patience = [classCount]time.Duration{0, time.Second, 10 * time.Second}
+	if c.AgingDelay == [classCount]time.Duration{} {
+		c.AgingDelay = [classCount]time.Duration{0, time.Second, 10 * time.Second}
 	}
 	if c.MaxWait == [classCount]time.Duration{} {
 		c.MaxWait = [classCount]time.Duration{10 * time.Second, 15 * time.Second, 30 * time.Second}
 	}
-	if c.ShortReserve == 0 {
-		c.ShortReserve = 0.2
+	if c.ShortPromptReserve == 0 {
+		c.ShortPromptReserve = 0.2
 	}
 	return c
 }
@@ -68,18 +68,18 @@
 // MaxPromptTokens is the largest prompt with its output that one endpoint takes
 // alone, in tokens: its memory less the short prompts' reserve.
 func (c Config) MaxPromptTokens() int {
-	return int(float64(c.MemoryTokens) * (1 - c.ShortReserve))
+	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
 // Job is work that asks to start.
 type Job struct {
 	// ID is the reservation's number.
 	ID uint64
-	// Key is the same whenever this request comes back to this endpoint; 0: a
+	// DeferralKey is the same whenever this request comes back to this endpoint; 0: a
 	// refusal makes no deferral, and none is known.
-	Key     uint64
-	Account string
-	Class   Class
+	DeferralKey uint64
+	Account     string
+	Class       Class
 	// PromptTokens and OutputTokens size the job; both are held as memory.
 	PromptTokens, OutputTokens int
 	Deadline                   time.Time
@@ -95,17 +95,17 @@
 func (j *Job) long() bool   { return Band(j.PromptTokens) == bandCount-1 }
 func (j *Job) level() Level { return LevelOf(j.Class, j.PromptTokens) }
 
-// Verdict answers an offer.
-type Verdict struct {
+// Decision answers an offer.
+type Decision struct {
 	Accepted bool
 	// Wait is the estimated time until the work starts.
 	Wait time.Duration
 	// Code and RetryAfter are set when Accepted is false.
 	Code       result.Code
 	RetryAfter time.Duration
-	// Deferral is set when the job will go before later ones if it comes back
+	// Deferred is set when the job will go before later ones if it comes back
 	// here after RetryAfter.
-	Deferral bool
+	Deferred bool
 }
 
 // Queue orders one endpoint's work. Not safe for concurrent use: it belongs to
@@ -156,7 +156,7 @@
 
 // Offer accepts a job into the queue or refuses it with a code and with when
 // to come back. An accepted job waits for Arm.
-func (q *Queue) Offer(now time.Time, job Job) Verdict {
+func (q *Queue) Offer(now time.Time, job Job) Decision {
 	if refusal := q.judge(now, &job); refusal != nil {
 		return *refusal
 	}
@@ -168,20 +168,20 @@
 	q.insert(stored)
 	q.backlog[job.level()] += job.PromptTokens
 	q.inflow.add(now, job.level(), job.PromptTokens)
-	return Verdict{Accepted: true, Wait: q.wait(now, job.level(), 0)}
+	return Decision{Accepted: true, Wait: q.wait(now, job.level(), 0)}
 }
 
 // judge refuses a job that may not wait or would end too late; nil accepts it. One
 // that would be too late at an idle endpoint is not deferred: waiting does not help.
-func (q *Queue) judge(now time.Time, job *Job) *Verdict {
+func (q *Queue) judge(now time.Time, job *Job) *Decision {
 	if q.closed {
-		return &Verdict{Code: result.Leaving, RetryAfter: minRetryAfter}
+		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
 	}
 	if q.config.MemoryTokens > 0 && job.memory() > q.config.MaxPromptTokens() {
-		return &Verdict{Code: result.PromptTooLong}
+		return &Decision{Code: result.PromptTooLong}
 	}
 	if q.slots == 0 && q.running == 0 {
-		return &Verdict{Code: result.NoPower, RetryAfter: time.Second}
+		return &Decision{Code: result.NoPower, RetryAfter: time.Second}
 	}
 	wait := q.wait(now, job.level(), q.deferred.ahead(now, job))
 	open := q.deferred.open(now, job)
@@ -190,7 +190,7 @@
 	}
 	spare := job.Deadline.Sub(now) - q.duration(now, job)
 	if spare < 0 {
-		return &Verdict{Code: result.DeadlineUnmeetable, RetryAfter: max(minRetryAfter, wait)}
+		return &Decision{Code: result.DeadlineUnmeetable, RetryAfter: max(minRetryAfter, wait)}
 	}
 	if over := wait - part(open, spare); over > 0 {
 		return q.comeBack(now, job, result.DeadlineUnmeetable, over)
@@ -200,9 +200,9 @@
 
 // comeBack refuses a job whose wait is over what it may be, and says when it no
 // longer will be.
-func (q *Queue) comeBack(now time.Time, job *Job, code result.Code, over time.Duration) *Verdict {
+func (q *Queue) comeBack(now time.Time, job *Job, code result.Code, over time.Duration) *Decision {
 	after, held := q.deferred.add(now, job, max(minRetryAfter, part(retryMargin, over)))
-	return &Verdict{Code: code, RetryAfter: after, Deferral: held}
+	return &Decision{Code: code, RetryAfter: after, Deferred: held}
 }
 
 // wait estimates the time until new work of a level starts its prefill: the
@@ -213,7 +213,7 @@
 	if q.config.PrefillRate == 0 {
 		return 0
 	}
-	return seconds(float64(q.backlog.Before(level)+ahead) / q.rate(now, level))
+	return seconds(float64(q.backlog.UpTo(level)+ahead) / q.rate(now, level))
 }
 
 // duration estimates how long a job takes once it starts.
@@ -253,7 +253,7 @@
 		cost = seconds(float64(job.memory()) / float64(q.config.PrefillRate))
 	}
 	a.next = start.Add(cost * time.Duration(len(q.accounts)))
-	return start.Add(q.config.Patience[job.Class] + cost)
+	return start.Add(q.config.AgingDelay[job.Class] + cost)
 }
 
 func (q *Queue) insert(job *Job) {
@@ -263,19 +263,19 @@
 	q.waiting[at] = job
 }
 
-// Arm tells that a job's order has arrived, so that it may start.
-func (q *Queue) Arm(id uint64) {
+// MarkReady tells that a job's order has arrived, so that it may start.
+func (q *Queue) MarkReady(id uint64) {
 	if job := q.jobs[id]; job != nil {
 		job.armed = true
 	}
 }
 
-// Next takes the next job that may start now; false when none may. Jobs whose
+// StartNext takes the next job that may start now; false when none may. Jobs whose
 // order has not come are passed over. While the job whose turn it is does not
 // fit the free memory, only short and urgent prompts go past it: else a flow of
 // middling ones would take each piece of memory as it is freed, and the job never
 // fits.
-func (q *Queue) Next() (uint64, bool) {
+func (q *Queue) StartNext() (uint64, bool) {
 	if q.running >= q.slots {
 		return 0, false
 	}
@@ -319,7 +319,7 @@
 			filling++
 		}
 	}
-	return filling < q.config.MaxFilling
+	return filling < q.config.MaxPrefilling
 }
 
 func (q *Queue) fits(job *Job) bool {
@@ -332,8 +332,8 @@
 	return q.held+job.memory() <= q.config.MemoryTokens
 }
 
-// Prefilled tells that a running job's prefill is done.
-func (q *Queue) Prefilled(id uint64) {
+// MarkPrefilled tells that a running job's prefill is done.
+func (q *Queue) MarkPrefilled(id uint64) {
 	if job := q.jobs[id]; job != nil && !job.filled {
 		job.filled = true
 		delete(q.filling, id)
@@ -347,7 +347,7 @@
 	if job == nil {
 		return
 	}
-	q.Prefilled(id)
+	q.MarkPrefilled(id)
 	delete(q.jobs, id)
 	if job.running {
 		q.running--
@@ -383,22 +383,22 @@
 	return ids
 }
 
-// Report is a queue's load.
-type Report struct {
-	Running, Queued, FreeMemory int
-	Backlog                     Backlog
+// LoadReport is a queue's load.
+type LoadReport struct {
+	Running, Queued, FreeMemoryTokens int
+	Backlog                           Backlog
 }
 
 // Report tells the queue's load.
-func (q *Queue) Report() Report {
-	return Report{
+func (q *Queue) Report() LoadReport {
+	return LoadReport{
 		Running: q.running, Queued: len(q.waiting),
-		FreeMemory: q.config.MemoryTokens - q.held, Backlog: q.backlog,
+		FreeMemoryTokens: q.config.MemoryTokens - q.held, Backlog: q.backlog,
 	}
 }
 
-// Want is how many slots the present work could use.
-func (q *Queue) Want() int {
+// SlotDemand is how many slots the present work could use.
+func (q *Queue) SlotDemand() int {
 	return min(q.config.MaxRunning, q.running+len(q.waiting))
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -16,7 +16,7 @@
 	return NewQueue(Config{MaxRunning: 8, MemoryTokens: 400_000, PrefillRate: 20_000})
 }
 
-func offer(q *Queue, id uint64, job Job) Verdict {
+func offer(q *Queue, id uint64, job Job) Decision {
 	job.ID = id
 	if job.Deadline.IsZero() {
 		job.Deadline = testStart.Add(time.Hour)
@@ -27,7 +27,7 @@
 func startAll(q *Queue) []uint64 {
 	var started []uint64
 	for {
-		id, found := q.Next()
+		id, found := q.StartNext()
 		if !found {
 			return started
 		}
@@ -40,7 +40,7 @@
 	q := testQueue()
 	is.True(offer(q, 1, Job{Account: "a", PromptTokens: 1000}).Accepted)
 	is.Equal(len(startAll(q)), 0)
-	q.Arm(1)
+	q.MarkReady(1)
 	is.Equal(startAll(q), []uint64{1})
 }
 
@@ -52,8 +52,8 @@
 	offer(q, 1, Job{Account: "a", Class: Bulk, PromptTokens: 50_000})
 	offer(q, 2, Job{Account: "b", Class: Urgent, PromptTokens: 1000})
 	q.running = 0
-	q.Arm(1)
-	q.Arm(2)
+	q.MarkReady(1)
+	q.MarkReady(2)
 	q.SetSlots(1)
 	is.Equal(startAll(q), []uint64{2})
 }
@@ -67,8 +67,8 @@
 	is.True(q.Offer(testStart, bulk).Accepted)
 	later := testStart.Add(time.Minute)
 	is.True(q.Offer(later, Job{ID: 2, Account: "b", PromptTokens: 1000, Deadline: later.Add(time.Minute)}).Accepted)
-	q.Arm(1)
-	q.Arm(2)
+	q.MarkReady(1)
+	q.MarkReady(2)
 	is.Equal(startAll(q), []uint64{1, 2})
 }
 
@@ -129,13 +129,13 @@
 	q := testQueue()
 	for i := range uint64(3) {
 		offer(q, i+1, Job{Account: "a", Class: Bulk, PromptTokens: 150_000})
-		q.Arm(i + 1)
+		q.MarkReady(i + 1)
 	}
 	is.Equal(startAll(q), []uint64{1, 2}) // the third does not fit
 	offer(q, 10, Job{Account: "b", Class: Urgent, PromptTokens: 10_000})
 	offer(q, 11, Job{Account: "b", Class: Normal, PromptTokens: 10_000})
-	q.Arm(10)
-	q.Arm(11)
+	q.MarkReady(10)
+	q.MarkReady(11)
 	started := startAll(q)
 	is.True(len(started) > 0 && started[0] == 10)
 }
@@ -158,9 +158,9 @@
 					waiting[next] = tokens
 				}
 			},
-			"arm": func(t *rapid.T) { q.Arm(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
+			"arm": func(t *rapid.T) { q.MarkReady(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
 			"start": func(t *rapid.T) {
-				if id, found := q.Next(); found {
+				if id, found := q.StartNext(); found {
 					if _, known := waiting[id]; !known {
 						t.Fatalf("started %d, which does not wait", id)
 					}
@@ -171,7 +171,7 @@
 					}
 				}
 			},
-			"prefilled": func(t *rapid.T) { q.Prefilled(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
+			"prefilled": func(t *rapid.T) { q.MarkPrefilled(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
 			"remove": func(t *rapid.T) {
 				id := rapid.Uint64Range(0, next+1).Draw(t, "id")
 				q.Remove(id)
@@ -188,7 +188,7 @@
 					held += tokens
 				}
 				report := q.Report()
-				if held > 400_000 || report.FreeMemory != 400_000-held || report.Running != len(live) || report.Queued != len(waiting) {
+				if held > 400_000 || report.FreeMemoryTokens != 400_000-held || report.Running != len(live) || report.Queued != len(waiting) {
 					t.Fatalf("held %d, %d running, %d waiting; the queue says %+v", held, len(live), len(waiting), report)
 				}
 				if len(live)+len(waiting) == 0 && report.Backlog.Total() != 0 {
--- a/admission/retrywindow.go
+++ b/admission/retrywindow.go
@@ -138,8 +138,8 @@
 	return part
 }
 
-// Request counts a caller's request for a service.
-func (w *RetryWindow) Request(now time.Time, service string) {
+// RecordRequest counts a caller's request for a service.
+func (w *RetryWindow) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*w.service(service).requests.at(w.slot(now), 0)++
--- a/admission/retrywindow_test.go
+++ b/admission/retrywindow_test.go
@@ -25,7 +25,7 @@
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			w := windows[rapid.IntRange(0, entries-1).Draw(t, "entry")]
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(start.Add(now), "s")
+				w.RecordRequest(start.Add(now), "s")
 				requests = append(requests, now)
 				continue
 			}
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -80,7 +80,7 @@
 	go func() { failures <- a.loop.Run(ctx) }()
 	go func() { failures <- node.Serve(ctx, listener, a.handler()) }()
 	store := consul.NewClient(a.settings.Platform, a.settings.StoreTimeout.D())
-	go a.loop.FollowList(ctx, store, a.settings.ListInterval.D())
+	go a.loop.PollList(ctx, store, a.settings.ListInterval.D())
 	go a.probe(ctx)
 	go a.sweep(ctx)
 	a.log.Info("agent ready", zap.String("listen", a.settings.Listen), zap.Uint64("incarnation", a.incarnation))
--- a/agent/control.go
+++ b/agent/control.go
@@ -73,19 +73,19 @@
 }
 
 // reserve takes a job into the queue, or refuses it.
-func (c *control) reserve(now time.Time, request *wire.ReserveRequest) (attempt.Reservation, admission.Verdict) {
+func (c *control) reserve(now time.Time, request *wire.ReserveRequest) (attempt.Reservation, admission.Decision) {
 	if c.down {
-		return attempt.Reservation{}, admission.Verdict{Code: result.NoEndpoint, RetryAfter: time.Second}
+		return attempt.Reservation{}, admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
 	}
 	reservation := c.table.Reserve(now)
 	class := admission.Class(min(request.Class, uint32(admission.Bulk)))
 	verdict := c.queue.Offer(now, admission.Job{
-		ID: reservation.Number, Key: request.Key, Account: request.Account, Class: class,
+		ID: reservation.Number, DeferralKey: request.Key, Account: request.Account, Class: class,
 		PromptTokens: int(request.PromptTokens), OutputTokens: int(request.OutputTokens),
 		Deadline: now.Add(time.Duration(request.RemainingMs) * time.Millisecond),
 	})
 	if !verdict.Accepted {
-		c.table.Abandon(reservation)
+		c.table.Discard(reservation)
 		if verdict.Code == result.NoPower {
 			c.powerRefusals++
 		}
@@ -99,11 +99,11 @@
 
 // claim takes the order of a reservation in; nil when it may never start.
 func (c *control) claim(now time.Time, reservation attempt.Reservation) *order {
-	if !c.table.Claim(now, reservation) {
+	if !c.table.Accept(now, reservation) {
 		return nil
 	}
 	o := c.orders[reservation.Number]
-	c.queue.Arm(reservation.Number)
+	c.queue.MarkReady(reservation.Number)
 	c.pump()
 	return o
 }
@@ -112,7 +112,7 @@
 // each order that goes could let the next one start.
 func (c *control) pump() {
 	for !c.down && !c.leaving {
-		id, found := c.queue.Next()
+		id, found := c.queue.StartNext()
 		if !found {
 			return
 		}
@@ -127,7 +127,7 @@
 
 // prefilled notes that an order's prefill is done, which may let another start.
 func (c *control) prefilled(o *order) {
-	c.queue.Prefilled(o.reservation.Number)
+	c.queue.MarkPrefilled(o.reservation.Number)
 	c.pump()
 }
 
@@ -135,7 +135,7 @@
 func (c *control) close(o *order) {
 	delete(c.orders, o.reservation.Number)
 	c.queue.Remove(o.reservation.Number)
-	c.table.Abandon(o.reservation)
+	c.table.Discard(o.reservation)
 	c.pump()
 }
 
@@ -238,8 +238,8 @@
 	}
 }
 
-// Fill implements membership.Delegate.
-func (c *control) Fill(now time.Time, h *wire.Heartbeat) {
+// FillHeartbeat implements membership.Delegate.
+func (c *control) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
 	a := c.agent
 	h.Endpoint, h.EngineAddr, h.OperatorsAddr = a.settings.Name, a.settings.Endpoint, a.settings.OperatorsListen
 	h.Models, h.Services = a.status.Models, a.settings.Services
@@ -266,14 +266,14 @@
 // for want of power counts: an endpoint without a grant has no other work, and
 // would never ask for one while the others use up the cap.
 func (c *control) want() int {
-	return c.queue.Want() + max(c.powerRefusals, c.powerRefusalsBefore)
+	return c.queue.SlotDemand() + max(c.powerRefusals, c.powerRefusalsBefore)
 }
 
 func (c *control) load(now time.Time) *wire.Load {
 	report := c.queue.Report()
 	load := &wire.Load{
 		Running: uint32(report.Running), Queued: uint32(report.Queued),
-		FreeMemoryTokens: uint64(max(0, report.FreeMemory)), MemoryTokens: c.agent.status.MemoryTokens,
+		FreeMemoryTokens: uint64(max(0, report.FreeMemoryTokens)), MemoryTokens: c.agent.status.MemoryTokens,
 		PrefillTokensPerSecond: c.agent.status.PrefillRate, MaxRunning: c.agent.status.MaxRunning,
 		TakenMs: now.Sub(c.started).Milliseconds(),
 	}
@@ -283,8 +283,8 @@
 	return load
 }
 
-// Heard implements membership.Delegate.
-func (c *control) Heard(_ time.Time, h *wire.Heartbeat) {
+// HandleHeartbeat implements membership.Delegate.
+func (c *control) HandleHeartbeat(_ time.Time, h *wire.Heartbeat) {
 	c.agent.catalogue.Heard(h)
 }
 
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -27,7 +27,7 @@
 		response = &wire.ReserveResponse{
 			Accepted: verdict.Accepted, EstimatedStartMs: verdict.Wait.Milliseconds(),
 			Code: int32(verdict.Code), RetryAfterMs: verdict.RetryAfter.Milliseconds(), Load: a.control.load(now),
-			Deferral:    verdict.Deferral,
+			Deferral:    verdict.Deferred,
 			Reservation: &wire.Reservation{Incarnation: reservation.Incarnation, Number: reservation.Number},
 		}
 	})
@@ -255,12 +255,12 @@
 		// The RPC's own deadline ended a moment before the one kept here.
 		return result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed")
 	}
-	return result.From(cause)
+	return result.FromError(cause)
 }
 
 func (g *generation) start(ctx context.Context) (*engine.Stream, error) {
 	r := g.request
-	level := admission.LevelOf(g.order.class, admission.CountTokens(r.Prompt))
+	level := admission.LevelOf(g.order.class, admission.EstimateTokens(r.Prompt))
 	imports := make([]engine.Import, 0, len(r.Imports))
 	for _, i := range r.Imports {
 		imports = append(imports, engine.Import{Engine: i.EngineAddr, Sequence: i.Sequence, Tokens: i.Tokens})
@@ -351,7 +351,7 @@
 func (g *generation) hold(ctx context.Context) error {
 	held := &wire.Held{Import: &wire.Import{
 		EngineAddr: g.agent.settings.Endpoint, Sequence: sequenceID(g.order.reservation),
-		Tokens: uint64(admission.CountTokens(g.request.Prompt)),
+		Tokens: uint64(admission.EstimateTokens(g.request.Prompt)),
 	}}
 	if err := g.stream.Send(&wire.RunEvent{Event: &wire.RunEvent_Held{Held: held}}); err != nil {
 		return errors.Wrap(err, "entry gone")
--- a/attempt/claim.go
+++ b/attempt/claim.go
@@ -79,25 +79,25 @@
 	return data, errors.WithStack(err)
 }
 
-// Judgement is what an entry must do on finding a claim.
-type Judgement int
+// ClaimAction is what an entry must do on finding a claim.
+type ClaimAction int
 
 // The judgements.
 const (
 	// Proceed: nobody has run it; claim it.
-	Proceed Judgement = iota
+	Proceed ClaimAction = iota
 	// Mismatch: the key belongs to another request.
 	Mismatch
 	// Replay: give the recorded outcome.
 	Replay
 	// AskAgent: the agent that the claim names knows.
 	AskAgent
-	// StayUnknown: nobody can know.
-	StayUnknown
+	// ReportUnknown: nobody can know.
+	ReportUnknown
 )
 
-// Judge decides on a claim found in the store, or nil for none.
-func Judge(claim *Claim, digest string) Judgement {
+// ActionFor decides on a claim found in the store, or nil for none.
+func ActionFor(claim *Claim, digest string) ClaimAction {
 	switch {
 	case claim == nil:
 		return Proceed
@@ -108,7 +108,7 @@
 	case claim.State == ClaimNotRun:
 		return Proceed
 	case claim.State == ClaimUnknown:
-		return StayUnknown
+		return ReportUnknown
 	}
 	return AskAgent
 }
--- a/attempt/claim_test.go
+++ b/attempt/claim_test.go
@@ -11,19 +11,19 @@
 	cases := []struct {
 		name  string
 		claim *Claim
-		want  Judgement
+		want  ClaimAction
 	}{
 		{"none", nil, Proceed},
 		{"other request", &Claim{Digest: "b", State: ClaimDone}, Mismatch},
 		{"done", &Claim{Digest: "a", State: ClaimDone}, Replay},
 		{"not run", &Claim{Digest: "a", State: ClaimNotRun}, Proceed},
 		{"claimed", &Claim{Digest: "a", State: ClaimClaimed}, AskAgent},
-		{"unknown", &Claim{Digest: "a", State: ClaimUnknown}, StayUnknown},
+		{"unknown", &Claim{Digest: "a", State: ClaimUnknown}, ReportUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Judge(c.claim, "a"), c.want)
+			is.Equal(ActionFor(c.claim, "a"), c.want)
 		})
 	}
 }
@@ -68,14 +68,14 @@
 			},
 			"ask": func(t *rapid.T) {
 				v := entry(t)
-				if v.claim != nil && Judge(v.claim, "d") == AskAgent {
+				if v.claim != nil && ActionFor(v.claim, "d") == AskAgent {
 					state, _ := w.table.Peek(now, v.claim.Reservation)
 					v.denied = state == DidNotRun
 				}
 			},
 			"claim": func(t *rapid.T) {
 				v := entry(t)
-				judged := Judge(v.claim, "d")
+				judged := ActionFor(v.claim, "d")
 				if v.reserved && (judged == Proceed || judged == AskAgent) {
 					w.claim(v)
 				}
@@ -90,7 +90,7 @@
 					return
 				}
 				r := rapid.SampledFrom(w.orders).Draw(t, "order")
-				if w.table.Claim(now, r) && w.table.Start(r) {
+				if w.table.Accept(now, r) && w.table.Start(r) {
 					w.runs++
 				}
 			},
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -75,8 +75,8 @@
 // crashed with are many whenever one crashes.
 func (s *suspect) shared() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
 
-// Suspects tells whether any request of a scope is known; the body need not be read otherwise.
-func (q *Quarantine) Suspects(scope uint64) bool {
+// HasSuspect tells whether any request of a scope is known; the body need not be read otherwise.
+func (q *Quarantine) HasSuspect(scope uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.scopes[scope] > 0
@@ -89,8 +89,8 @@
 	return len(q.suspects) == 0
 }
 
-// Holds tells for how long a request must not be sent; 0: it may be.
-func (q *Quarantine) Holds(now time.Time, request Fingerprint) time.Duration {
+// Remaining tells for how long a request must not be sent; 0: it may be.
+func (q *Quarantine) Remaining(now time.Time, request Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.suspects[request]
@@ -101,9 +101,9 @@
 	return max(decisive.at.Add(findingLife).Sub(now), 0)
 }
 
-// Crashed notes that the life of an endpoint ended while a request was open there. It tells with
+// RecordCrash notes that the life of an endpoint ended while a request was open there. It tells with
 // how many lives that has happened, and whether the request is in quarantine because of this one.
-func (q *Quarantine) Crashed(now time.Time, request Fingerprint, endpoint uint32) (crashes int, quarantined bool) {
+func (q *Quarantine) RecordCrash(now time.Time, request Fingerprint, endpoint uint32) (crashes int, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	quarantined = q.add(now, request, crash{endpoint: endpoint, at: now, own: true})
@@ -113,9 +113,9 @@
 	return crashes, quarantined
 }
 
-// Evidence gives the endpoints that crashed under a request, and tells whether this node has seen
+// CrashedEndpoints gives the endpoints that crashed under a request, and tells whether this node has seen
 // one of them crash.
-func (q *Quarantine) Evidence(request Fingerprint) (endpoints []uint32, own bool) {
+func (q *Quarantine) CrashedEndpoints(request Fingerprint) (endpoints []uint32, own bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.suspects[request]
@@ -129,16 +129,16 @@
 	return endpoints, own
 }
 
-// Answered notes that a request was answered whole: it does not crash every endpoint.
-func (q *Quarantine) Answered(now time.Time, request Fingerprint) {
+// RecordAnswer notes that a request was answered whole: it does not crash every endpoint.
+func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.answer(request, now)
 }
 
-// Hear takes in what another node has found. It gives the requests that are in quarantine because
+// Merge takes in what another node has found. It gives the requests that are in quarantine because
 // of it.
-func (q *Quarantine) Hear(now time.Time, findings []Finding) []Fingerprint {
+func (q *Quarantine) Merge(now time.Time, findings []Finding) []Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var quarantined []Fingerprint
--- a/attempt/quarantine_test.go
+++ b/attempt/quarantine_test.go
@@ -38,33 +38,33 @@
 	q := NewQuarantine()
 	is.True(q.Empty())
 	for range 3 { // one life counts once
-		q.Crashed(quarantineNow, printOf("a"), 1)
+		q.RecordCrash(quarantineNow, printOf("a"), 1)
 	}
-	crashes, held := q.Crashed(quarantineNow, printOf("a"), 2)
+	crashes, held := q.RecordCrash(quarantineNow, printOf("a"), 2)
 	is.Equal(crashes, 2)
 	is.True(!held)
-	is.Equal(q.Holds(quarantineNow, printOf("a")), time.Duration(0))
-	_, held = q.Crashed(quarantineNow, printOf("a"), 3)
+	is.Equal(q.Remaining(quarantineNow, printOf("a")), time.Duration(0))
+	_, held = q.RecordCrash(quarantineNow, printOf("a"), 3)
 	is.True(held)
-	is.Equal(q.Holds(quarantineNow, printOf("a")), findingLife)
-	is.Equal(q.Holds(quarantineNow, printOf("b")), time.Duration(0)) // another request
-	is.True(q.Suspects(printOf("a").Scope))
-	is.True(!q.Suspects(printOf("longer").Scope))
+	is.Equal(q.Remaining(quarantineNow, printOf("a")), findingLife)
+	is.Equal(q.Remaining(quarantineNow, printOf("b")), time.Duration(0)) // another request
+	is.True(q.HasSuspect(printOf("a").Scope))
+	is.True(!q.HasSuspect(printOf("longer").Scope))
 }
 
 // Guards against refusing a request that is asked for often and was under way at several crashes.
 func TestAnAnswerClearsARequest(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
-	q.Crashed(quarantineNow, printOf("a"), 1)
-	q.Crashed(quarantineNow, printOf("a"), 2)
-	q.Answered(quarantineNow.Add(time.Second), printOf("a"))
-	crashes, held := q.Crashed(quarantineNow.Add(2*time.Second), printOf("a"), 3)
+	q.RecordCrash(quarantineNow, printOf("a"), 1)
+	q.RecordCrash(quarantineNow, printOf("a"), 2)
+	q.RecordAnswer(quarantineNow.Add(time.Second), printOf("a"))
+	crashes, held := q.RecordCrash(quarantineNow.Add(2*time.Second), printOf("a"), 3)
 	is.Equal(crashes, 1)
 	is.True(!held)
 	// what another node tells late of the time before does not count either
-	is.Equal(len(q.Hear(quarantineNow.Add(2*time.Second), []Finding{{printOf("a"), 4, 2 * time.Second}, {printOf("a"), 5, 2 * time.Second}})), 0)
-	is.Equal(q.Holds(quarantineNow.Add(2*time.Second), printOf("a")), time.Duration(0))
+	is.Equal(len(q.Merge(quarantineNow.Add(2*time.Second), []Finding{{printOf("a"), 4, 2 * time.Second}, {printOf("a"), 5, 2 * time.Second}})), 0)
+	is.Equal(q.Remaining(quarantineNow.Add(2*time.Second), printOf("a")), time.Duration(0))
 }
 
 // Guards against nodes that keep a finding alive by telling each other of it.
@@ -72,12 +72,12 @@
 	is := is.New(t)
 	a, b := NewQuarantine(), NewQuarantine()
 	for life := range uint32(3) {
-		a.Crashed(quarantineNow, printOf("a"), life+1)
+		a.RecordCrash(quarantineNow, printOf("a"), life+1)
 	}
 	for at := quarantineNow; at.Sub(quarantineNow) < 2*findingLife; at = at.Add(time.Minute) {
-		b.Hear(at, a.Findings(at, true, 100))
-		a.Hear(at, b.Findings(at, true, 100))
-		is.Equal(a.Holds(at, printOf("a")) > 0, at.Sub(quarantineNow) < findingLife)
+		b.Merge(at, a.Findings(at, true, 100))
+		a.Merge(at, b.Findings(at, true, 100))
+		is.Equal(a.Remaining(at, printOf("a")) > 0, at.Sub(quarantineNow) < findingLife)
 	}
 	is.True(a.Empty() && b.Empty())
 }
@@ -87,7 +87,7 @@
 	is := is.New(t)
 	q := NewQuarantine()
 	for life := range uint32(crashesToQuarantine) {
-		q.Crashed(quarantineNow, printOf("a"), life+1)
+		q.RecordCrash(quarantineNow, printOf("a"), life+1)
 	}
 	suspects, held := q.Counts(quarantineNow.Add(findingLife - 1))
 	is.Equal([]int{suspects, held}, []int{1, 1})
@@ -100,10 +100,10 @@
 	is := is.New(t)
 	q := NewQuarantine()
 	for life := range uint32(3) {
-		q.Crashed(quarantineNow, printOf("kept"), life+1)
+		q.RecordCrash(quarantineNow, printOf("kept"), life+1)
 	}
 	for i := range 10_000 {
-		q.Crashed(quarantineNow.Add(time.Duration(i)), printOf(fmt.Sprint("n", i)), uint32(i+1))
+		q.RecordCrash(quarantineNow.Add(time.Duration(i)), printOf(fmt.Sprint("n", i)), uint32(i+1))
 	}
 	suspects, held := q.Counts(quarantineNow)
 	is.Equal(suspects, maxSuspects)
@@ -123,9 +123,9 @@
 func TestAFindingIsPassedOnOnceItIsNoSingleOne(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
-	q.Hear(quarantineNow, []Finding{{printOf("a"), 1, 0}})
+	q.Merge(quarantineNow, []Finding{{printOf("a"), 1, 0}})
 	is.Equal(len(q.Findings(quarantineNow, true, 100)), 0)
-	q.Crashed(quarantineNow, printOf("a"), 2)
+	q.RecordCrash(quarantineNow, printOf("a"), 2)
 	is.Equal(len(q.Findings(quarantineNow, false, 100)), 2)
 	is.Equal(len(q.Findings(quarantineNow.Add(2*freshAge), false, 100)), 0)
 	is.Equal(len(q.Findings(quarantineNow.Add(2*freshAge), true, 100)), 2)
@@ -139,7 +139,7 @@
 		requests := []Fingerprint{printOf("a"), printOf("b")}
 		since := map[Fingerprint]map[uint32]bool{requests[0]: {}, requests[1]: {}}
 		now, lives := quarantineNow, uint32(0)
-		tell := func(from, to int) { nodes[to].Hear(now, nodes[from].Findings(now, true, 100)) }
+		tell := func(from, to int) { nodes[to].Merge(now, nodes[from].Findings(now, true, 100)) }
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(10 * time.Millisecond)
 			node, request := rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom(requests).Draw(t, "request")
@@ -148,26 +148,26 @@
 				for i := range nodes { // an answer counts where the request is known
 					tell(i, node)
 				}
-				nodes[node].Answered(now, request)
+				nodes[node].RecordAnswer(now, request)
 				clear(since[request])
 			case 1, 2, 3:
 				if len(since[request]) == 0 || rapid.Bool().Draw(t, "another life") {
 					lives++
 					since[request][lives] = true
-					nodes[rapid.IntRange(0, 2).Draw(t, "witness")].Crashed(now, request, lives)
+					nodes[rapid.IntRange(0, 2).Draw(t, "witness")].RecordCrash(now, request, lives)
 				}
 				life := rapid.SampledFrom(slices.Sorted(maps.Keys(since[request]))).Draw(t, "life")
-				nodes[node].Crashed(now, request, life)
+				nodes[node].RecordCrash(now, request, life)
 			default:
 				tell(node, rapid.IntRange(0, 2).Draw(t, "to"))
 			}
 			for i, q := range nodes {
 				for _, r := range requests {
-					if q.Holds(now, r) > 0 && len(since[r]) < crashesToQuarantine && rapid.Bool().Draw(t, "heard all") {
+					if q.Remaining(now, r) > 0 && len(since[r]) < crashesToQuarantine && rapid.Bool().Draw(t, "heard all") {
 						for j := range nodes {
 							tell(j, i)
 						}
-						if q.Holds(now, r) > 0 {
+						if q.Remaining(now, r) > 0 {
 							t.Fatalf("node %d refuses a request with %d crashes since its answer", i, len(since[r]))
 						}
 					}
@@ -182,12 +182,12 @@
 			}
 		}
 		for _, r := range requests {
-			held := nodes[0].Holds(now, r) > 0
+			held := nodes[0].Remaining(now, r) > 0
 			if held != (len(since[r]) >= crashesToQuarantine) {
 				t.Fatalf("held %v with %d crashes", held, len(since[r]))
 			}
 			for i, q := range nodes {
-				if (q.Holds(now, r) > 0) != held {
+				if (q.Remaining(now, r) > 0) != held {
 					t.Fatalf("node %d disagrees", i)
 				}
 			}
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -23,13 +23,13 @@
 	return [...]string{"not_sent", "not_executed", "helper_failed", "broken", "failed"}[o]
 }
 
-// Next is what to do after an outcome.
-type Next int
+// RetryAction is what to do after an outcome.
+type RetryAction int
 
 // What to do next.
 const (
-	// SendAgain to another endpoint.
-	SendAgain Next = iota
+	// Retry to another endpoint.
+	Retry RetryAction = iota
 	// Refuse: the request has not run and will not; the caller may come back.
 	Refuse
 	// Fail: the request may have run; nothing may be promised.
@@ -65,13 +65,13 @@
 // MayHaveRun tells whether the request may have run.
 func (r *Retrier) MayHaveRun() bool { return r.mayHaveRun }
 
-// CanRepeat tells whether the request, once sent to the next endpoint, could still go
+// CanRetryAfterNext tells whether the request, once sent to the next endpoint, could still go
 // on at another if that one broke off.
-func (r *Retrier) CanRepeat() bool { return r.Repeatable && r.arrivals+1 < r.MaxArrivals }
+func (r *Retrier) CanRetryAfterNext() bool { return r.Repeatable && r.arrivals+1 < r.MaxArrivals }
 
-// After decides what follows an outcome. budget is asked, and spent, only when the
+// Decide decides what follows an outcome. budget is asked, and spent, only when the
 // request would reach another endpoint.
-func (r *Retrier) After(o SendOutcome, budget func() bool) Next {
+func (r *Retrier) Decide(o SendOutcome, budget func() bool) RetryAction {
 	switch o {
 	case NotSent:
 		r.unsent++
@@ -84,7 +84,7 @@
 		r.mayHaveRun = true
 	}
 	if r.mayAgain() && (r.arrivals+r.helpers == 0 || budget()) {
-		return SendAgain
+		return Retry
 	}
 	switch {
 	case o == Failed:
@@ -103,6 +103,6 @@
 }
 
 // String gives the step's name in logs.
-func (n Next) String() string {
+func (n RetryAction) String() string {
 	return [...]string{"send_again", "refuse", "fail", "pass_on"}[n]
 }
--- a/attempt/retrier_test.go
+++ b/attempt/retrier_test.go
@@ -27,8 +27,8 @@
 			}
 			asked := false
 			budget := rapid.Bool().Draw(t, "budget")
-			next := c.After(outcome, func() bool { asked = true; return budget })
-			if next == SendAgain {
+			next := c.Decide(outcome, func() bool { asked = true; return budget })
+			if next == Retry {
 				if reached >= c.MaxArrivals {
 					t.Fatal("reached more endpoints than it may")
 				}
@@ -55,8 +55,8 @@
 	is := is.New(t)
 	never := func() bool { t.Fatal("asked"); return false }
 	c := Retrier{Repeatable: true, MaxArrivals: 2}
-	is.Equal(c.After(NotSent, never), SendAgain) // no endpoint has seen it
-	is.Equal(c.After(Broken, func() bool { return false }), Fail)
+	is.Equal(c.Decide(NotSent, never), Retry) // no endpoint has seen it
+	is.Equal(c.Decide(Broken, func() bool { return false }), Fail)
 	once := Retrier{MaxArrivals: 2}
-	is.Equal(once.After(Broken, never), Fail) // it must not run again, budget or not
+	is.Equal(once.Decide(Broken, never), Fail) // it must not run again, budget or not
 }
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -80,13 +80,13 @@
 	return r.reservation
 }
 
-// Claim turns a reservation into a queued order: its lease no longer lapses,
+// Accept turns a reservation into a queued order: its lease no longer lapses,
 // since from here the order's own stream keeps it. It tells whether the order
 // may go on; false means it never starts, whenever it arrives.
 //
 // An order can sit in a socket while this process is frozen. The clock goes on
 // meanwhile, so the lapsed lease is seen here even if no sweep has run since.
-func (t *Table) Claim(now time.Time, reservation Reservation) bool {
+func (t *Table) Accept(now time.Time, reservation Reservation) bool {
 	r := t.find(reservation)
 	if r == nil || r.state != Reserved || r.index < 0 || now.After(r.expires) {
 		return false
@@ -118,8 +118,8 @@
 	heap.Push(&t.expiry, r)
 }
 
-// Abandon ends a claimed order that never started.
-func (t *Table) Abandon(reservation Reservation) {
+// Discard ends a claimed order that never started.
+func (t *Table) Discard(reservation Reservation) {
 	if r := t.find(reservation); r != nil && r.state == Reserved {
 		t.remove(r)
 	}
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -22,7 +22,7 @@
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	r := table.Reserve(testStart)
-	is.True(!table.Claim(testStart.Add(testLease+time.Millisecond), r)) // lapsed
+	is.True(!table.Accept(testStart.Add(testLease+time.Millisecond), r)) // lapsed
 	is.Equal(table.Sweep(testStart.Add(2*testLease)), []Reservation{r})
 	state, _ := table.Withdraw(r)
 	is.Equal(state, DidNotRun)
@@ -34,8 +34,8 @@
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	r := table.Reserve(testStart)
-	is.True(table.Claim(testStart, r))
-	is.True(!table.Claim(testStart, r))
+	is.True(table.Accept(testStart, r))
+	is.True(!table.Accept(testStart, r))
 	is.True(table.Start(r))
 	is.True(!table.Start(r))
 }
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	ran := table.Reserve(testStart)
-	table.Claim(testStart, ran)
+	table.Accept(testStart, ran)
 	table.Start(ran)
 	table.Finish(testStart, ran, "done")
 	table.Sweep(testStart.Add(2 * testRetention))
@@ -86,7 +86,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"reserve": func(*rapid.T) { m.issued = append(m.issued, m.table.Reserve(m.now)) },
-			"claim":   func(t *rapid.T) { m.table.Claim(m.now, pick(t)) },
+			"claim":   func(t *rapid.T) { m.table.Accept(m.now, pick(t)) },
 			"start": func(t *rapid.T) {
 				if r := pick(t); m.table.Start(r) {
 					m.started[r]++
--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -300,11 +300,11 @@
 	cost := repeat(func() {
 		r := table.Reserve(now)
 		queue.Offer(now, admission.Job{ID: r.Number, Account: "a", PromptTokens: 1000, OutputTokens: 100, Deadline: now.Add(time.Hour)})
-		table.Claim(now, r)
-		queue.Arm(r.Number)
-		id, _ := queue.Next()
+		table.Accept(now, r)
+		queue.MarkReady(r.Number)
+		id, _ := queue.StartNext()
 		table.Start(r)
-		queue.Prefilled(id)
+		queue.MarkPrefilled(id)
 		table.Finish(now, r, nil)
 		queue.Remove(id)
 	})
@@ -312,7 +312,7 @@
 		full := attempt.NewTable(1, time.Second, time.Hour)
 		for range 10_000 {
 			r := full.Reserve(now)
-			full.Claim(now, r)
+			full.Accept(now, r)
 			full.Start(r)
 			full.Finish(now, r, &wire.End{Code: 1000, Ran: "yes"})
 		}
--- a/bench/emulator/baselines.go
+++ b/bench/emulator/baselines.go
@@ -14,7 +14,7 @@
 // placeBaseline sends a request as the policies do that the product's is compared with.
 func (r *request) placeBaseline() {
 	w := r.world
-	if r.tokens+outputTokens > w.config.Engine.MemoryTokens {
+	if r.tokens+outputTokens > w.config.Engine.KVCacheTokens {
 		r.result.Refused++
 		return
 	}
@@ -36,13 +36,13 @@
 	})
 }
 
-func (w *world) any() *engine { return w.engines[w.list[w.rand.IntN(len(w.list))].Life] }
+func (w *world) any() *engine { return w.engines[w.list[w.rand.IntN(len(w.list))].Incarnation] }
 
 // ordered gives the engines in the order of their list.
 func (w *world) ordered() []*engine {
 	list := make([]*engine, 0, len(w.list))
 	for _, listed := range w.list {
-		list = append(list, w.engines[listed.Life])
+		list = append(list, w.engines[listed.Incarnation])
 	}
 	return list
 }
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -160,8 +160,8 @@
 	config  *Config
 	rand    *rand.Rand
 	epoch   time.Time
-	engines map[directory.Life]*engine
-	list    []*directory.Listed
+	engines map[directory.Incarnation]*engine
+	list    []*directory.EndpointState
 	service *directory.Service
 	entries []*entry
 	results []Result
@@ -194,11 +194,11 @@
 
 // Play plays a load and gives what callers of each kind got.
 func Play(c *Config) []Result {
-	w := &world{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Life]*engine{}}
+	w := &world{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
 	w.service = &directory.Service{Name: service, Engine: &c.Engine}
 	for _, k := range c.Kinds {
 		w.results = append(w.results, Result{Kind: k.Name})
-		w.service.AllowGap(k.PauseLimit)
+		w.service.AddTargetPause(k.PauseLimit)
 	}
 	w.populate()
 	w.Run(math.MaxInt64)
@@ -207,9 +207,9 @@
 
 func (w *world) populate() {
 	for i := range w.config.Engines {
-		listed := &directory.Listed{Endpoint: directory.Endpoint{Life: directory.Life{ID: fmt.Sprintf("e-%03d", i)}, Service: service, Slots: w.config.Engine.Slots}, Position: i}
+		listed := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: service, Slots: w.config.Engine.Slots}, Position: i}
 		w.list = append(w.list, listed)
-		w.engines[listed.Life] = &engine{world: w, model: &w.config.Engine, pace: 1}
+		w.engines[listed.Incarnation] = &engine{world: w, model: &w.config.Engine, pace: 1}
 	}
 	for i := range w.config.Entries {
 		ledger := direct.NewLoadTracker()
@@ -236,9 +236,9 @@
 	for i := range s.Engines {
 		listed := w.list[len(w.list)-1-2*i]
 		set := func(pace float64) {
-			w.engines[listed.Life].pace = pace
+			w.engines[listed.Incarnation].pace = pace
 			if w.config.PaceKnown > 0 {
-				w.After(w.config.PaceKnown, func() { w.tellPace(listed.Life, pace, s.To) })
+				w.After(w.config.PaceKnown, func() { w.tellPace(listed.Incarnation, pace, s.To) })
 			}
 		}
 		w.After(s.From, func() { set(s.Pace) })
@@ -247,7 +247,7 @@
 }
 
 // tellPace tells all entries how slow an engine is, again and again while it lasts.
-func (w *world) tellPace(life directory.Life, pace float64, until time.Duration) {
+func (w *world) tellPace(life directory.Incarnation, pace float64, until time.Duration) {
 	for _, e := range w.entries {
 		e.ledger.SetSlowdown(w.clock(), life, pace)
 	}
@@ -390,7 +390,7 @@
 // place sends a request to an engine, or to another one where its memory finds no room.
 func (r *request) place() {
 	w := r.world
-	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.PauseLimit, Tried: map[directory.Life]bool{}}
+	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.PauseLimit, Tried: map[directory.Incarnation]bool{}}
 	for range placings {
 		plan := r.entry.policy.Place(w.clock(), &placing, w.list)
 		if plan == nil || plan.Overloaded {
@@ -398,13 +398,13 @@
 		}
 		j := newJob(r, plan)
 		for _, h := range plan.Helpers {
-			j.helpers = append(j.helpers, w.engines[h.Life])
+			j.helpers = append(j.helpers, w.engines[h.Incarnation])
 		}
 		if j.reserve() {
 			r.submit(plan, j)
 			return
 		}
-		placing.Tried[plan.Endpoint.Life] = true
+		placing.Tried[plan.Endpoint.Incarnation] = true
 	}
 	r.result.Refused++
 }
@@ -415,7 +415,7 @@
 	if plan.Long && r.world.config.has(Announcing) && r.world.config.has(Heartbeats) {
 		r.world.tell(r.entry)
 	}
-	r.engine = r.world.engines[plan.Endpoint.Life]
+	r.engine = r.world.engines[plan.Endpoint.Incarnation]
 	r.world.After(r.world.way(), func() { r.engine.submit(j) })
 }
 
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -19,8 +19,8 @@
 
 func siteEngine() directory.Engine {
 	return directory.Engine{
-		Slots: 16, MemoryTokens: 232_000, Stride: 43, Chunk: 2048, Step: 1020 * time.Microsecond, StepPerRequest: 2260 * time.Nanosecond,
-		StepPerContext: 4310 * time.Nanosecond, PrefillPerSecond: 206_000, PairsPerMillion: 138 * time.Microsecond,
+		Slots: 16, KVCacheTokens: 232_000, Stride: 43, ChunkTokens: 2048, StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond,
+		StepTimePerContext: 4310 * time.Nanosecond, PrefillTokensPerSecond: 206_000, AttentionTimePerMillionPairs: 138 * time.Microsecond,
 	}
 }
 
@@ -95,7 +95,7 @@
 // ones; the mean long prompt needs as much memory as one engine has.
 func wide(seed uint64) *Config {
 	c := &Config{Seed: seed, Entries: 24, Engines: 69, Engine: siteEngine(), Kinds: siteKinds(), Length: 20 * time.Second}
-	c.Engine.Slots, c.Engine.MemoryTokens, c.Engine.Stride = 12, 197_200, 48
+	c.Engine.Slots, c.Engine.KVCacheTokens, c.Engine.Stride = 12, 197_200, 48
 	short, medium, long := &c.Kinds[0], &c.Kinds[1], &c.Kinds[2]
 	short.PerSecond, medium.PerSecond, long.PerSecond = 115, 7.8, 4.8
 	long.Tokens, long.Target = 190_000, 3*time.Second
@@ -159,8 +159,8 @@
 		return &Config{
 			Seed: seed, Entries: 22, Engines: 65, Length: 33 * time.Second,
 			Engine: directory.Engine{
-				Slots: 10, MemoryTokens: 405_000, Stride: 53, Chunk: 2048, Step: 1310 * time.Microsecond, StepPerRequest: 917 * time.Nanosecond,
-				StepPerContext: 2130 * time.Nanosecond, PrefillPerSecond: 154_000, PairsPerMillion: 162 * time.Microsecond,
+				Slots: 10, KVCacheTokens: 405_000, Stride: 53, ChunkTokens: 2048, StepTime: 1310 * time.Microsecond, StepTimePerRequest: 917 * time.Nanosecond,
+				StepTimePerContext: 2130 * time.Nanosecond, PrefillTokensPerSecond: 154_000, AttentionTimePerMillionPairs: 162 * time.Microsecond,
 			},
 			Kinds: []Kind{
 				{Name: "short", Tokens: 4960, Spread: 0.9, MostTokens: 23_800, Events: 26, PerSecond: 88 * load, Target: 400 * time.Millisecond, PauseLimit: 300 * time.Millisecond},
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -66,7 +66,7 @@
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.slots >= e.model.Slots || e.held+j.memory > e.model.MemoryTokens {
+		if e.slots >= e.model.Slots || e.held+j.memory > e.model.KVCacheTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -111,7 +111,7 @@
 	e.readingNewest, e.readingSince = true, e.world.Now()
 	e.readings++
 	number, newest := e.readings, e.parts[len(e.parts)-1]
-	length := newest.prefill + time.Duration(e.readSteps(newest.tokens))*e.model.Step
+	length := newest.prefill + time.Duration(e.readSteps(newest.tokens))*e.model.StepTime
 	e.world.After(e.paced(length), func() {
 		if !e.readingNewest || e.readings != number {
 			return
@@ -147,10 +147,10 @@
 
 // readSteps is in how many steps tokens are prefilled that nobody's decoding adds steps to.
 func (e *engine) readSteps(tokens int) int {
-	if e.model.Chunk <= 0 {
+	if e.model.ChunkTokens <= 0 {
 		return 1
 	}
-	return (tokens + e.model.Chunk - 1) / e.model.Chunk
+	return (tokens + e.model.ChunkTokens - 1) / e.model.ChunkTokens
 }
 
 // end ends a pass: parts are prefilled, and everyone who decodes writes an event.
@@ -207,7 +207,7 @@
 	holders := j.helpers[:j.holders]
 	var taken []*engine
 	for _, h := range holders {
-		if h.held+j.reserved <= h.model.MemoryTokens {
+		if h.held+j.reserved <= h.model.KVCacheTokens {
 			taken = append(taken, h)
 		}
 	}
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -70,7 +70,7 @@
 	_, err := Decode([]byte(`{"name":"","seeds":0,"colour":1,"random_sites":{"count":0},
 		"sites":[{"name":"a","entries":0,"engines":1,"kinds":[{"name":"","tokens":-1,"worth":-1}],"turns":[{"factors":[]}],"slow":[{"engines":9,"pace":0}],"heartbeat_loss":2,"skew":-1}],
 		"policies":[{"name":"p","policy":"best"},{"name":"p","without":["luck"]}]}`))
-	var faults settings.Faults
+	var faults settings.FieldErrors
 	is.True(errors.As(err, &faults))
 	for _, field := range []string{
 		"name", "seeds", "colour", "random_sites.count", "sites[0].entries", "sites[0].length", "sites[0].engine.slots", "sites[0].kinds[0].name", "sites[0].kinds[0].tokens",
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -131,8 +131,8 @@
 }
 
 // Check implements settings.Checker.
-func (f *File) Check() settings.Faults {
-	var faults settings.Faults
+func (f *File) Check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	if f.Name == "" {
 		faults.Add("name", f.Name, "a text")
 	}
@@ -161,14 +161,14 @@
 	return faults
 }
 
-func checkUnique(faults *settings.Faults, field, name string, seen map[string]bool) {
+func checkUnique(faults *settings.FieldErrors, field, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
 		faults.Add(field, name, "a text that no other has")
 	}
 	seen[name] = true
 }
 
-func (s *Site) check(field string, faults *settings.Faults) {
+func (s *Site) check(field string, faults *settings.FieldErrors) {
 	faults.CheckInt(field+".entries", int64(s.Entries), 1, mostEntries)
 	faults.CheckInt(field+".engines", int64(s.Engines), 1, mostEngines)
 	faults.CheckRange(field+".length", s.Length.D(), time.Second, longestPlay)
@@ -198,7 +198,7 @@
 	}
 }
 
-func (e *Engine) check(field string, faults *settings.Faults) {
+func (e *Engine) check(field string, faults *settings.FieldErrors) {
 	faults.CheckInt(field+".slots", int64(e.Slots), 1, 10_000)
 	faults.CheckInt(field+".memory_tokens", int64(e.MemoryTokens), 1, 1e9)
 	faults.CheckInt(field+".stride", int64(e.Stride), 1, 10_000)
@@ -209,7 +209,7 @@
 	faults.CheckNumber(field+".pairs_per_million_us", e.PairsPerMillion, 0, 1e6)
 }
 
-func (k *Kind) check(field string, faults *settings.Faults) {
+func (k *Kind) check(field string, faults *settings.FieldErrors) {
 	if k.Name == "" {
 		faults.Add(field+".name", k.Name, "a text")
 	}
@@ -223,7 +223,7 @@
 	faults.CheckNumber(field+".worth", k.Worth, 0, 1e6)
 }
 
-func (p *Policy) check(field string, faults *settings.Faults) {
+func (p *Policy) check(field string, faults *settings.FieldErrors) {
 	if p.Policy != "" && !slices.Contains(emulator.Policies(), p.Policy) {
 		faults.Add(field+".policy", p.Policy, fmt.Sprintf("one of %v", emulator.Policies()))
 	}
@@ -261,7 +261,7 @@
 func (e *Engine) model() directory.Engine {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	return directory.Engine{
-		Slots: e.Slots, MemoryTokens: e.MemoryTokens, Stride: e.Stride, Step: us(e.Step), StepPerRequest: us(e.StepPerRequest), StepPerContext: us(e.StepPerThousand),
-		PrefillPerSecond: e.PrefillPerSecond, PairsPerMillion: us(e.PairsPerMillion),
+		Slots: e.Slots, KVCacheTokens: e.MemoryTokens, Stride: e.Stride, StepTime: us(e.Step), StepTimePerRequest: us(e.StepPerRequest), StepTimePerContext: us(e.StepPerThousand),
+		PrefillTokensPerSecond: e.PrefillPerSecond, AttentionTimePerMillionPairs: us(e.PairsPerMillion),
 	}
 }
--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -16,7 +16,7 @@
 	Seed  int64 `json:"seed"`
 }
 
-func (r *RandomSites) check(field string, faults *settings.Faults) {
+func (r *RandomSites) check(field string, faults *settings.FieldErrors) {
 	faults.CheckInt(field+".count", int64(r.Count), 1, mostSites)
 	faults.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
 }
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -96,8 +96,8 @@
 		return nil, err
 	}
 	dial := gateway.Dialer(time.Second)
-	orders := platform.NewOrders(dial)
-	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.Wire{}, Source: platform.NewStore(s.Store, dial), Reserver: orders, Pacer: orders, Log: zap.NewNop()})
+	orders := platform.NewEndpointClient(dial)
+	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.HeaderCodec{}, Source: platform.NewStore(s.Store, dial), Reserver: orders, SlowdownReader: orders, Log: zap.NewNop()})
 	failed := make(chan error, 1)
 	go func() { failed <- g.Serve(ctx, make(chan os.Signal), nil) }()
 	for deadline := time.Now().Add(gatewayStart); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -55,7 +55,7 @@
 	lending  bool
 	random   *rand.Rand
 	limiters []*admission.Limiter
-	shares   []*admission.Shares
+	shares   []*admission.Borrower
 	lender   *admission.Lender
 	admitted []int // by second
 	offered  []int
@@ -66,7 +66,7 @@
 	r := &limitsRun{name: name, entries: entries, lending: lending, random: rand.New(rand.NewPCG(seed, uint64(entries))), lender: admission.NewLender(epoch)}
 	for range entries {
 		r.limiters = append(r.limiters, admission.NewLimiter())
-		r.shares = append(r.shares, admission.NewShares())
+		r.shares = append(r.shares, admission.NewBorrower())
 	}
 	seconds := int(limitsLength / time.Second)
 	r.admitted, r.offered = make([]int, seconds), make([]int, seconds)
@@ -88,12 +88,12 @@
 
 func (r *limitsRun) borrow(now time.Time) {
 	for i, limiter := range r.limiters {
-		arrived := limiter.Demand(now, time.Hour)["account"]
+		arrived := limiter.TakeDemand(now, time.Hour)["account"]
 		if arrived == 0 {
 			continue
 		}
-		share := r.lender.Borrow(now, "account", strconv.Itoa(i), arrived/admission.BorrowInterval.Seconds())
-		r.shares[i].Lent(now, "account", share)
+		share := r.lender.Lend(now, "account", strconv.Itoa(i), arrived/admission.BorrowInterval.Seconds())
+		r.shares[i].SetLoan(now, "account", share)
 	}
 }
 
@@ -105,7 +105,7 @@
 		i := r.target(at)
 		share := 1 / float64(r.entries)
 		if r.lending {
-			share = r.shares[i].Of(now, "account", r.entries)
+			share = r.shares[i].Share(now, "account", r.entries)
 		}
 		second := int(at / time.Second)
 		r.offered[second]++
--- a/bench/run.go
+++ b/bench/run.go
@@ -49,7 +49,7 @@
 	pending    map[string]*pendingRequest
 	outcomes   []*outcome
 	random     *rand.Rand
-	budgets    map[admission.Class]*admission.Budget
+	budgets    map[admission.Class]*admission.RetryBudget
 	// cached and prompts count prompt tokens served from the prefix cache and all.
 	cached, prompts int
 	numbered        uint64
@@ -93,10 +93,10 @@
 func simulate(policy string, jobs []job, w Workload, c Conditions) (*experiment, error) {
 	m := &experiment{
 		workload: w, conditions: c, epoch: time.Unix(1_780_000_000, 0), pending: map[string]*pendingRequest{},
-		random: rand.New(rand.NewPCG(w.Seed, 11)), budgets: map[admission.Class]*admission.Budget{},
+		random: rand.New(rand.NewPCG(w.Seed, 11)), budgets: map[admission.Class]*admission.RetryBudget{},
 	}
 	for class := admission.Urgent; class <= admission.Bulk; class++ {
-		m.budgets[class] = admission.NewBudget()
+		m.budgets[class] = admission.NewRetryBudget()
 	}
 	for i := range w.Engines {
 		m.engines = append(m.engines, newBenchEngine(i, w.Engine))
@@ -150,7 +150,7 @@
 	}
 	if policy.Admission {
 		report := e.queue.Report()
-		endpoint.Running, endpoint.Queued, endpoint.FreeMemory, endpoint.Backlog = report.Running, report.Queued, report.FreeMemory, report.Backlog
+		endpoint.Running, endpoint.Queued, endpoint.FreeMemory, endpoint.Backlog = report.Running, report.Queued, report.FreeMemoryTokens, report.Backlog
 		return endpoint
 	}
 	load := e.model.Load()
@@ -188,7 +188,7 @@
 		Model: benchModel, Class: j.class, PromptTokens: j.prompt, OutputTokens: j.output, Prefix: j.beginnings(),
 		DataCentre: "dc", Tried: f.tried,
 	}
-	var refusal admission.Verdict
+	var refusal admission.Decision
 	var asking routing.RetryState
 	for again := true; again; {
 		picked := asking.Pick(m.clock(), f.entry.policy, &request, j.key, f.entry.view)
@@ -196,7 +196,7 @@
 			break
 		}
 		engine := m.find(picked.Name)
-		verdict := admission.Verdict{Code: result.NoEndpoint, RetryAfter: time.Second}
+		verdict := admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
 		if !engine.dead {
 			verdict = m.offer(f, engine, request.Key)
 		}
@@ -204,7 +204,7 @@
 			return
 		}
 		f.tried[engine.name] = true
-		if refusal.Code == 0 || verdict.Deferral || verdict.RetryAfter < refusal.RetryAfter {
+		if refusal.Code == 0 || verdict.Deferred || verdict.RetryAfter < refusal.RetryAfter {
 			refusal = verdict
 		}
 		again = asking.RecordRefusal(&request, f.entry.view, refusal.Code.Busy())
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (m *experiment) refuse(f *pendingRequest, verdict admission.Verdict) {
+func (m *experiment) refuse(f *pendingRequest, verdict admission.Decision) {
 	f.outcome.refused = true
 	f.outcome.retryAfter = verdict.RetryAfter
 	j := f.outcome.job
@@ -236,7 +236,7 @@
 }
 
 // offer hands a request to an engine: through the agent's queue, or straight.
-func (m *experiment) offer(f *pendingRequest, engine *benchEngine, key uint64) admission.Verdict {
+func (m *experiment) offer(f *pendingRequest, engine *benchEngine, key uint64) admission.Decision {
 	j := f.outcome.job
 	m.numbered++
 	f.engine, f.number = engine, m.numbered
@@ -245,10 +245,10 @@
 		engine.jobs[f.number] = f
 		f.entry.sent[engine.name]++
 		m.submit(f, 0)
-		return admission.Verdict{Accepted: true}
+		return admission.Decision{Accepted: true}
 	}
 	verdict := engine.queue.Offer(m.clock(), admission.Job{
-		ID: f.number, Key: key, Account: j.account, Class: j.class, PromptTokens: j.prompt, OutputTokens: j.output,
+		ID: f.number, DeferralKey: key, Account: j.account, Class: j.class, PromptTokens: j.prompt, OutputTokens: j.output,
 		Deadline: m.epoch.Add(j.at + j.allowed),
 	})
 	f.entry.view[engine.index] = engine.describe(f.entry.policy, m.clock())
@@ -257,14 +257,14 @@
 	}
 	engine.jobs[f.number] = f
 	f.entry.sent[engine.name]++
-	engine.queue.Arm(f.number)
+	engine.queue.MarkReady(f.number)
 	m.pump(engine)
 	return verdict
 }
 
 func (m *experiment) pump(engine *benchEngine) {
 	for {
-		number, found := engine.queue.Next()
+		number, found := engine.queue.StartNext()
 		if !found {
 			return
 		}
@@ -279,7 +279,7 @@
 	sequence := &standin.Sequence{ID: f.id, Priority: priority, PromptTokens: j.prompt, MaxTokens: j.output, Blocks: j.blocks()}
 	if f.engine.model.Submit(sequence) != nil {
 		m.end(f)
-		m.refuse(f, admission.Verdict{Code: result.PromptTooLong})
+		m.refuse(f, admission.Decision{Code: result.PromptTooLong})
 		return
 	}
 	m.step(f.engine)
@@ -312,7 +312,7 @@
 	f.tokens++
 	if f.tokens == 1 && f.outcome.first == 0 {
 		f.outcome.first = m.Now() - f.outcome.job.at
-		f.engine.queue.Prefilled(f.number)
+		f.engine.queue.MarkPrefilled(f.number)
 		if f.entry.policy.Admission {
 			m.pump(f.engine)
 		}
@@ -326,7 +326,7 @@
 	if e.Finished {
 		f.outcome.done = true
 		f.outcome.ended = m.Now() - f.outcome.job.at
-		m.budgets[f.outcome.job.class].Success()
+		m.budgets[f.outcome.job.class].RecordSuccess()
 		m.end(f)
 	}
 }
--- a/catalogue/record.go
+++ b/catalogue/record.go
@@ -153,10 +153,10 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&record); err != nil {
-		return nil, settings.Faults{{Value: err.Error(), Allowed: "one catalogue record, see docs/SETTINGS.md"}}
+		return nil, settings.FieldErrors{{Value: err.Error(), Allowed: "one catalogue record, see docs/SETTINGS.md"}}
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, settings.Faults{{Value: "text after the record", Allowed: "one catalogue record"}}
+		return nil, settings.FieldErrors{{Value: "text after the record", Allowed: "one catalogue record"}}
 	}
 	if faults := record.Check(); len(faults) > 0 {
 		return nil, faults
@@ -165,8 +165,8 @@
 }
 
 // Check returns every fault of the record.
-func (r *Record) Check() settings.Faults {
-	var faults settings.Faults
+func (r *Record) Check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	if !slices.Contains(Types(), r.Type) {
 		faults.Add("type", r.Type, "work, account, operator, site or endpoint")
 	}
@@ -193,14 +193,14 @@
 	return r.checkPart()
 }
 
-func (r *Record) checkPart() settings.Faults {
+func (r *Record) checkPart() settings.FieldErrors {
 	switch r.Type {
 	case TypeWork:
 		return r.Work.check()
 	case TypeAccount:
 		return r.Account.check()
 	case TypeOperator:
-		var faults settings.Faults
+		var faults settings.FieldErrors
 		checkHash(&faults, "operator.key_sha256", r.Operator.KeySHA256)
 		return faults
 	case TypeSite:
@@ -209,8 +209,8 @@
 	return nil
 }
 
-func (w *Work) check() settings.Faults {
-	var faults settings.Faults
+func (w *Work) check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	if _, found := classes[w.Class]; !found {
 		faults.Add("work.class", w.Class, "urgent, normal or bulk")
 	}
@@ -238,8 +238,8 @@
 	return faults
 }
 
-func (a *Account) check() settings.Faults {
-	var faults settings.Faults
+func (a *Account) check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	checkHash(&faults, "account.key_sha256", a.KeySHA256)
 	checkRate(&faults, "account.limits.requests_per_second", a.Limits.RequestsPerSecond)
 	checkRate(&faults, "account.limits.tokens_per_second", a.Limits.TokensPerSecond)
@@ -256,14 +256,14 @@
 )
 
 // checkRate checks a limit of so many a second; 0: no limit.
-func checkRate(faults *settings.Faults, field string, rate float64) {
+func checkRate(faults *settings.FieldErrors, field string, rate float64) {
 	if rate < 0 || rate > maxRate {
 		faults.Add(field, rate, "0 to 1000000000")
 	}
 }
 
-func (s *Site) check() settings.Faults {
-	var faults settings.Faults
+func (s *Site) check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	faults.CheckInt("site.power_cap_watts", int64(s.PowerCapWatts), 1, maxWatts)
 	if len(s.DataCentres) == 0 {
 		faults.Add("site.data_centres", s.DataCentres, "at least one")
@@ -274,7 +274,7 @@
 	return faults
 }
 
-func checkHash(faults *settings.Faults, field, hash string) {
+func checkHash(faults *settings.FieldErrors, field, hash string) {
 	if decoded, err := hex.DecodeString(hash); err != nil || len(decoded) != 32 {
 		faults.Add(field, hash, "64 hexadecimal digits")
 	}
--- a/cli/check.go
+++ b/cli/check.go
@@ -36,7 +36,7 @@
 }
 
 // Check implements settings.Checker; the records are checked one by one.
-func (*catalogueFile) Check() settings.Faults { return nil }
+func (*catalogueFile) Check() settings.FieldErrors { return nil }
 
 // checkFile tells what a file is by a field that only its kind has, and checks it.
 func checkFile(path string) (string, error) {
@@ -79,10 +79,10 @@
 		return nil, errors.Wrap(err, "catalogue file")
 	}
 	var records []*catalogue.Record
-	var faults settings.Faults
+	var faults settings.FieldErrors
 	for i, raw := range file.Records {
 		record, err := catalogue.DecodeRecord(raw)
-		var found settings.Faults
+		var found settings.FieldErrors
 		switch {
 		case errors.As(err, &found):
 			for _, fault := range found {
--- a/cli/report.go
+++ b/cli/report.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return t.failf("%v", err)
 		}
-		score, err := journal.Decode(data)
+		score, err := journal.DecodeEntry(data)
 		if err != nil {
 			return t.failf("%s: %v", path, err)
 		}
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -46,8 +46,8 @@
 }
 
 // Check implements settings.Checker.
-func (s *standinSettings) Check() settings.Faults {
-	var faults settings.Faults
+func (s *standinSettings) Check() settings.FieldErrors {
+	var faults settings.FieldErrors
 	if !slices.Contains([]string{"platform", "engine", "service"}, s.Standin) {
 		faults.Add("standin", s.Standin, "platform, engine or service")
 	}
@@ -67,7 +67,7 @@
 )
 
 // checkNumbers bounds every number; 0 leaves the stand-in's default.
-func (s *standinSettings) checkNumbers(faults *settings.Faults) {
+func (s *standinSettings) checkNumbers(faults *settings.FieldErrors) {
 	faults.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
 	faults.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
 	faults.CheckRange("list_lag", s.ListLag.D(), 0, maxStandinLag)
--- a/directory/config.go
+++ b/directory/config.go
@@ -45,8 +45,8 @@
 	// Target is the latency within which an answer is on time, for streams that of
 	// the first event.
 	Target time.Duration
-	// TargetGap is the longest pause between events of a stream that is on time.
-	TargetGap time.Duration
+	// TargetPause is the longest pause between events of a stream that is on time.
+	TargetPause time.Duration
 	// Priority ranks requests; 0 goes first.
 	Priority int
 	// Public routes need no key.
@@ -70,9 +70,9 @@
 	Weight  int
 }
 
-// Pick chooses a service by weight; draw is uniform in [0, 1). Empty when the route
+// PickService chooses a service by weight; draw is uniform in [0, 1). Empty when the route
 // has none.
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Services {
 		total += s.Weight
@@ -104,41 +104,41 @@
 	MaxConnections int
 	// Engine is set for language-model services.
 	Engine *Engine
-	// ShortestGap and LongestGap are the least and the most that the routes to the service
+	// MinTargetPause and MaxTargetPause are the least and the most that the routes to the service
 	// allow between two events of a stream; 0 where none says.
-	ShortestGap, LongestGap time.Duration
+	MinTargetPause, MaxTargetPause time.Duration
 }
 
-// AllowGap takes in the longest pause that a route to the service allows; 0: it says none.
-func (s *Service) AllowGap(gap time.Duration) {
+// AddTargetPause takes in the longest pause that a route to the service allows; 0: it says none.
+func (s *Service) AddTargetPause(gap time.Duration) {
 	if gap <= 0 {
 		return
 	}
-	if s.ShortestGap == 0 || gap < s.ShortestGap {
-		s.ShortestGap = gap
+	if s.MinTargetPause == 0 || gap < s.MinTargetPause {
+		s.MinTargetPause = gap
 	}
-	s.LongestGap = max(s.LongestGap, gap)
+	s.MaxTargetPause = max(s.MaxTargetPause, gap)
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	// Slots is how many requests an engine works on at once.
 	Slots int
-	// MemoryTokens is the size of the KV cache.
-	MemoryTokens int
+	// KVCacheTokens is the size of the KV cache.
+	KVCacheTokens int
 	// Stride is how many decode steps a pass makes while requests are decoding; one
 	// event of a stream holds that many tokens.
 	Stride int
-	// Chunk is the largest number of prompt tokens prefilled in one step.
-	Chunk int
-	// Step is the time of one decode step, and StepPerRequest what each decoding
-	// request adds; StepPerContext is added for each 1,000 tokens of context.
-	Step, StepPerRequest, StepPerContext time.Duration
-	// PrefillPerSecond is the prefill rate in tokens a second.
-	PrefillPerSecond float64
-	// PairsPerMillion is the time for a million pairs of a prompt token and an
+	// ChunkTokens is the largest number of prompt tokens prefilled in one step.
+	ChunkTokens int
+	// StepTime is the time of one decode step, and StepTimePerRequest what each decoding
+	// request adds; StepTimePerContext is added for each 1,000 tokens of context.
+	StepTime, StepTimePerRequest, StepTimePerContext time.Duration
+	// PrefillTokensPerSecond is the prefill rate in tokens a second.
+	PrefillTokensPerSecond float64
+	// AttentionTimePerMillionPairs is the time for a million pairs of a prompt token and an
 	// earlier one.
-	PairsPerMillion time.Duration
+	AttentionTimePerMillionPairs time.Duration
 	// ReportLag is how old an engine's published load may be.
 	ReportLag time.Duration
 }
@@ -171,7 +171,7 @@
 		c.routes[host] = append(c.routes[host], r)
 		for _, part := range r.Services {
 			if s := c.services[part.Service]; s != nil {
-				s.AllowGap(r.TargetGap)
+				s.AddTargetPause(r.TargetPause)
 			}
 		}
 	}
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -9,75 +9,75 @@
 )
 
 func life(id string, born int64, revision uint64, leaving bool) *Endpoint {
-	return &Endpoint{Life: Life{id, born}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
+	return &Endpoint{Incarnation: Incarnation{id, born}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
 }
 
 // follow makes a replica that has read a store with one endpoint.
 func follow(first *Endpoint) *Replica {
 	r := NewReplica()
-	r.TakeReading(time.Now(), &Reading{At: first.Revision, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{*first}})
+	r.ApplyState(time.Now(), &StoreState{Revision: first.Revision, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{*first}})
 	return r
 }
 
 func (r *Replica) hear(changes ...Change) {
-	r.TakeChanges(time.Now(), &Changes{At: changes[len(changes)-1].Revision, Changes: changes})
+	r.ApplyChanges(time.Now(), &Changes{Revision: changes[len(changes)-1].Revision, Changes: changes})
 }
 
 // Symptom: an endpoint that was restarted gets no requests until its entry has a new ID,
 // which never comes. Sequence: it says that it leaves, ends, and starts again under its
 // ID. Cause: "leaving" was kept for the ID and not for the life.
-func TestANewLifeIsNotLeaving(t *testing.T) {
+func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	is := is.New(t)
 	r := follow(life("a", 100, 1, true))
-	is.True(r.Snapshot().Present("a") == nil)
+	is.True(r.Snapshot().EndpointByID("a") == nil)
 	r.hear(Change{Revision: 2, Endpoint: life("a", 200, 2, false)})
-	is.Equal(r.Snapshot().Present("a").Life, Life{"a", 200})
-	is.True(r.Snapshot().Endpoint(Life{"a", 100}) == nil)
+	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200})
+	is.True(r.Snapshot().Endpoint(Incarnation{"a", 100}) == nil)
 }
 
 // Symptom: requests go to an endpoint as it was before a restart. Sequence: an entry of
 // the life before is written late, after the new one's. Cause: the last entry written was
 // believed, whatever life it speaks of.
-func TestAnEntryOfAnEarlierLifeIsOldNews(t *testing.T) {
+func TestRegistrationOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := follow(life("a", 200, 2, false))
 	r.hear(Change{Revision: 3, Endpoint: life("a", 100, 3, true)})
-	is.Equal(r.Snapshot().Present("a").Life, Life{"a", 200})
-	r.hear(Change{Revision: 4, Gone: "a"})
+	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200})
+	r.hear(Change{Revision: 4, EndpointGone: "a"})
 	r.hear(Change{Revision: 5, Endpoint: life("a", 100, 5, false)})
-	is.True(r.Snapshot().Present("a") == nil) // also when nothing is listed
+	is.True(r.Snapshot().EndpointByID("a") == nil) // also when nothing is listed
 	r.hear(Change{Revision: 6, Endpoint: life("a", 200, 6, false)})
-	is.Equal(r.Snapshot().Present("a").Life, Life{"a", 200}) // it had lapsed
+	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // it had lapsed
 }
 
 // Symptom: requests reach an endpoint that is about to stop. Sequence: it says that it
 // leaves, its registration ends, and a delayed write says once more that it is ready.
-func TestALifeThatLeftDoesNotComeBack(t *testing.T) {
+func TestIncarnationThatLeftDoesNotReturn(t *testing.T) {
 	is := is.New(t)
 	r := follow(life("a", 100, 1, false))
-	r.hear(Change{Revision: 2, Endpoint: life("a", 100, 2, true)}, Change{Revision: 3, Gone: "a"}, Change{Revision: 4, Endpoint: life("a", 100, 4, false)})
-	is.True(r.Snapshot().Present("a") == nil)
+	r.hear(Change{Revision: 2, Endpoint: life("a", 100, 2, true)}, Change{Revision: 3, EndpointGone: "a"}, Change{Revision: 4, Endpoint: life("a", 100, 4, false)})
+	is.True(r.Snapshot().EndpointByID("a") == nil)
 }
 
 // Symptom: requests are sent to an address that no endpoint told of. Sequence: something
 // else writes over an endpoint's entry. The endpoint's own next entry brings it back, as
 // leaving if it was.
-func TestAnEndpointWhoseEntryIsNotItsOwnIsNotUsed(t *testing.T) {
+func TestEndpointWithForeignRegistrationIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	for _, born := range []int64{0, 100} {
 		r := follow(life("a", born, 1, false))
-		r.hear(Change{Revision: 2, Refused: "a"})
-		is.True(r.Snapshot().Present("a") == nil)
-		r.hear(Change{Revision: 3, Endpoint: life("a", born, 3, true)}, Change{Revision: 4, Refused: "a"}, Change{Revision: 5, Endpoint: life("a", born, 5, false)})
-		is.True(r.Snapshot().Present("a") == nil) // it is leaving
+		r.hear(Change{Revision: 2, InvalidEndpoint: "a"})
+		is.True(r.Snapshot().EndpointByID("a") == nil)
+		r.hear(Change{Revision: 3, Endpoint: life("a", born, 3, true)}, Change{Revision: 4, InvalidEndpoint: "a"}, Change{Revision: 5, Endpoint: life("a", born, 5, false)})
+		is.True(r.Snapshot().EndpointByID("a") == nil) // it is leaving
 	}
 	r := follow(life("a", 100, 1, false))
 	r.hear(Change{Revision: 2, Endpoint: life("a", 0, 2, false)}) // does not say when it was born
-	is.True(r.Snapshot().Present("a") == nil)
-	r.TakeReading(time.Now(), &Reading{At: 4, Endpoints: []Endpoint{*life("a", 100, 3, false)}})
-	is.True(r.Snapshot().Present("a") != nil)
-	r.TakeReading(time.Now(), &Reading{At: 5, Refused: []string{"a"}})
-	is.True(r.Snapshot().Present("a") == nil)
+	is.True(r.Snapshot().EndpointByID("a") == nil)
+	r.ApplyState(time.Now(), &StoreState{Revision: 4, Endpoints: []Endpoint{*life("a", 100, 3, false)}})
+	is.True(r.Snapshot().EndpointByID("a") != nil)
+	r.ApplyState(time.Now(), &StoreState{Revision: 5, InvalidEndpoints: []string{"a"}})
+	is.True(r.Snapshot().EndpointByID("a") == nil)
 }
 
 // storeModel is the plain reference of what the store holds and what was ever seen of
@@ -86,7 +86,7 @@
 	revision uint64
 	items    map[string]*Endpoint // nil: an entry that names no endpoint
 	newest   map[string]int64     // the latest birth seen
-	left     map[Life]bool        // said that they leave
+	left     map[Incarnation]bool // said that they leave
 }
 
 // write is the next change of the store.
@@ -97,10 +97,10 @@
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0:
 		delete(m.items, id)
-		change.Gone = id
+		change.EndpointGone = id
 	case 1:
 		m.items[id] = nil
-		change.Refused = id
+		change.InvalidEndpoint = id
 	default:
 		e := life(id, rapid.Int64Range(1, 5).Draw(t, "born"), m.revision, rapid.IntRange(0, 3).Draw(t, "leaving") == 0)
 		m.items[id] = e
@@ -111,9 +111,9 @@
 
 // see notes what a replica was told.
 func (m *storeModel) see(e *Endpoint) {
-	m.newest[e.ID] = max(m.newest[e.ID], e.Born)
+	m.newest[e.ID] = max(m.newest[e.ID], e.StartUnixMilli)
 	if e.Leaving {
-		m.left[e.Life] = true
+		m.left[e.Incarnation] = true
 	}
 }
 
@@ -121,19 +121,19 @@
 func (m *storeModel) check(t *rapid.T, r *Replica) {
 	s := r.Snapshot()
 	for _, id := range []string{"a", "b"} {
-		present, entry := s.Present(id), m.items[id]
-		if present != nil && present.Born != m.newest[id] {
-			t.Fatalf("%s is used as born %d, and %d is known", id, present.Born, m.newest[id])
+		present, entry := s.EndpointByID(id), m.items[id]
+		if present != nil && present.StartUnixMilli != m.newest[id] {
+			t.Fatalf("%s is used as born %d, and %d is known", id, present.StartUnixMilli, m.newest[id])
 		}
-		if present != nil && m.left[present.Life] {
-			t.Fatalf("%v has left and is used", present.Life)
+		if present != nil && m.left[present.Incarnation] {
+			t.Fatalf("%v has left and is used", present.Incarnation)
 		}
-		usable := entry != nil && entry.Born == m.newest[id] && !m.left[entry.Life]
+		usable := entry != nil && entry.StartUnixMilli == m.newest[id] && !m.left[entry.Incarnation]
 		if usable && present == nil {
-			t.Fatalf("%v is not used", entry.Life)
+			t.Fatalf("%v is not used", entry.Incarnation)
 		}
 		if _, there := m.items[id]; present != nil && (!there || entry == nil) {
-			t.Fatalf("%v is used, and its entry names no endpoint", present.Life)
+			t.Fatalf("%v is used, and its entry names no endpoint", present.Incarnation)
 		}
 	}
 }
@@ -141,25 +141,25 @@
 // Whatever is written in whatever order, told as changes or as a whole reading, once or
 // twice: only the newest life of an ID is used, never after it said that it leaves, and
 // always while its own entry stands.
-func TestAReplicaUsesTheNewestLives(t *testing.T) {
+func TestReplicaUsesNewestIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &storeModel{items: map[string]*Endpoint{}, newest: map[string]int64{}, left: map[Life]bool{}}
+		m := &storeModel{items: map[string]*Endpoint{}, newest: map[string]int64{}, left: map[Incarnation]bool{}}
 		r := NewReplica()
-		r.TakeReading(time.Now(), &Reading{Config: config(1), ConfigRevision: 1})
+		r.ApplyState(time.Now(), &StoreState{Config: config(1), ConfigRevision: 1})
 		var last Change
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "how") {
 			case 0:
-				reading := &Reading{At: m.revision}
+				reading := &StoreState{Revision: m.revision}
 				for id, e := range m.items {
 					if e == nil {
-						reading.Refused = append(reading.Refused, id)
+						reading.InvalidEndpoints = append(reading.InvalidEndpoints, id)
 						continue
 					}
 					reading.Endpoints = append(reading.Endpoints, *e)
 					m.see(e)
 				}
-				r.TakeReading(time.Now(), reading)
+				r.ApplyState(time.Now(), reading)
 			case 1:
 				if last.Revision > 0 {
 					r.hear(last) // told twice
--- a/directory/registry.go
+++ b/directory/registry.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrLapsed is returned when a registration's lease has ended.
-var ErrLapsed = errors.New("directory: the lease has ended")
+// ErrLeaseExpired is returned when a registration's lease has ended.
+var ErrLeaseExpired = errors.New("directory: the lease has ended")
 
 // Node is one of the system's own processes.
 type Node struct {
@@ -39,7 +39,7 @@
 	Renew(ctx context.Context, lease uint64) error
 	// Deregister ends the lease, and with it the entry.
 	Deregister(ctx context.Context, lease uint64) error
-	// Keep writes a record for ttl; one of its name that is there stays as it is. After an error
+	// CreateRecord writes a record for ttl; one of its name that is there stays as it is. After an error
 	// it may be there.
-	Keep(ctx context.Context, r Record, ttl time.Duration) error
+	CreateRecord(ctx context.Context, r Record, ttl time.Duration) error
 }
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Life names one life of an endpoint: an endpoint may start again under the ID that it
+// Incarnation names one life of an endpoint: an endpoint may start again under the ID that it
 // had, and then knows and holds nothing of before. Whatever is remembered of an endpoint
 // (its load, its connections, that it refused work, the memory reserved there) is
 // remembered by its life, so that nothing of it is believed of the next one.
-type Life struct {
+type Incarnation struct {
 	// ID is what requests and orders name the endpoint by.
 	ID string
-	// Born is when this life began, in Unix milliseconds by the endpoint's own clock. 0:
+	// StartUnixMilli is when this life began, in Unix milliseconds by the endpoint's own clock. 0:
 	// its registration does not say, and ID alone tells lives apart.
-	Born int64
+	StartUnixMilli int64
 }
 
 // String gives the life's name in logs and hashes.
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartUnixMilli == 0 {
 		return l.ID
 	}
-	return l.ID + "/" + strconv.FormatInt(l.Born, 10)
+	return l.ID + "/" + strconv.FormatInt(l.StartUnixMilli, 10)
 }
 
 // Endpoint is one life of an endpoint as it registered itself.
 type Endpoint struct {
-	Life
+	Incarnation
 	// Service, Addr (IP number and port) and DataCentre tell what it is and where.
 	Service, Addr, DataCentre string
 	// Slots is how many requests it works on at once.
@@ -40,27 +40,27 @@
 	Revision uint64
 }
 
-// Reading is a whole linearizable reading of the store.
-type Reading struct {
-	// At is the store's revision when the reading began: following goes on from it.
-	At uint64
+// StoreState is a whole linearizable reading of the store.
+type StoreState struct {
+	// Revision is the store's revision when the reading began: following goes on from it.
+	Revision uint64
 	// Config is the newest configuration; nil when there is none yet.
 	Config *Config
 	// ConfigRevision is the store's revision of Config.
 	ConfigRevision uint64
 	Endpoints      []Endpoint
-	// Refused are the IDs of endpoints whose registrations cannot be used.
-	Refused []string
+	// InvalidEndpoints are the IDs of endpoints whose registrations cannot be used.
+	InvalidEndpoints []string
 	// Nodes are the system's own processes.
 	Nodes []Node
 	// Records are what nodes have left; some of the last seconds may be missing.
 	Records []Record
-	// Faults lists what could not be decoded.
-	Faults []Fault
+	// InvalidItems lists what could not be decoded.
+	InvalidItems []InvalidItem
 }
 
-// Fault is an item of the store that could not be decoded.
-type Fault struct {
+// InvalidItem is an item of the store that could not be decoded.
+type InvalidItem struct {
 	Key      string
 	Revision uint64
 	Err      error
@@ -72,11 +72,11 @@
 	Revision uint64
 	Config   *Config
 	Endpoint *Endpoint
-	// Gone is the ID of an endpoint whose registration ended.
-	Gone string
-	// Refused is the ID of an endpoint whose registration cannot be used; it was written
+	// EndpointGone is the ID of an endpoint whose registration ended.
+	EndpointGone string
+	// InvalidEndpoint is the ID of an endpoint whose registration cannot be used; it was written
 	// by something else, or the endpoint is of a kind that this node does not know.
-	Refused string
+	InvalidEndpoint string
 	// Node is a node that registered itself; NodeGone the name of one whose
 	// registration ended.
 	Node     *Node
@@ -87,17 +87,17 @@
 
 // Changes is what happened after a revision.
 type Changes struct {
-	// At is the revision to go on from.
-	At      uint64
-	Changes []Change
-	Faults  []Fault
+	// Revision is the revision to go on from.
+	Revision     uint64
+	Changes      []Change
+	InvalidItems []InvalidItem
 }
 
-// Listed is an endpoint with what the replica believes of it.
-type Listed struct {
+// EndpointState is an endpoint with what the replica believes of it.
+type EndpointState struct {
 	Endpoint
-	// Missing is when its registration was first seen gone; zero: it is listed.
-	Missing time.Time
+	// MissingSince is when its registration was first seen gone; zero: it is listed.
+	MissingSince time.Time
 	// Position is its number among the endpoints of its service, in the order of a snapshot.
 	Position int
 }
@@ -120,7 +120,7 @@
 	at             uint64
 	config         *Config
 	configRevision uint64
-	endpoints      map[string]*Listed
+	endpoints      map[string]*EndpointState
 	nodes          map[string]Node
 	// ended remembers, by ID, the last life whose registration ended, so that an old
 	// registration does not return.
@@ -141,24 +141,24 @@
 
 // NewReplica makes a replica that knows nothing.
 func NewReplica() *Replica {
-	return &Replica{endpoints: map[string]*Listed{}, nodes: map[string]Node{}, ended: map[string]ending{}}
+	return &Replica{endpoints: map[string]*EndpointState{}, nodes: map[string]Node{}, ended: map[string]ending{}}
 }
 
-// At is the revision up to which changes are known.
-func (r *Replica) At() uint64 { return r.at }
+// Revision is the revision up to which changes are known.
+func (r *Replica) Revision() uint64 { return r.at }
 
-// Whole tells whether one whole reading was taken in and has a configuration.
-func (r *Replica) Whole() bool { return r.whole && r.config != nil }
+// Ready tells whether one whole reading was taken in and has a configuration.
+func (r *Replica) Ready() bool { return r.whole && r.config != nil }
 
-// NoteOutageEnd marks that the store answers again after it did not.
-func (r *Replica) NoteOutageEnd(now time.Time) { r.outageEnd = now }
+// SetOutageEnd marks that the store answers again after it did not.
+func (r *Replica) SetOutageEnd(now time.Time) { r.outageEnd = now }
 
-// TakeReading takes a whole reading in: what it does not list is gone.
-func (r *Replica) TakeReading(now time.Time, reading *Reading) {
-	if reading.At < r.at {
+// ApplyState takes a whole reading in: what it does not list is gone.
+func (r *Replica) ApplyState(now time.Time, reading *StoreState) {
+	if reading.Revision < r.at {
 		return
 	}
-	r.at = reading.At
+	r.at = reading.Revision
 	if reading.Config != nil {
 		r.takeConfig(reading.Config, reading.ConfigRevision)
 	}
@@ -167,12 +167,12 @@
 		listed[reading.Endpoints[i].ID] = true
 		r.takeEndpoint(&reading.Endpoints[i])
 	}
-	for _, id := range reading.Refused {
-		r.takeRefused(id, reading.At)
+	for _, id := range reading.InvalidEndpoints {
+		r.takeRefused(id, reading.Revision)
 	}
 	for id, e := range r.endpoints {
-		if !listed[id] && e.Revision <= reading.At {
-			r.takeGone(now, id, reading.At)
+		if !listed[id] && e.Revision <= reading.Revision {
+			r.takeGone(now, id, reading.Revision)
 		}
 	}
 	clear(r.nodes)
@@ -182,8 +182,8 @@
 	r.whole = true
 }
 
-// TakeChanges takes in what followed the last reading or changes.
-func (r *Replica) TakeChanges(now time.Time, changes *Changes) {
+// ApplyChanges takes in what followed the last reading or changes.
+func (r *Replica) ApplyChanges(now time.Time, changes *Changes) {
 	for i := range changes.Changes {
 		change := &changes.Changes[i]
 		switch {
@@ -191,17 +191,17 @@
 			r.takeConfig(change.Config, change.Revision)
 		case change.Endpoint != nil:
 			r.takeEndpoint(change.Endpoint)
-		case change.Gone != "":
-			r.takeGone(now, change.Gone, change.Revision)
-		case change.Refused != "":
-			r.takeRefused(change.Refused, change.Revision)
+		case change.EndpointGone != "":
+			r.takeGone(now, change.EndpointGone, change.Revision)
+		case change.InvalidEndpoint != "":
+			r.takeRefused(change.InvalidEndpoint, change.Revision)
 		case change.Node != nil:
 			r.nodes[change.Node.Name] = *change.Node
 		case change.NodeGone != "":
 			delete(r.nodes, change.NodeGone)
 		}
 	}
-	r.at = max(r.at, changes.At)
+	r.at = max(r.at, changes.Revision)
 }
 
 func (r *Replica) takeConfig(config *Config, revision uint64) {
@@ -222,32 +222,32 @@
 	switch {
 	case e.Revision < known.Revision:
 		return
-	case e.Born == 0 && known.Born != 0:
+	case e.StartUnixMilli == 0 && known.StartUnixMilli != 0:
 		// Endpoints that say when they were born always do: this is another's writing.
 		r.takeRefused(e.ID, e.Revision)
 		return
-	case e.Born < known.Born:
+	case e.StartUnixMilli < known.StartUnixMilli:
 		return
-	case e.Born > known.Born:
-		r.endpoints[e.ID] = &Listed{Endpoint: *e}
+	case e.StartUnixMilli > known.StartUnixMilli:
+		r.endpoints[e.ID] = &EndpointState{Endpoint: *e}
 		return
 	}
 	leaving := known.Leaving
 	known.Endpoint = *e
 	known.Leaving = known.Leaving || leaving
-	known.Missing = time.Time{}
+	known.MissingSince = time.Time{}
 }
 
 // takeUnlisted takes in a registration of an endpoint that is not listed. A life that was
 // leaving when its registration ended is leaving still; where lives are not told apart by
 // their birth, what registers after that is taken for another one.
 func (r *Replica) takeUnlisted(e *Endpoint) {
-	listed := &Listed{Endpoint: *e}
+	listed := &EndpointState{Endpoint: *e}
 	if last, found := r.ended[e.ID]; found {
-		if e.Revision <= last.revision || e.Born < last.born {
+		if e.Revision <= last.revision || e.StartUnixMilli < last.born {
 			return
 		}
-		sameLife := e.Born == last.born && (e.Born != 0 || last.refused)
+		sameLife := e.StartUnixMilli == last.born && (e.StartUnixMilli != 0 || last.refused)
 		listed.Leaving = listed.Leaving || last.leaving && sameLife
 	}
 	r.endpoints[e.ID] = listed
@@ -265,8 +265,8 @@
 		delete(r.endpoints, id)
 		return
 	}
-	if known.Missing.IsZero() {
-		known.Missing = now
+	if known.MissingSince.IsZero() {
+		known.MissingSince = now
 	}
 }
 
@@ -284,20 +284,20 @@
 	delete(r.endpoints, id)
 }
 
-func (r *Replica) noteEnd(e *Listed, revision uint64) {
-	r.ended[e.ID] = ending{born: e.Born, revision: max(r.ended[e.ID].revision, revision), leaving: e.Leaving}
+func (r *Replica) noteEnd(e *EndpointState, revision uint64) {
+	r.ended[e.ID] = ending{born: e.StartUnixMilli, revision: max(r.ended[e.ID].revision, revision), leaving: e.Leaving}
 }
 
 // maxEnded bounds the memory of ended lives. Beyond it all are forgotten: a reading that
 // is older than the last is refused as a whole, which alone keeps old lives away.
 const maxEnded = 20_000
 
-// Expire drops endpoints that have been missing for longer than the grace. It tells
+// ExpireMissing drops endpoints that have been missing for longer than the grace. It tells
 // whether anything changed.
-func (r *Replica) Expire(now time.Time) bool {
+func (r *Replica) ExpireMissing(now time.Time) bool {
 	changed := false
 	for id, e := range r.endpoints {
-		if !e.Missing.IsZero() && now.Sub(e.Missing) > lapseGrace {
+		if !e.MissingSince.IsZero() && now.Sub(e.MissingSince) > lapseGrace {
 			delete(r.endpoints, id)
 			changed = true
 		}
@@ -312,39 +312,39 @@
 type Snapshot struct {
 	// Config is nil until the node knows one.
 	Config *Config
-	// At is the store's revision that the snapshot reflects.
-	At uint64
+	// Revision is the store's revision that the snapshot reflects.
+	Revision uint64
 	// services lists the endpoints of each service, leaving ones left out, sorted
 	// by ID.
-	services map[string][]*Listed
-	byID     map[string]*Listed
+	services map[string][]*EndpointState
+	byID     map[string]*EndpointState
 	// Nodes are the system's own registered processes, sorted by name.
 	Nodes []Node
 }
 
-// Empty is a snapshot that knows nothing.
-func Empty() *Snapshot { return &Snapshot{} }
+// EmptySnapshot is a snapshot that knows nothing.
+func EmptySnapshot() *Snapshot { return &Snapshot{} }
 
 // Endpoints lists the endpoints of a service that may be sent requests.
-func (s *Snapshot) Endpoints(service string) []*Listed { return s.services[service] }
+func (s *Snapshot) Endpoints(service string) []*EndpointState { return s.services[service] }
 
 // Endpoint finds a life of an endpoint that may be sent requests; nil for none.
-func (s *Snapshot) Endpoint(life Life) *Listed {
-	if e := s.byID[life.ID]; e != nil && e.Life == life {
+func (s *Snapshot) Endpoint(life Incarnation) *EndpointState {
+	if e := s.byID[life.ID]; e != nil && e.Incarnation == life {
 		return e
 	}
 	return nil
 }
 
-// Present finds the present life of an endpoint that may be sent requests; nil for none.
-func (s *Snapshot) Present(id string) *Listed { return s.byID[id] }
+// EndpointByID finds the present life of an endpoint that may be sent requests; nil for none.
+func (s *Snapshot) EndpointByID(id string) *EndpointState { return s.byID[id] }
 
 // Len is the number of endpoints that may be sent requests.
 func (s *Snapshot) Len() int { return len(s.byID) }
 
 // Snapshot makes an immutable copy.
 func (r *Replica) Snapshot() *Snapshot {
-	s := &Snapshot{At: r.at, services: map[string][]*Listed{}, byID: map[string]*Listed{}}
+	s := &Snapshot{Revision: r.at, services: map[string][]*EndpointState{}, byID: map[string]*EndpointState{}}
 	if r.whole {
 		s.Config = r.config
 	}
@@ -361,7 +361,7 @@
 	}
 	slices.SortFunc(s.Nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	for _, list := range s.services {
-		slices.SortFunc(list, func(a, b *Listed) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(list, func(a, b *EndpointState) int { return cmp.Compare(a.ID, b.ID) })
 		for i, listed := range list {
 			listed.Position = i
 		}
--- a/directory/replica_test.go
+++ b/directory/replica_test.go
@@ -11,13 +11,13 @@
 func config(version uint64) *Config { return NewConfig(version, Limits{}, nil, nil, nil) }
 
 func endpoint(id string, revision uint64, leaving bool) Endpoint {
-	return Endpoint{Life: Life{ID: id}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
+	return Endpoint{Incarnation: Incarnation{ID: id}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
 }
 
 // Symptom: a revoked key works again, or an endpoint that is stopping gets requests.
 // Sequence: readings that are behind, late answers, changes told twice, in any order.
 // Cause, were it there: believing the last answer more than the newest.
-func TestAReplicaOnlyMovesForward(t *testing.T) {
+func TestReplicaOnlyMovesForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
 		now := time.Now()
@@ -30,14 +30,14 @@
 			edited := rapid.Uint64Range(1, 10).Draw(t, "version")
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				r.TakeReading(now, &Reading{At: revision, Config: config(edited), ConfigRevision: revision, Endpoints: []Endpoint{endpoint(id, revision, leaving)}})
+				r.ApplyState(now, &StoreState{Revision: revision, Config: config(edited), ConfigRevision: revision, Endpoints: []Endpoint{endpoint(id, revision, leaving)}})
 			case 1:
 				e := endpoint(id, revision, leaving)
-				r.TakeChanges(now, &Changes{At: revision, Changes: []Change{{Revision: revision, Endpoint: &e}}})
+				r.ApplyChanges(now, &Changes{Revision: revision, Changes: []Change{{Revision: revision, Endpoint: &e}}})
 			case 2:
-				r.TakeChanges(now, &Changes{At: revision, Changes: []Change{{Revision: revision, Config: config(edited)}}})
+				r.ApplyChanges(now, &Changes{Revision: revision, Changes: []Change{{Revision: revision, Config: config(edited)}}})
 			case 3:
-				r.TakeChanges(now, &Changes{At: revision, Changes: []Change{{Revision: revision, Gone: id}}})
+				r.ApplyChanges(now, &Changes{Revision: revision, Changes: []Change{{Revision: revision, EndpointGone: id}}})
 			}
 			s := r.Snapshot()
 			if s.Config != nil {
@@ -47,7 +47,7 @@
 				version = s.Config.Version
 			}
 			for id := range left {
-				if known := r.endpoints[id]; known != nil && s.Present(id) != nil {
+				if known := r.endpoints[id]; known != nil && s.EndpointByID(id) != nil {
 					t.Fatalf("%s takes requests again", id)
 				}
 			}
@@ -67,63 +67,63 @@
 
 // Symptom: nothing is served after an outage of the store. Sequence: all registrations
 // lapse while endpoints cannot renew them, and are back within two seconds.
-func TestLapsedEndpointsAreKeptForAWhileAfterAnOutage(t *testing.T) {
+func TestLapsedEndpointsAreKeptAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
 	now := time.Now()
 	e := endpoint("a", 1, false)
-	r.TakeReading(now, &Reading{At: 1, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{e}})
-	r.NoteOutageEnd(now)
-	r.TakeChanges(now, &Changes{At: 2, Changes: []Change{{Revision: 2, Gone: "a"}}})
-	is.True(!r.Snapshot().Present("a").Missing.IsZero()) // a last resort
-	is.True(!r.Expire(now.Add(time.Second)))
-	is.True(r.Expire(now.Add(2 * time.Second)))
-	is.True(r.Snapshot().Present("a") == nil)
+	r.ApplyState(now, &StoreState{Revision: 1, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{e}})
+	r.SetOutageEnd(now)
+	r.ApplyChanges(now, &Changes{Revision: 2, Changes: []Change{{Revision: 2, EndpointGone: "a"}}})
+	is.True(!r.Snapshot().EndpointByID("a").MissingSince.IsZero()) // a last resort
+	is.True(!r.ExpireMissing(now.Add(time.Second)))
+	is.True(r.ExpireMissing(now.Add(2 * time.Second)))
+	is.True(r.Snapshot().EndpointByID("a") == nil)
 	back := endpoint("a", 5, false)
-	r.TakeChanges(now, &Changes{At: 5, Changes: []Change{{Revision: 5, Endpoint: &back}}})
-	is.True(r.Snapshot().Present("a").Missing.IsZero())
+	r.ApplyChanges(now, &Changes{Revision: 5, Changes: []Change{{Revision: 5, Endpoint: &back}}})
+	is.True(r.Snapshot().EndpointByID("a").MissingSince.IsZero())
 }
 
-func TestAnEndpointThatIsGoneIsGoneAtOnceWithoutAnOutage(t *testing.T) {
+func TestRemovedEndpointIsDroppedAtOnceWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
 	now := time.Now()
-	r.TakeReading(now, &Reading{At: 1, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{endpoint("a", 1, false), endpoint("b", 1, false)}})
-	r.TakeReading(now, &Reading{At: 3, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{endpoint("b", 1, false)}})
-	is.True(r.Snapshot().Present("a") == nil)
+	r.ApplyState(now, &StoreState{Revision: 1, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{endpoint("a", 1, false), endpoint("b", 1, false)}})
+	r.ApplyState(now, &StoreState{Revision: 3, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{endpoint("b", 1, false)}})
+	is.True(r.Snapshot().EndpointByID("a") == nil)
 	is.Equal(r.Snapshot().Len(), 1)
 	is.Equal(len(r.Snapshot().Endpoints("s")), 1)
 }
 
-func TestNothingIsBelievedBeforeAWholeReading(t *testing.T) {
+func TestReplicaIsNotReadyBeforeWholeState(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
-	r.TakeChanges(time.Now(), &Changes{At: 2, Changes: []Change{{Revision: 2, Config: config(2)}}})
+	r.ApplyChanges(time.Now(), &Changes{Revision: 2, Changes: []Change{{Revision: 2, Config: config(2)}}})
 	is.True(r.Snapshot().Config == nil)
-	is.True(!r.Whole())
+	is.True(!r.Ready())
 }
 
 func TestRoutesAreSplitByWeight(t *testing.T) {
 	is := is.New(t)
 	route := Route{Services: []WeightedService{{"a", 90}, {"b", 10}, {"c", 0}}}
-	is.Equal(route.Pick(0), "a")
-	is.Equal(route.Pick(0.899), "a")
-	is.Equal(route.Pick(0.901), "b")
-	is.Equal(route.Pick(0.9999), "b")
-	is.Equal((&Route{}).Pick(0.5), "")
-	is.Equal((&Route{Services: []WeightedService{{"a", 0}}}).Pick(0.5), "")
+	is.Equal(route.PickService(0), "a")
+	is.Equal(route.PickService(0.899), "a")
+	is.Equal(route.PickService(0.901), "b")
+	is.Equal(route.PickService(0.9999), "b")
+	is.Equal((&Route{}).PickService(0.5), "")
+	is.Equal((&Route{Services: []WeightedService{{"a", 0}}}).PickService(0.5), "")
 }
 
-func TestAServiceKnowsThePausesThatItsRoutesAllow(t *testing.T) {
+func TestServiceHasRangeOfTargetPauses(t *testing.T) {
 	is := is.New(t)
 	routes := []*Route{
-		{Name: "a", TargetGap: 600 * time.Millisecond, Services: []WeightedService{{"m", 1}}},
-		{Name: "b", TargetGap: 250 * time.Millisecond, Services: []WeightedService{{"m", 1}, {"n", 1}}},
+		{Name: "a", TargetPause: 600 * time.Millisecond, Services: []WeightedService{{"m", 1}}},
+		{Name: "b", TargetPause: 250 * time.Millisecond, Services: []WeightedService{{"m", 1}, {"n", 1}}},
 		{Name: "c", Services: []WeightedService{{"m", 1}, {"unlisted", 1}}},
 	}
 	c := NewConfig(1, Limits{}, []*Service{{Name: "m"}, {Name: "n"}}, routes, nil)
-	is.Equal(c.Service("m").ShortestGap, 250*time.Millisecond)
-	is.Equal(c.Service("m").LongestGap, 600*time.Millisecond)
-	is.Equal(c.Service("n").LongestGap, 250*time.Millisecond)
-	is.Equal(c.Service("unlisted").ShortestGap, time.Duration(0))
+	is.Equal(c.Service("m").MinTargetPause, 250*time.Millisecond)
+	is.Equal(c.Service("m").MaxTargetPause, 600*time.Millisecond)
+	is.Equal(c.Service("n").MaxTargetPause, 250*time.Millisecond)
+	is.Equal(c.Service("unlisted").MinTargetPause, time.Duration(0))
 }
--- a/directory/source.go
+++ b/directory/source.go
@@ -17,10 +17,10 @@
 // Source is where the state comes from.
 type Source interface {
 	// Read gives the whole state, linearizable.
-	Read(ctx context.Context) (*Reading, error)
-	// Follow returns as soon as something happened after a revision, or after wait
+	Read(ctx context.Context) (*StoreState, error)
+	// Watch returns as soon as something happened after a revision, or after wait
 	// with nothing. Errors: ErrHistoryGone, ErrUnavailable.
-	Follow(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
-	// Reset drops idle connections, of which some may have gone silent.
-	Reset()
+	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
+	// CloseIdleConnections drops idle connections, of which some may have gone silent.
+	CloseIdleConnections()
 }
--- a/entry/api.go
+++ b/entry/api.go
@@ -157,7 +157,7 @@
 	if work.MaxOutputTokens > 0 && maxTokens > work.MaxOutputTokens {
 		return 0, result.Refuse(result.BadField, 0, "max_tokens: %d; this kind of work allows %d", maxTokens, work.MaxOutputTokens)
 	}
-	c.promptTokens, c.outputTokens = admission.CountTokens(prompt), maxTokens
+	c.promptTokens, c.outputTokens = admission.EstimateTokens(prompt), maxTokens
 	if work.MaxPromptTokens > 0 && c.promptTokens > work.MaxPromptTokens {
 		return 0, result.Refuse(result.PromptTooLong, 0, "%d tokens; this kind of work allows %d", c.promptTokens, work.MaxPromptTokens)
 	}
--- a/entry/control.go
+++ b/entry/control.go
@@ -46,14 +46,14 @@
 	return c
 }
 
-// Fill implements membership.Delegate.
-func (c *control) Fill(_ time.Time, h *wire.Heartbeat) {
+// FillHeartbeat implements membership.Delegate.
+func (c *control) FillHeartbeat(_ time.Time, h *wire.Heartbeat) {
 	h.OperatorsAddr = c.entry.settings.OperatorsListen
 	c.entry.catalogue.Fill(h)
 }
 
-// Heard implements membership.Delegate.
-func (c *control) Heard(now time.Time, h *wire.Heartbeat) {
+// HandleHeartbeat implements membership.Delegate.
+func (c *control) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	c.entry.catalogue.Heard(h)
 	if h.Role == membership.RoleAgent {
 		delete(c.failed, h.Node)
@@ -114,7 +114,7 @@
 func (c *control) publish(members *membership.View) {
 	endpoints := make([]routing.Endpoint, 0, len(members.Members))
 	for name, m := range members.Members {
-		if m.Role() != membership.RoleAgent || m.Last == nil {
+		if m.Role() != membership.RoleAgent || m.LastHeartbeat == nil {
 			continue
 		}
 		endpoints = append(endpoints, c.endpoint(name, m))
@@ -129,7 +129,7 @@
 }
 
 func (c *control) endpoint(name string, m *membership.Member) routing.Endpoint {
-	h := m.Last
+	h := m.LastHeartbeat
 	endpoint := routing.Endpoint{
 		Name: name, Addr: h.Addr, DataCentre: h.DataCentre, EngineAddr: h.EngineAddr, Incarnation: h.Incarnation,
 		Models: h.Models, Services: h.Services, Suspect: m.Suspect || !c.failed[name].IsZero(), Leaving: m.Leaving,
@@ -145,7 +145,7 @@
 	endpoint.FreeMemory = int(known.load.FreeMemoryTokens)
 	endpoint.Reported = known.at
 	for level, tokens := range known.load.BacklogTokens {
-		if level < admission.Levels {
+		if level < admission.LevelCount {
 			endpoint.Backlog[level] = int(tokens)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -45,7 +45,7 @@
 	control   *control
 	policy    *routing.Policy
 	limiter   *admission.Limiter
-	budgets   map[admission.Class]*admission.Budget
+	budgets   map[admission.Class]*admission.RetryBudget
 	inFlight  *inFlight
 	recent    *recent
 	// objectives counts good and bad events for the report on service-level burn.
@@ -65,10 +65,10 @@
 	e := &Entry{
 		settings: s, log: log, metrics: metrics.NewSet(), store: client, list: client,
 		clients: clients, catalogue: node.NewCatalogue(clients, log), limiter: admission.NewLimiter(),
-		budgets: map[admission.Class]*admission.Budget{}, inFlight: newInFlight(), recent: newRecent(), objectives: window.New(),
+		budgets: map[admission.Class]*admission.RetryBudget{}, inFlight: newInFlight(), recent: newRecent(), objectives: window.New(),
 	}
 	for _, class := range []admission.Class{admission.Urgent, admission.Normal, admission.Bulk} {
-		e.budgets[class] = admission.NewBudget()
+		e.budgets[class] = admission.NewRetryBudget()
 	}
 	policy, err := routing.New(s.Policy, globalRand{}, e.inFlight)
 	if err != nil {
@@ -121,7 +121,7 @@
 			failures <- errors.Wrap(err, "serve callers")
 		}
 	}()
-	go e.loop.FollowList(ctx, e.list, e.settings.ListInterval.D())
+	go e.loop.PollList(ctx, e.list, e.settings.ListInterval.D())
 	go e.followStore(ctx)
 	go e.keepers.run(ctx)
 	go e.lending.run(ctx)
@@ -160,7 +160,7 @@
 	e.log.Info("draining", zap.Int64("active", e.active.Load()), zap.Duration("at_most", e.settings.DrainTimeout.D()))
 	e.draining.Store(true)
 	e.loop.Leave()
-	e.conns.EndKeepAlive()
+	e.conns.DisableKeepAlives()
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout.D())
 	defer cancel()
 	go func() {
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -60,7 +60,7 @@
 	for {
 		failure := g.attempt(ctx)
 		if failure == nil {
-			g.entry.budgets[g.call.class()].Success()
+			g.entry.budgets[g.call.class()].RecordSuccess()
 			return nil
 		}
 		g.ran = worse(g.ran, failure.Ran)
@@ -234,7 +234,7 @@
 // broken says what is known after a stream broke. The agent is asked once: if
 // the order had not started, it never will, and its place is free.
 func (g *generation) broken(endpoint *routing.Endpoint, reservation *wire.Reservation, err error) *result.Error {
-	failure := result.From(err)
+	failure := result.FromError(err)
 	if failure.Code == result.Internal {
 		failure = result.Fail(result.EndpointFailed, result.RanUnknown, "%s: %v", endpoint.Name, err)
 	}
--- a/entry/keeper.go
+++ b/entry/keeper.go
@@ -111,13 +111,13 @@
 	var reports []power.Report
 	known := map[string]bool{}
 	for name, m := range members.Members {
-		if m.Last == nil || m.Last.Power == nil || !inSite[m.DataCentre()] {
+		if m.LastHeartbeat == nil || m.LastHeartbeat.Power == nil || !inSite[m.DataCentre()] {
 			continue
 		}
 		known[name] = true
-		p := m.Last.Power
+		p := m.LastHeartbeat.Power
 		reports = append(reports, power.Report{
-			Endpoint: name, Incarnation: m.Last.Incarnation, Floor: p.FloorWatts, Max: p.MaxWatts, Want: p.WantWatts,
+			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, Floor: p.FloorWatts, Max: p.MaxWatts, Want: p.WantWatts,
 			Limit: p.LimitWatts, Revision: p.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && k.gone(now, name, members),
 		})
 	}
@@ -134,16 +134,16 @@
 // still draw its watts.
 func (k *keeper) gone(now time.Time, name string, members *membership.View) bool {
 	m := members.Members[name]
-	if members.ListRead.IsZero() || (m != nil && m.Listed) {
+	if members.ListReadAt.IsZero() || (m != nil && m.Listed) {
 		delete(k.missing, name)
 		return false
 	}
 	since, found := k.missing[name]
 	if !found {
-		k.missing[name] = members.ListRead
+		k.missing[name] = members.ListReadAt
 		return false
 	}
-	return members.ListRead.Sub(since) > k.entry.settings.ListLag.D()
+	return members.ListReadAt.Sub(since) > k.entry.settings.ListLag.D()
 }
 
 // send tells the agents of grants that they do not have yet.
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -30,18 +30,18 @@
 	// lender and shares are guarded by mu: lend runs on RPC threads, share on
 	// callers' threads.
 	lender *admission.Lender
-	shares *admission.Shares
+	shares *admission.Borrower
 }
 
 func newLending(e *Entry) *lending {
-	return &lending{entry: e, lender: admission.NewLender(time.Now()), shares: admission.NewShares()}
+	return &lending{entry: e, lender: admission.NewLender(time.Now()), shares: admission.NewBorrower()}
 }
 
 // share is this entry's part of an account's limits, 0 to 1.
 func (l *lending) share(account string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shares.Of(time.Now(), account, int(l.entry.control.entries.Load()))
+	return l.shares.Share(time.Now(), account, int(l.entry.control.entries.Load()))
 }
 
 // lend answers another entry, or this one, that asks this one as a home.
@@ -51,7 +51,7 @@
 	defer l.mu.Unlock()
 	response := &wire.BorrowResponse{}
 	for _, asked := range request.Accounts {
-		share := l.lender.Borrow(now, asked.Account, request.Entry, float64(asked.Demand)/permille)
+		share := l.lender.Lend(now, asked.Account, request.Entry, float64(asked.Demand)/permille)
 		response.Accounts = append(response.Accounts, &wire.AccountShare{Account: asked.Account, Permille: uint32(share * permille)})
 	}
 	return response
@@ -74,7 +74,7 @@
 	homes := l.homes()
 	requests := map[string]*wire.BorrowRequest{}
 	view := l.entry.catalogue.View()
-	for account, arrived := range l.entry.limiter.Demand(now, idleAccount) {
+	for account, arrived := range l.entry.limiter.TakeDemand(now, idleAccount) {
 		record := view.Get(catalogue.TypeAccount, account)
 		if record == nil || record.Account.Limits == (catalogue.Limits{}) {
 			continue
@@ -131,6 +131,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, lent := range response.Accounts {
-		l.shares.Lent(asked, lent.Account, float64(lent.Permille)/permille)
+		l.shares.SetLoan(asked, lent.Account, float64(lent.Permille)/permille)
 	}
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -74,12 +74,12 @@
 		if failure != nil {
 			return reply{}, failure
 		}
-		switch attempt.Judge(claim, o.digest) {
+		switch attempt.ActionFor(claim, o.digest) {
 		case attempt.Mismatch:
 			return reply{}, result.Refuse(result.KeyReused, 0, "the key was used for another request")
 		case attempt.Replay:
 			return replay(claim)
-		case attempt.StayUnknown:
+		case attempt.ReportUnknown:
 			return reply{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "nobody can tell whether an earlier request with this key ran")
 		case attempt.AskAgent:
 			answer, failure, settled := o.settle(ctx, claim)
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -105,7 +105,7 @@
 func (e *Entry) deleteRecord(w http.ResponseWriter, r *http.Request, c *call, operator string) {
 	record := &catalogue.Record{Type: catalogue.Type(r.PathValue("type")), ID: r.PathValue("id"), Owner: operator, Deleted: true}
 	if faults := record.Check(); len(faults) > 0 {
-		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "%v", settings.Faults(faults)))
+		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "%v", settings.FieldErrors(faults)))
 		return
 	}
 	e.edit(w, r, c, operator, record)
@@ -250,18 +250,18 @@
 	switch {
 	case m.Leaving:
 		status.State = "leaving"
-	case m.Last == nil:
+	case m.LastHeartbeat == nil:
 		status.State = "listed only"
 	case m.Suspect:
 		status.State = "suspect"
 	}
-	if status.State == "live" && m.Role() == membership.RoleAgent && len(m.Last.Models)+len(m.Last.Services) == 0 {
+	if status.State == "live" && m.Role() == membership.RoleAgent && len(m.LastHeartbeat.Models)+len(m.LastHeartbeat.Services) == 0 {
 		status.State = "not serving"
 	}
-	if m.Last != nil {
-		status.Operators = m.Last.OperatorsAddr
-		status.Running, status.Queued = m.Last.Load.GetRunning(), m.Last.Load.GetQueued()
-		status.LimitWatts = m.Last.Power.GetLimitWatts()
+	if m.LastHeartbeat != nil {
+		status.Operators = m.LastHeartbeat.OperatorsAddr
+		status.Running, status.Queued = m.LastHeartbeat.Load.GetRunning(), m.LastHeartbeat.Load.GetQueued()
+		status.LimitWatts = m.LastHeartbeat.Power.GetLimitWatts()
 	}
 	return status
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -20,7 +20,7 @@
 		c.attempts++
 		answer, failure := e.callOnce(ctx, c, &request, body)
 		if failure == nil {
-			e.budgets[c.class()].Success()
+			e.budgets[c.class()].RecordSuccess()
 			return answer, nil
 		}
 		ran = worse(ran, failure.Ran)
@@ -63,7 +63,7 @@
 	defer run.close()
 	event, err := run.next()
 	if err != nil {
-		return reply{}, result.From(err)
+		return reply{}, result.FromError(err)
 	}
 	end := event.GetEnd()
 	if end == nil {
--- a/entry/span.go
+++ b/entry/span.go
@@ -66,7 +66,7 @@
 func cheapest(r *routing.Request, usable []*routing.Endpoint, need int) []*routing.Endpoint {
 	level := r.Level()
 	sort.SliceStable(usable, func(i, j int) bool {
-		return usable[i].Backlog.Before(level) < usable[j].Backlog.Before(level)
+		return usable[i].Backlog.UpTo(level) < usable[j].Backlog.UpTo(level)
 	})
 	held := 0
 	for n, e := range usable {
@@ -90,7 +90,7 @@
 	rest := g.prompt
 	for i, member := range members[:len(members)-1] {
 		after := len(members) - 1 - i
-		size := min(routing.MaxPromptTokens(member), admission.CountTokens(rest)-after)
+		size := min(routing.MaxPromptTokens(member), admission.EstimateTokens(rest)-after)
 		var part string
 		part, rest = cut(rest, size*admission.BytesPerToken)
 		held, failure := g.hold(ctx, cancel, member, part, imports)
@@ -100,7 +100,7 @@
 		}
 		imports = append(imports, held)
 	}
-	return afterParts(g.lead(ctx, members[len(members)-1], imports, admission.CountTokens(rest)), len(imports))
+	return afterParts(g.lead(ctx, members[len(members)-1], imports, admission.EstimateTokens(rest)), len(imports))
 }
 
 // afterParts says of a failed span whose first parts were prefilled that it ran: a
@@ -128,7 +128,7 @@
 // hold prefills one part and returns where its KV cache is held until ctx ends.
 func (g *generation) hold(ctx context.Context, cancel context.CancelFunc, member *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
 	r := g.routing
-	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.CountTokens(part), 0, true
+	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.EstimateTokens(part), 0, true
 	reservation, refusal := g.entry.reserve(ctx, g.call, member, &r)
 	if refusal != nil {
 		return nil, refusal
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// bufferedLines is how many lines wait for the writer, about 1 MB of them.
-const bufferedLines = 4096
+// bufferLines is how many lines wait for the writer, about 1 MB of them.
+const bufferLines = 4096
 
 // Writer hands lines to a slow writer without ever waiting for it.
 type Writer struct {
@@ -27,7 +27,7 @@
 
 // NewWriter starts writing to w.
 func NewWriter(w io.Writer) *Writer {
-	writer := &Writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
+	writer := &Writer{lines: make(chan []byte, bufferLines), done: make(chan struct{})}
 	go writer.run(w)
 	return writer
 }
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -11,43 +11,43 @@
 	"go.uber.org/zap"
 )
 
-// stuck is a writer that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that nobody reads.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
 // Symptom: the process stops answering. Sequence: nobody reads its standard output, and
 // the pipe is full. Cause, were it there: logging waits for the writer.
-func TestALogThatNobodyReadsHoldsNothingUp(t *testing.T) {
+func TestABlockedLogWriterDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	w := NewWriter(out)
 	log := New(w, "n", "r")
-	for range 3 * bufferedLines {
+	for range 3 * bufferLines {
 		log.Info("e")
 	}
-	is.True(w.Dropped() >= bufferedLines)
+	is.True(w.Dropped() >= bufferLines)
 	close(out.release)
 }
 
-type buffer struct {
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
 // All lines of a request are written or none, and always those of one that failed.
-func TestRequestLogsAreWholeOrLeftOut(t *testing.T) {
+func TestRequestLogsAreWrittenWholeOrNotAtAll(t *testing.T) {
 	is := is.New(t)
-	var out buffer
+	var out lockedBuffer
 	w := NewWriter(&out)
 	logs := NewRequestLogs(New(w, "n", "r"))
 	const requests = 10 * requestBurst
--- a/eventlog/requestlog.go
+++ b/eventlog/requestlog.go
@@ -20,16 +20,16 @@
 // RequestLogs decides which requests' lines are written: all lines of a request or none,
 // so that what is there of a request is whole. Safe for concurrent use.
 type RequestLogs struct {
-	log     *zap.Logger
-	mu      sync.Mutex
-	tokens  float64
-	at      time.Time
-	skipped uint64
+	log        *zap.Logger
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	skipped    uint64
 }
 
 // NewRequestLogs makes a keeper of requests' lines.
 func NewRequestLogs(log *zap.Logger) *RequestLogs {
-	return &RequestLogs{log: log, tokens: requestBurst, at: time.Now()}
+	return &RequestLogs{log: log, tokens: requestBurst, refilledAt: time.Now()}
 }
 
 // Skipped counts requests that ended well and whose lines were left out.
@@ -42,8 +42,8 @@
 func (s *RequestLogs) allow(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tokens = min(requestBurst, s.tokens+now.Sub(s.at).Seconds()*requestsPerSecond)
-	s.at = now
+	s.tokens = min(requestBurst, s.tokens+now.Sub(s.refilledAt).Seconds()*requestsPerSecond)
+	s.refilledAt = now
 	if s.tokens < 1 {
 		s.skipped++
 		return false
--- a/gateway/answers_test.go
+++ b/gateway/answers_test.go
@@ -14,9 +14,9 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-func TestAnAnswerIsPassedOnAsItWasGiven(t *testing.T) {
+func TestAResponseIsRelayedUnchanged(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	r := s.request(http.MethodPost, "/once/a?x=1%20y", "q1", "hello")
 	r.Header.Set("X-Aspenyard-Tenant", "forged")
 	r.Header.Set("X-Aspenyard-Request-Priority", "0")
@@ -35,9 +35,9 @@
 	is.True(run.DeadlineMS > 0 && run.DeadlineMS <= 15000)
 }
 
-func TestAStreamIsPassedOnWhole(t *testing.T) {
+func TestAStreamIsRelayedCompletely(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, streaming(20)).start()
+	s := newFixture(t, streamingWorker(20)).start()
 	got := s.post("/stream/a", "q1")
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 20))
@@ -46,16 +46,16 @@
 // Symptom: a call that must not be repeated ran twice. Sequence: the endpoint runs it
 // and breaks off, or answers nonsense; the node sends it to another endpoint. Cause,
 // were it there: taking a lost answer for a request that was not sent.
-func TestACallThatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestANonIdempotentRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultCut, standin.FaultGarbage, standin.FaultUnsigned, standin.FaultError, standin.FaultBareRefusal} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t, plain(), plain()).start()
+			s := newFixture(t, plainWorker(), plainWorker()).start()
 			for _, w := range s.workers {
 				w.Always(fault)
 			}
 			got := s.post("/once/a", "q1")
-			is.Equal(s.runs("q1"), 1)
+			is.Equal(s.runCount("q1"), 1)
 			is.True(got.status == http.StatusBadGateway || got.status == http.StatusInternalServerError)
 			is.True(got.status != http.StatusInternalServerError || fault == standin.FaultError) // only the endpoint's own word
 		})
@@ -65,35 +65,35 @@
 // Symptom: a caller that was told "not run" files again, and it ran. Sequence: an
 // endpoint answers 503 without saying that the request did not run. Cause, were it
 // there: passing every 503 on.
-func TestARefusalIsPassedOnOnlyWithTheWordThatItDidNotRun(t *testing.T) {
+func TestARefusalIsRelayedOnlyIfTheRequestDidNotRun(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	s.workers[0].Next(standin.FaultBareRefusal, standin.FaultShed)
 	is.Equal(s.post("/once/a", "q1").status, http.StatusBadGateway)
 	refused := s.post("/once/a", "q2")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.True(refused.header.Get("Retry-After") != "")
 	is.Equal(refused.header.Get("X-Aspenyard-Server-Stamp"), "")
-	is.Equal(s.runs("q2"), 0)
+	is.Equal(s.runCount("q2"), 0)
 }
 
-func TestWhatDidNotRunIsSentToAnother(t *testing.T) {
+func TestARequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain()).start()
+	s := newFixture(t, plainWorker(), plainWorker()).start()
 	s.workers[0].Always(standin.FaultShed)
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		got := s.post("/once/a", id)
 		is.Equal(got.body, standin.PlainAnswer(id))
-		is.Equal(s.runs(id), 1)
+		is.Equal(s.runCount(id), 1)
 	}
 }
 
-func TestWhatMayBeRepeatedIsSentAgain(t *testing.T) {
+func TestIdempotentRequestsAreRetried(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultCut, standin.FaultGarbage, standin.FaultUnsigned, standin.FaultError, standin.FaultBareRefusal} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t, plain(), plain()).start()
+			s := newFixture(t, plainWorker(), plainWorker()).start()
 			s.workers[0].Always(fault)
 			for i := range 6 {
 				id := fmt.Sprint("q", i)
@@ -106,22 +106,22 @@
 // Symptom: a caller gets the answer to another request. Sequence: an endpoint answers a
 // request twice; the second answer stands on the kept connection when the next request
 // is written. Cause, were it there: taking the first bytes for the answer.
-func TestASecondAnswerBelongsToNobody(t *testing.T) {
+func TestADuplicateResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	s.workers[0].Always(standin.FaultExtra)
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
 		got := s.post("/once/a", id)
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(got.body, standin.PlainAnswer(id))
-		is.Equal(s.runs(id), 1)
+		is.Equal(s.runCount(id), 1)
 	}
 }
 
-func TestAnAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestACloseDelimitedResponseIsRelayed(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), streaming(5)).start()
+	s := newFixture(t, plainWorker(), streamingWorker(5)).start()
 	s.workers[0].Always(standin.FaultUnframed)
 	s.workers[1].Always(standin.FaultUnframed)
 	s.workers[1].Service = "app2"
@@ -130,7 +130,7 @@
 	other["service"] = "app2"
 	s.routes = append(s.routes, other)
 	s.configure()
-	s.until("the new route", func() bool { return s.post("/stream2/a", "q2").status == http.StatusOK })
+	s.waitFor("the new route", func() bool { return s.post("/stream2/a", "q2").status == http.StatusOK })
 	is.Equal(s.post("/once/a", "q1").body, standin.PlainAnswer("q1"))
 	is.Equal(s.post("/stream2/a", "q3").body, standin.StreamText("q3", 5))
 }
@@ -139,9 +139,9 @@
 // wait for each other. Sequence: an endpoint refuses before it has read a long body and
 // reads on; the node reuses the connection. Cause, were it there: taking an answer for
 // the end of one's own writing.
-func TestAnEarlyAnswerToALongBody(t *testing.T) {
+func TestAnEarlyResponseToALongBody(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain()).start()
+	s := newFixture(t, plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
 		w.Next(standin.FaultEarly, standin.FaultEarly)
 	}
@@ -162,11 +162,11 @@
 // endpoint breaks off in the midst of an event. Cause, were it there: passing bytes on
 // and not events, or starting anew.
 // The same where the stream has no length and its connection ends properly.
-func TestAStreamGoesOnElsewhereAfterItsLastEvent(t *testing.T) {
+func TestABrokenStreamIsResumedAtAnotherEndpoint(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultCut, standin.FaultTorn} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t, streaming(12), streaming(12)).start()
+			s := newFixture(t, streamingWorker(12), streamingWorker(12)).start()
 			s.workers[0].Always(fault)
 			for i := range 8 {
 				id := fmt.Sprint("q", i)
@@ -180,9 +180,9 @@
 
 // Symptom: half a stream looks whole. Sequence: every endpoint breaks off. Cause, were
 // it there: ending the answer as if it were complete.
-func TestAStreamThatCannotGoOnDoesNotLookWhole(t *testing.T) {
+func TestAStreamThatCannotBeResumedIsAborted(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, streaming(12), streaming(12)).start()
+	s := newFixture(t, streamingWorker(12), streamingWorker(12)).start()
 	for _, w := range s.workers {
 		w.Always(standin.FaultCut)
 	}
@@ -195,24 +195,24 @@
 // long prompt and sends no event for longer than the route's longest pause, several
 // times. Cause: taking silence for a break; with a limit of one second on silence this
 // test got half a stream.
-func TestAStreamOfABusyEndpointIsNotCut(t *testing.T) {
+func TestAStreamOfABusyEndpointIsNotCutOff(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, streaming(4))
+	s := newFixture(t, streamingWorker(4))
 	s.routes[2]["target_gap_ms"] = 20
 	s.start()
 	s.workers[0].Always(standin.FaultSlow)
 	got := s.post("/stream/a", "q1")
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 4))
-	is.Equal(s.runs("q1"), 1)
+	is.Equal(s.runCount("q1"), 1)
 }
 
 // Symptom: a request waits until its deadline. Sequence: an endpoint takes it, falls
 // silent and accepts no connections. Cause, were it there: waiting for an endpoint that
 // is dead.
-func TestASilentEndpointThatAcceptsNothingIsLeft(t *testing.T) {
+func TestARequestLeavesAnUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain())
+	s := newFixture(t, plainWorker(), plainWorker())
 	for _, r := range s.routes {
 		r["target_latency_ms"] = 50
 	}
@@ -220,11 +220,11 @@
 	s.store.Delete("servers/" + other.ID)
 	s.start()
 	dead.Always(standin.FaultHang)
-	result := make(chan answer, 1)
+	result := make(chan callerResponse, 1)
 	go func() { result <- s.post("/again/a", "q1") }()
-	s.until("it runs", func() bool { return dead.Working() == 1 })
+	s.waitFor("it runs", func() bool { return dead.Working() == 1 })
 	s.store.Put("servers/"+other.ID, other.Registration("ready"))
-	s.until("the other is listed", func() bool { return s.metric("aspenyard_gateway_endpoints ") == 2 })
+	s.waitFor("the other is listed", func() bool { return s.sumMetric("aspenyard_gateway_endpoints ") == 2 })
 	dead.Refuse()
 	is.Equal((<-result).body, standin.PlainAnswer("q1"))
 	for i := range 6 {
@@ -235,21 +235,21 @@
 
 // Symptom: endpoints work for callers that have left. Sequence: a caller closes its
 // connection while its request runs. Cause, were it there: not watching the caller.
-func TestTheEndpointStopsWhenTheCallerLeaves(t *testing.T) {
+func TestARequestIsCancelledWhenItsCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/once/a", "/again/a", "/stream/a"} {
 		t.Run(path, func(t *testing.T) {
-			s := newSite(t, plain()).start()
+			s := newFixture(t, plainWorker()).start()
 			s.workers[0].Always(standin.FaultHang)
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
-				s.until("it runs", func() bool { return s.workers[0].Working() == 1 })
+				s.waitFor("it runs", func() bool { return s.workers[0].Working() == 1 })
 				cancel()
 			}()
 			got := s.do(s.request(http.MethodPost, path, "q1", "x").WithContext(ctx))
 			if got.err == nil {
 				t.Fatal("an answer after the caller left")
 			}
-			s.until("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
+			s.waitFor("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
 		})
 	}
 }
@@ -257,42 +257,42 @@
 // Symptom: a stream runs a second time for nobody. Sequence: a caller stops reading and
 // leaves its connection open; the node gives it up. Cause, were it there: taking that for a
 // break of the endpoint, and going on at another.
-func TestAStreamThatItsCallerDoesNotReadIsNotSentAgain(t *testing.T) {
+func TestAStreamThatItsCallerDoesNotReadIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	const events = 2_000_000 // more than all buffers on the way hold
-	s := newSite(t, &standin.Worker{Events: events}, &standin.Worker{Events: events}).start()
+	s := newFixture(t, &standin.Worker{Events: events}, &standin.Worker{Events: events}).start()
 	conn, err := net.Dial("tcp", s.gateway.CallersAddr())
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, head("GET", "/stream/a", "q1")+"\r\n")
 	is.NoErr(err)
-	s.until("it runs", func() bool { return s.runs("q1") == 1 })
-	s.until("it is given up", func() bool { return strings.Contains(s.log.String(), `"event":"request_ended"`) })
-	s.until("the endpoints are idle", func() bool { return s.workers[0].Working()+s.workers[1].Working() == 0 })
-	is.Equal(s.runs("q1"), 1)
+	s.waitFor("it runs", func() bool { return s.runCount("q1") == 1 })
+	s.waitFor("it is given up", func() bool { return strings.Contains(s.log.String(), `"event":"request_ended"`) })
+	s.waitFor("the endpoints are idle", func() bool { return s.workers[0].Working()+s.workers[1].Working() == 0 })
+	is.Equal(s.runCount("q1"), 1)
 }
 
 // Symptom: a request is sent to an endpoint that another process has taken the address
 // of. Sequence: an endpoint ends, its address is used again; the list is behind.
-func TestAnotherEndpointAtTheAddressDoesNotRunIt(t *testing.T) {
+func TestAnotherEndpointAtTheSameAddressRefusesTheRequest(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain()).start()
+	s := newFixture(t, plainWorker(), plainWorker()).start()
 	s.store.Put("servers/i-old", s.workers[0].Registration("ready")) // a life that is over
 	s.store.Delete("servers/" + s.workers[0].ID)
-	s.until("the list", func() bool { return strings.Contains(s.log.String(), "i-old") })
+	s.waitFor("the list", func() bool { return strings.Contains(s.log.String(), "i-old") })
 	for i := range 6 {
 		id := fmt.Sprint("q", i)
 		got := s.post("/once/a", id)
 		is.Equal(got.status, http.StatusOK)
-		is.Equal(s.runs(id), 1)
+		is.Equal(s.runCount(id), 1)
 	}
 }
 
 // Symptom: a failing service gets several times its load. Sequence: all endpoints
 // break off under many requests. Cause, were it there: repeating without a budget.
-func TestRepeatsKeepTheBudget(t *testing.T) {
+func TestRetriesStayWithinTheBudget(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain()).start()
+	s := newFixture(t, plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
 		w.Always(standin.FaultReset)
 	}
@@ -305,20 +305,20 @@
 	is.True(arrivals <= requests+requests/5+104)
 }
 
-func TestARequestReachesNoMoreEndpointsThanItMay(t *testing.T) {
+func TestARequestReachesAtMostMaxAttemptsEndpoints(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), plain(), plain(), plain()).start()
+	s := newFixture(t, plainWorker(), plainWorker(), plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
 		w.Always(standin.FaultReset)
 	}
 	got := s.post("/again/a", "q1")
 	is.Equal(got.status, http.StatusBadGateway)
-	is.Equal(s.runs("q1"), 2)
+	is.Equal(s.runCount("q1"), 2)
 }
 
-func TestADeadlineThatPassesIsAnsweredAtOnce(t *testing.T) {
+func TestAnExpiredDeadlineIsAnsweredAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
+	s := newFixture(t, plainWorker())
 	for _, r := range s.routes {
 		r["timeout_ms"] = 100
 	}
@@ -327,5 +327,5 @@
 	got := s.post("/once/a", "q1")
 	is.Equal(got.status, http.StatusGatewayTimeout) // long before the caller's 15 s
 	is.True(s.workers[0].Runs()[0].DeadlineMS <= 100)
-	s.until("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
+	s.waitFor("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
 }
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -17,8 +17,8 @@
 // Bounds of callers' connections until a configuration is known, and of the HTTP
 // server itself; the configuration's own limits are applied below them.
 const (
-	firstHeaderTimeout = 5 * time.Second
-	firstIdleTimeout   = 30 * time.Second
+	initialHeaderTimeout = 5 * time.Second
+	initialIdleTimeout   = 30 * time.Second
 	// maxHeaderBytes is what the server reads of a request's head at most.
 	maxHeaderBytes = 256 << 10
 	// tcpUserTimeout is how long sent data may stay unacknowledged, and with
@@ -26,23 +26,23 @@
 	tcpUserTimeout = 3 * time.Second
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
+var tcpKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// callers is the server on the callers' port.
-type callers struct {
+// callerServer is the server on the callerServer' port.
+type callerServer struct {
 	gateway *Gateway
 	server  *http.Server
 	conns   graceful.Conns
 }
 
-func newCallers(g *Gateway) *callers {
-	c := &callers{gateway: g}
+func newCallerServer(g *Gateway) *callerServer {
+	c := &callerServer{gateway: g}
 	c.server = &http.Server{
 		Handler: c.conns.Handler(http.HandlerFunc(g.serveCaller)), MaxHeaderBytes: maxHeaderBytes,
 		// Non-zero, so that the server sets deadlines; callerConn replaces them by
 		// those of the configuration in force.
-		ReadHeaderTimeout: firstHeaderTimeout, IdleTimeout: firstIdleTimeout,
-		ConnState: connState,
+		ReadHeaderTimeout: initialHeaderTimeout, IdleTimeout: initialIdleTimeout,
+		ConnState: onConnState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -54,8 +54,8 @@
 type connKey struct{}
 
 // serve takes connections until close.
-func (c *callers) serve(listener net.Listener) error {
-	err := c.server.Serve(callerListener{Listener: listener, callers: c})
+func (c *callerServer) serve(listener net.Listener) error {
+	err := c.server.Serve(callerListener{Listener: listener, server: c})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
@@ -63,9 +63,9 @@
 }
 
 // close closes all connections.
-func (c *callers) close() { _ = c.server.Close() }
+func (c *callerServer) close() { _ = c.server.Close() }
 
-func connState(conn net.Conn, state http.ConnState) {
+func onConnState(conn net.Conn, state http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -79,7 +79,7 @@
 // callerListener wraps accepted connections.
 type callerListener struct {
 	net.Listener
-	callers *callers
+	server *callerServer
 }
 
 // Accept implements net.Listener.
@@ -88,8 +88,8 @@
 	if err != nil {
 		return nil, err
 	}
-	setTCP(conn)
-	return &callerConn{Conn: l.callers.conns.Track(conn), gateway: l.callers.gateway}, nil
+	setTCPTimeouts(conn)
+	return &callerConn{Conn: l.server.conns.Track(conn), gateway: l.server.gateway}, nil
 }
 
 // callerConn replaces the server's fixed timeouts by those of the configuration in
@@ -98,15 +98,15 @@
 // server would leave without an answer.
 type callerConn struct {
 	*graceful.Conn
-	gateway *Gateway
-	late    atomic.Bool
+	gateway      *Gateway
+	headTimedOut atomic.Bool
 	// head is what was read of the present request's head, with whatever followed it;
 	// only the server's own goroutine for this connection reads and writes it.
 	head []byte
 }
 
-// sawLength tells whether the present request's head, as it was sent, gives a length.
-func (c *callerConn) sawLength() bool {
+// hasContentLength tells whether the present request's head, as it was sent, gives a length.
+func (c *callerConn) hasContentLength() bool {
 	head, _, _ := bytes.Cut(c.head, []byte("\r\n\r\n"))
 	return bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length:"))
 }
@@ -123,7 +123,7 @@
 		return c.Conn.SetReadDeadline(t)
 	}
 	limit := config.Limits.HeaderTimeout
-	if state == http.StateIdle && !c.Taken() {
+	if state == http.StateIdle && !c.InRequest() {
 		limit = config.Limits.IdleTimeout
 	}
 	if limit > 0 {
@@ -141,20 +141,20 @@
 	switch {
 	case n > 0 && len(c.head) < maxHeaderBytes:
 		c.head = append(c.head, p[:n]...)
-	case errors.Is(err, os.ErrDeadlineExceeded) && c.Taken():
-		c.late.Store(true)
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.InRequest():
+		c.headTimedOut.Store(true)
 	}
 	return n, err
 }
 
-// tooSlow answers a request whose head did not come in time.
-const tooSlow = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// headTimeoutResponse answers a request whose head did not come in time.
+const headTimeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	if c.late.CompareAndSwap(true, false) {
+	if c.headTimedOut.CompareAndSwap(true, false) {
 		_ = c.Conn.SetWriteDeadline(time.Now().Add(time.Second))
-		_, _ = c.Conn.Write([]byte(tooSlow))
+		_, _ = c.Conn.Write([]byte(headTimeoutResponse))
 	}
 	return c.Conn.Close()
 }
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -13,16 +13,16 @@
 	"github.com/matryer/is"
 )
 
-// raw sends bytes on a connection of its own and gives the status of the answer, 0 for
+// sendRaw sends bytes on a connection of its own and gives the status of the answer, 0 for
 // none.
-func (s *site) raw(text string) int {
+func (s *fixture) sendRaw(text string) int {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.gateway.CallersAddr())
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(conn, text); err != nil {
 		return 0
 	}
@@ -42,7 +42,7 @@
 // Symptom: an endpoint runs a request that no caller sent. Sequence: a caller sends a
 // head that two readers understand differently.
 func TestMalformedRequestsReachNoEndpoint(t *testing.T) {
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	cases := []struct {
 		name, text string
 		want       int
@@ -60,7 +60,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(s.raw(c.text), c.want)
+			is.Equal(s.sendRaw(c.text), c.want)
 			is.Equal(len(s.workers[0].Runs()), 0)
 		})
 	}
@@ -70,56 +70,56 @@
 // request that gives two lengths of its body comes before the node knows a
 // configuration, and the hidden one is taken for the connection's next. Cause: the
 // refusal for want of a configuration came before the check, and kept the connection.
-func TestARequestIsNotHiddenInOneThatComesTooEarly(t *testing.T) {
+func TestARequestIsNotSmuggledBeforeTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
-	s.boot()
+	s := newFixture(t, plainWorker())
+	s.launch()
 	hidden := head("POST", "/once/b", "q2") + "Content-Length: 0\r\n\r\n"
-	is.Equal(s.raw(head("POST", "/once/a", "q1")+fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(hidden)+5)+hidden), http.StatusBadRequest)
+	is.Equal(s.sendRaw(head("POST", "/once/a", "q1")+fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", len(hidden)+5)+hidden), http.StatusBadRequest)
 	is.True(!strings.Contains(s.log.String(), "q2")) // nobody read it as a request
 }
 
-func TestAChunkedBodyIsPassedOnWhole(t *testing.T) {
+func TestAChunkedBodyIsForwardedCompletely(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
-	is.Equal(s.raw(head("POST", "/once/a", "q1")+"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"), http.StatusOK)
+	s := newFixture(t, plainWorker()).start()
+	is.Equal(s.sendRaw(head("POST", "/once/a", "q1")+"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"), http.StatusOK)
 	is.Equal(s.workers[0].Runs()[0].Body, "hello world")
 }
 
-func TestLimitsOfTheConfiguration(t *testing.T) {
+func TestConfiguredSizeLimitsAreEnforced(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	r := s.request(http.MethodPost, "/once/a", "q1", "")
 	r.Header.Set("X-Long", strings.Repeat("x", 9000))
 	is.Equal(s.do(r).status, http.StatusRequestHeaderFieldsTooLarge)
 	is.Equal(s.do(s.request(http.MethodPost, "/once/a", "q2", strings.Repeat("x", 100_001))).status, http.StatusRequestEntityTooLarge)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", 60_000, strings.Repeat("x", 60_000))
-	is.Equal(s.raw(head("POST", "/once/a", "q3")+"Transfer-Encoding: chunked\r\n\r\n"+chunk+chunk+"0\r\n\r\n"), http.StatusRequestEntityTooLarge)
+	is.Equal(s.sendRaw(head("POST", "/once/a", "q3")+"Transfer-Encoding: chunked\r\n\r\n"+chunk+chunk+"0\r\n\r\n"), http.StatusRequestEntityTooLarge)
 	is.Equal(s.do(s.request(http.MethodPost, "/once/a", "q4", strings.Repeat("x", 100_000))).status, http.StatusOK)
 	is.Equal(len(s.workers[0].Runs()), 1)
 }
 
 // Symptom: callers that send a few bytes and wait hold connections for good. They are
 // told that their request did not run.
-func TestSlowCallersAreAnswered(t *testing.T) {
+func TestSlowCallersGetATimeoutResponse(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
+	s := newFixture(t, plainWorker())
 	s.limits["header_timeout_ms"] = 100
 	for _, r := range s.routes {
 		r["timeout_ms"] = 150
 	}
 	s.start()
-	is.Equal(s.raw(head("POST", "/once/a", "q1")), http.StatusRequestTimeout)                                  // no end of the head
-	is.Equal(s.raw(head("POST", "/once/a", "q2")+"Content-Length: 10\r\n\r\nhell"), http.StatusRequestTimeout) // no end of the body
-	is.Equal(s.raw(head("GET", "/again/a", "q3")+"\r\n"+head("GET", "/again/b", "q4")+"\r\n"), http.StatusOK)  // pipelined
-	is.Equal(s.runs("q1")+s.runs("q2"), 0)
+	is.Equal(s.sendRaw(head("POST", "/once/a", "q1")), http.StatusRequestTimeout)                                  // no end of the head
+	is.Equal(s.sendRaw(head("POST", "/once/a", "q2")+"Content-Length: 10\r\n\r\nhell"), http.StatusRequestTimeout) // no end of the body
+	is.Equal(s.sendRaw(head("GET", "/again/a", "q3")+"\r\n"+head("GET", "/again/b", "q4")+"\r\n"), http.StatusOK)  // pipelined
+	is.Equal(s.runCount("q1")+s.runCount("q2"), 0)
 }
 
 // Symptom: a caller's request meets a connection that is being closed. Sequence: the
 // idle timeout of the configuration rises; the node still closes by the old one.
 func TestTheIdleTimeoutFollowsTheConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
+	s := newFixture(t, plainWorker())
 	s.limits["idle_timeout_ms"] = 60_000
 	s.limits["header_timeout_ms"] = 60_000 // or the connection might end by that limit
 	s.start()
@@ -128,7 +128,7 @@
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	ask := func(id string) error {
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 		if _, err := io.WriteString(conn, head("GET", "/again/a", id)+"\r\n"); err != nil {
 			return err
 		}
@@ -142,9 +142,9 @@
 	is.NoErr(ask("q1"))
 	s.limits["idle_timeout_ms"] = 50
 	s.configure()
-	s.until("the limit is in force", func() bool { return strings.Contains(s.log.String(), `"version":6`) })
+	s.waitFor("the limit is in force", func() bool { return strings.Contains(s.log.String(), `"version":6`) })
 	is.NoErr(ask("q2")) // still by the old limit, which was longer
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	_, err = reader.ReadByte()
 	is.Equal(err, io.EOF) // closed by the new limit
 }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -16,37 +16,37 @@
 
 // fingerprint names the call's request, whichever copy of it this is.
 func (c *call) fingerprint() attempt.Fingerprint {
-	c.scope()
-	if c.print.Body == 0 {
-		c.print.Body = attempt.FingerprintBody(c.body)
+	c.fingerprintScope()
+	if c.cachedFingerprint.Body == 0 {
+		c.cachedFingerprint.Body = attempt.FingerprintBody(c.body)
 	}
-	return c.print
+	return c.cachedFingerprint
 }
 
-// scope is the part of the fingerprint that needs no reading of the body.
-func (c *call) scope() uint64 {
-	if c.print.Scope == 0 {
+// fingerprintScope is the part of the fingerprint that needs no reading of the body.
+func (c *call) fingerprintScope() uint64 {
+	if c.cachedFingerprint.Scope == 0 {
 		account := ""
 		if c.account != nil {
 			account = c.account.Name
 		}
-		c.print.Scope = attempt.FingerprintScope(account, c.in.Method, c.in.Host, c.in.RequestURI, len(c.body))
+		c.cachedFingerprint.Scope = attempt.FingerprintScope(account, c.httpRequest.Method, c.httpRequest.Host, c.httpRequest.RequestURI, len(c.body))
 	}
-	return c.print.Scope
+	return c.cachedFingerprint.Scope
 }
 
-// suspected tells whether anything is known of the call's request.
-func (c *call) suspected() bool {
+// isSuspect tells whether anything is known of the call's request.
+func (c *call) isSuspect() bool {
 	q := c.gateway.quarantine
-	return !q.Empty() && q.Suspects(c.scope())
+	return !q.Empty() && q.HasSuspect(c.fingerprintScope())
 }
 
 // refuseQuarantined ends a call whose request must not be sent to an endpoint; nil where it may be.
 func (f *forwarding) refuseQuarantined() *result.Error {
-	if !f.suspected() {
+	if !f.isSuspect() {
 		return nil
 	}
-	left := f.gateway.quarantine.Holds(time.Now(), f.fingerprint())
+	left := f.gateway.quarantine.Remaining(time.Now(), f.fingerprint())
 	if left == 0 {
 		return nil
 	}
@@ -57,52 +57,52 @@
 	return result.Refuse(result.Quarantined, left, "endpoints crashed under earlier copies of this request")
 }
 
-// noteCrash finds out whether the endpoint has crashed after an exchange broke off.
-func (f *forwarding) noteCrash(ctx context.Context, e *directory.Listed) {
+// checkForCrash finds out whether the endpoint has crashed after an exchange broke off.
+func (f *forwarding) checkForCrash(ctx context.Context, e *directory.EndpointState) {
 	g := f.gateway
-	if !g.crashed(ctx, e) {
+	if !g.hasCrashed(ctx, e) {
 		return
 	}
-	crashes, quarantined := g.quarantine.Crashed(time.Now(), f.fingerprint(), uint32(direct.HashEndpoint(e.Life)))
+	crashes, quarantined := g.quarantine.RecordCrash(time.Now(), f.fingerprint(), uint32(direct.HashEndpoint(e.Incarnation)))
 	f.log.Add("endpoint_crashed", zap.String("endpoint", e.ID), zap.Stringer("fingerprint", f.fingerprint()), zap.Int("crashes", crashes))
 	g.countCrash(f.service.Name)
 	if quarantined {
-		g.noteQuarantined(f.fingerprint(), "")
+		g.reportQuarantined(f.fingerprint(), "")
 	}
 	if crashes > 1 {
-		g.peers.announce()
+		g.peers.sendHeartbeat()
 	}
 }
 
-// noteAnswer notes that an endpoint has answered the call whole.
-func (f *forwarding) noteAnswer() {
-	if f.suspected() {
-		f.gateway.quarantine.Answered(time.Now(), f.fingerprint())
+// recordAnswer notes that an endpoint has answered the call whole.
+func (f *forwarding) recordAnswer() {
+	if f.isSuspect() {
+		f.gateway.quarantine.RecordAnswer(time.Now(), f.fingerprint())
 	}
 }
 
-// noteQuarantined notes that a request is refused from now on, and by whose word; "" for what this
+// reportQuarantined notes that a request is refused from now on, and by whose word; "" for what this
 // entry saw itself. Entries that saw one of the crashes leave a record of it.
-func (g *Gateway) noteQuarantined(request attempt.Fingerprint, from string) {
+func (g *Gateway) reportQuarantined(request attempt.Fingerprint, from string) {
 	g.log.Warn("quarantined", zap.Stringer("fingerprint", request), zap.String("heard_from", from))
-	if endpoints, own := g.quarantine.Evidence(request); own {
-		go g.keepQuarantined(quarantineRecord{Scope: request.Scope, Body: request.Body, Endpoints: endpoints})
+	if endpoints, own := g.quarantine.CrashedEndpoints(request); own {
+		go g.persistQuarantine(quarantineRecord{Scope: request.Scope, Body: request.Body, Endpoints: endpoints})
 	}
 }
 
-// crashed tells whether an endpoint's process has ended without notice: its port refuses
+// hasCrashed tells whether an endpoint's process has ended without notice: its port refuses
 // connections, or the endpoint is back in another life. One that is leaving ends as planned, and
 // one that is silent may be cut off.
-func (g *Gateway) crashed(ctx context.Context, e *directory.Listed) bool {
-	present := g.snapshot.Load().Present(e.ID)
+func (g *Gateway) hasCrashed(ctx context.Context, e *directory.EndpointState) bool {
+	present := g.snapshot.Load().EndpointByID(e.ID)
 	if present == nil {
 		return false
 	}
-	if present.Life != e.Life {
-		return present.Born > e.Born
+	if present.Incarnation != e.Incarnation {
+		return present.StartUnixMilli > e.StartUnixMilli
 	}
-	return g.prober.refuses(ctx, e)
+	return g.prober.connectionRefused(ctx, e)
 }
 
-// refused tells whether a dial failed because nobody listens there.
-func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused tells whether a dial failed because nobody listens there.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -13,47 +13,47 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// poison is the body of a request that ends every worker of these tests that runs it.
-const poison = "poison"
+// crashingBody is the body of a request that ends every worker of these tests that runs it.
+const crashingBody = "poison"
 
-// crashing makes workers that end when they run poison.
-func crashing(n int) []*standin.Worker {
+// crashingWorkers makes workers that end when they run poison.
+func crashingWorkers(n int) []*standin.Worker {
 	workers := make([]*standin.Worker, n)
 	for i := range workers {
-		workers[i] = &standin.Worker{CrashOn: poison}
+		workers[i] = &standin.Worker{CrashOn: crashingBody}
 	}
 	return workers
 }
 
 // twoGateways starts two gateways of one deployment that tell each other what they know.
-func twoGateways(t *testing.T, workers ...*standin.Worker) (first, second *site) {
+func twoGateways(t *testing.T, workers ...*standin.Worker) (first, second *fixture) {
 	t.Helper()
-	first, second = newSite(t, workers...), newSite(t)
+	first, second = newFixture(t, workers...), newFixture(t)
 	second.store = first.store
 	first.hearPeers()
 	second.hearPeers()
-	second.own += `,"name":"g2"`
+	second.extraSettings += `,"name":"g2"`
 	first.start()
 	second.version = first.version
 	second.start()
-	for _, s := range []*site{first, second} {
-		s.until("it hears of the other", func() bool { return s.metric("aspenyard_gateway_peers_heard ") == 1 })
+	for _, s := range []*fixture{first, second} {
+		s.waitFor("it hears of the other", func() bool { return s.sumMetric("aspenyard_gateway_peers_heard ") == 1 })
 	}
 	return first, second
 }
 
 // hearPeers lets a site's gateway hear of others once it starts.
-func (s *site) hearPeers() {
+func (s *fixture) hearPeers() {
 	s.t.Helper()
 	addr, err := link.FreeAddr()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.own += fmt.Sprintf(`,"peers_listen":%q`, addr)
+	s.extraSettings += fmt.Sprintf(`,"peers_listen":%q`, addr)
 }
 
 // ranBody counts the runs of a body at a site's workers.
-func (s *site) ranBody(body string) int {
+func (s *fixture) ranBody(body string) int {
 	n := 0
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
@@ -68,155 +68,155 @@
 // Guards against a request that ends endpoint after endpoint as it comes again at every entry.
 func TestARequestThatCrashesEndpointsIsSentToFewOfThem(t *testing.T) {
 	is := is.New(t)
-	first, second := twoGateways(t, crashing(30)...)
+	first, second := twoGateways(t, crashingWorkers(30)...)
 	for i := range 6 {
-		for n, s := range []*site{first, second} {
-			s.do(s.request("POST", "/again/a", fmt.Sprintf("p%d-%d", i, n), poison))
+		for n, s := range []*fixture{first, second} {
+			s.do(s.request("POST", "/again/a", fmt.Sprintf("p%d-%d", i, n), crashingBody))
 		}
 	}
-	t.Logf("%d endpoints ended", first.ranBody(poison))
-	is.True(first.ranBody(poison) <= 6) // three, and three retries
+	t.Logf("%d endpoints ended", first.ranBody(crashingBody))
+	is.True(first.ranBody(crashingBody) <= 6) // three, and three retries
 	is.Equal(first.post("/again/a", "other").status, http.StatusOK)
 }
 
 // Guards against an answer that is held back, or that says more than is known, for a request in quarantine.
 func TestARequestInQuarantineIsRefusedAtOnceAndDoesNotRun(t *testing.T) {
 	is := is.New(t)
-	first, second := twoGateways(t, crashing(12)...)
+	first, second := twoGateways(t, crashingWorkers(12)...)
 	for i := range 2 {
-		got := first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), poison))
+		got := first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 		is.Equal(got.status, http.StatusBadGateway) // it may have run
 	}
-	for _, s := range []*site{first, second} {
-		s.until("it is in quarantine", func() bool { return s.metric("aspenyard_gateway_quarantined_requests ") == 1 })
+	for _, s := range []*fixture{first, second} {
+		s.waitFor("it is in quarantine", func() bool { return s.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
 	}
-	ran := first.ranBody(poison)
+	ran := first.ranBody(crashingBody)
 	is.Equal(ran, 3)
-	for _, s := range []*site{first, second} {
-		got := s.do(s.request("POST", "/again/a", "later", poison))
+	for _, s := range []*fixture{first, second} {
+		got := s.do(s.request("POST", "/again/a", "later", crashingBody))
 		is.Equal(got.status, http.StatusServiceUnavailable)
 		is.True(got.header.Get("Retry-After") != "")
-		s.until("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_refused"`) })
+		s.waitFor("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_refused"`) })
 	}
-	is.Equal(first.ranBody(poison), ran)
+	is.Equal(first.ranBody(crashingBody), ran)
 	for _, path := range []string{"/again/b", "/once/a"} { // another path or kind, or another body
 		got := second.do(second.request("POST", path, "other"+path, "body"))
 		is.Equal(got.status, http.StatusOK)
 	}
 	is.True(strings.Contains(second.log.String(), `"heard_from":"g1"`))
-	is.True(second.metric("aspenyard_gateway_crashes_total") == 0)
+	is.True(second.sumMetric("aspenyard_gateway_crashes_total") == 0)
 }
 
 // Guards against an entry that starts after a request was put in quarantine and sends it again.
-func TestAnEntryThatStartsHearsOfTheQuarantine(t *testing.T) {
+func TestAStartingEntryLearnsOfAQuarantineFromItsPeers(t *testing.T) {
 	is := is.New(t)
-	first := newSite(t, crashing(12)...)
+	first := newFixture(t, crashingWorkers(12)...)
 	first.hearPeers()
 	first.start()
 	for i := range 2 {
-		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), poison))
+		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
-	is.Equal(first.ranBody(poison), 3)
-	first.until("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
+	is.Equal(first.ranBody(crashingBody), 3)
+	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
 	first.store.Delete(first.store.Keys("records/")[0]) // it hears by heartbeats alone
-	second := newSite(t)
+	second := newFixture(t)
 	second.store = first.store
 	second.hearPeers()
-	second.own += `,"name":"g2"`
+	second.extraSettings += `,"name":"g2"`
 	second.version = first.version
 	second.start()
-	second.until("it is in quarantine", func() bool { return second.metric("aspenyard_gateway_quarantined_requests ") == 1 })
-	is.Equal(second.do(second.request("POST", "/again/a", "later", poison)).status, http.StatusServiceUnavailable)
-	is.Equal(first.ranBody(poison), 3)
+	second.waitFor("it is in quarantine", func() bool { return second.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
+	is.Equal(second.do(second.request("POST", "/again/a", "later", crashingBody)).status, http.StatusServiceUnavailable)
+	is.Equal(first.ranBody(crashingBody), 3)
 }
 
 // Guards against entries that all start anew and end three more endpoints with a request in quarantine.
-func TestAQuarantineOutlivesAllEntries(t *testing.T) {
+func TestAQuarantineSurvivesARestartOfAllEntries(t *testing.T) {
 	is := is.New(t)
-	first := newSite(t, crashing(12)...)
+	first := newFixture(t, crashingWorkers(12)...)
 	first.start()
 	for i := range 2 {
-		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), poison))
+		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
-	is.Equal(first.ranBody(poison), 3)
-	first.until("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
-	first.terminate()
-	<-first.ended
-	next := newSite(t)
+	is.Equal(first.ranBody(crashingBody), 3)
+	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
+	first.sendSIGTERM()
+	<-first.serveErr
+	next := newFixture(t)
 	next.store = first.store
 	next.version = first.version
 	next.start()
-	is.Equal(next.do(next.request("POST", "/again/a", "later", poison)).status, http.StatusServiceUnavailable)
-	is.Equal(first.ranBody(poison), 3)
+	is.Equal(next.do(next.request("POST", "/again/a", "later", crashingBody)).status, http.StatusServiceUnavailable)
+	is.Equal(first.ranBody(crashingBody), 3)
 	is.Equal(next.post("/again/a", "other").status, http.StatusOK)
 }
 
 // Guards against records that something else wrote.
-func TestARecordThatCannotBeReadIsLeft(t *testing.T) {
+func TestAnUndecodableRecordIsIgnored(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
+	s := newFixture(t, plainWorker())
 	s.store.Put("records/x", []byte("{"))
 	s.start()
-	s.until("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_record_refused"`) })
+	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_record_refused"`) })
 	is.Equal(s.post("/again/a", "q").status, http.StatusOK)
-	is.Equal(s.metric("aspenyard_gateway_suspect_requests "), 0.0)
+	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 }
 
 // Guards against taking a broken connection, or an endpoint that leaves, for a crash under the request.
-func TestWhatIsNoCrashIsNotHeldAgainstARequest(t *testing.T) {
+func TestOnlyCrashesMakeARequestSuspect(t *testing.T) {
 	is := is.New(t)
-	alive, leaving := plain(), plain()
-	s := newSite(t, alive)
+	alive, leaving := plainWorker(), plainWorker()
+	s := newFixture(t, alive)
 	s.start()
 	for i := range 4 {
 		alive.Next(standin.FaultReset)
 		s.do(s.request("POST", "/again/a", fmt.Sprint("r", i), "the same"))
 	}
-	is.Equal(s.metric("aspenyard_gateway_suspect_requests "), 0.0)
+	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 	leaving.ID, leaving.Service = "i-9", "app"
 	is.NoErr(leaving.Start())
 	s.store.Delete("servers/" + alive.ID)
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("ready"))
 	leaving.Always(standin.FaultHang)
-	s.until("it is listed alone", func() bool {
-		return strings.Contains(s.log.String(), `"event":"endpoint_gone"`) && s.metric("aspenyard_gateway_endpoints ") == 1
+	s.waitFor("it is listed alone", func() bool {
+		return strings.Contains(s.log.String(), `"event":"endpoint_gone"`) && s.sumMetric("aspenyard_gateway_endpoints ") == 1
 	})
-	got := make(chan answer, 1)
+	got := make(chan callerResponse, 1)
 	go func() { got <- s.do(s.request("POST", "/again/a", "r9", "the same")) }()
-	s.until("it is used", func() bool { return leaving.Working() > 0 })
+	s.waitFor("it is used", func() bool { return leaving.Working() > 0 })
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("draining"))
-	s.until("it leaves", func() bool { return strings.Contains(s.log.String(), `"event":"endpoint_leaving"`) })
+	s.waitFor("it leaves", func() bool { return strings.Contains(s.log.String(), `"event":"endpoint_leaving"`) })
 	leaving.Stop()
 	<-got
-	is.Equal(s.metric("aspenyard_gateway_suspect_requests "), 0.0)
+	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 }
 
 // Guards against refusing those who were beside a request that crashes endpoints.
-func TestARequestBesideACrashIsServedAndForgiven(t *testing.T) {
+func TestRequestsInFlightDuringACrashAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	workers := crashing(8)
+	workers := crashingWorkers(8)
 	for _, w := range workers {
 		w.Work = 300 * time.Millisecond
 	}
-	s := newSite(t, workers...).start()
-	got := make(chan answer, 16)
+	s := newFixture(t, workers...).start()
+	got := make(chan callerResponse, 16)
 	for i := range 16 {
 		go func() { got <- s.do(s.request("POST", "/again/a", fmt.Sprint("n", i), fmt.Sprint("body ", i))) }()
 	}
-	s.until("all have begun", func() bool {
+	s.waitFor("all have begun", func() bool {
 		begun := 0
 		for _, w := range workers {
 			begun += len(w.Runs())
 		}
 		return begun == 16
 	})
-	s.do(s.request("POST", "/again/a", "p", poison)) // ends two endpoints, and one of those to which their requests went perhaps
+	s.do(s.request("POST", "/again/a", "p", crashingBody)) // ends two endpoints, and one of those to which their requests went perhaps
 	for range 16 {
 		is.Equal((<-got).status, http.StatusOK)
 	}
 	for i := range 16 {
 		is.Equal(s.do(s.request("POST", "/again/a", fmt.Sprint("again", i), fmt.Sprint("body ", i))).status, http.StatusOK)
 	}
-	is.True(s.metric("aspenyard_gateway_crashes_total") >= 2)
-	is.Equal(s.metric("aspenyard_gateway_quarantined_requests "), 0.0)
+	is.True(s.sumMetric("aspenyard_gateway_crashes_total") >= 2)
+	is.Equal(s.sumMetric("aspenyard_gateway_quarantined_requests "), 0.0)
 }
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -13,8 +13,8 @@
 	Key string
 	// Deadline is how long the caller waits; 0: not said.
 	Deadline time.Duration
-	// LastEvent is the last event of a stream that the caller has; empty for none.
-	LastEvent string
+	// LastEventID is the last event of a stream that the caller has; empty for none.
+	LastEventID string
 	// PromptTokens and OutputTokens are the prompt's length and the bound on the
 	// answer's; ExpectedOutput is the caller's estimate of it. 0: not said.
 	PromptTokens, OutputTokens, ExpectedOutput int
@@ -35,20 +35,20 @@
 	// Helpers are the engines that prefill parts of the prompt: an address, with a
 	// reservation's name behind a slash where memory is reserved there.
 	Helpers []string
-	// LastEvent is the event after which a stream goes on; empty: as the caller said.
-	LastEvent string
+	// LastEventID is the event after which a stream goes on; empty: as the caller said.
+	LastEventID string
 }
 
-// Answer is what an endpoint's headers say.
-type Answer struct {
+// Response is what an endpoint's headers say.
+type Response struct {
 	// ID echoes the request's.
 	ID string
 	// Signed is set when the endpoint vouches for the answer.
 	Signed bool
 	// NotExecuted is the endpoint's word that the request did not run.
 	NotExecuted bool
-	// AtFault names the endpoint because of which it did not run, where that is told.
-	AtFault string
+	// FaultyAddr names the endpoint because of which it did not run, where that is told.
+	FaultyAddr string
 	// Running and Waiting are the endpoint's requests, where HasLoad is set.
 	Running, Waiting int
 	HasLoad          bool
@@ -60,6 +60,6 @@
 	ReadRequest(h http.Header) Request
 	// Forward turns a caller's headers into those for an endpoint.
 	Forward(h http.Header, d *Dispatch)
-	// ReadAnswer reads the head of an endpoint's answer.
-	ReadAnswer(status int, h http.Header) Answer
+	// ReadResponse reads the head of an endpoint's answer.
+	ReadResponse(status int, h http.Header) Response
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -16,8 +16,8 @@
 	// later might not end before the process is killed.
 	acceptShare = 0.36
 	// stopMargin is left before the process is killed, to close connections.
-	stopMargin = 300 * time.Millisecond
-	drainPoll  = 20 * time.Millisecond
+	stopMargin        = 300 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // drain ends gracefully: readiness is off at once, answers tell callers to close
@@ -29,11 +29,11 @@
 func (g *Gateway) drain(signals <-chan os.Signal) {
 	limit := g.settings.DrainTimeout.D()
 	begun := time.Now()
-	g.stopping.Store(int64(begun.Sub(g.started)))
-	g.callers.conns.EndKeepAlive()
-	g.peers.leave()
+	g.drainStartedAt.Store(int64(begun.Sub(g.started)))
+	g.callers.conns.DisableKeepAlives()
+	g.peers.announceLeaving()
 	g.log.Info("drain", zap.Int64("active", g.active.Load()), zap.Duration("limit_ms", limit))
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	accept := time.Duration(float64(limit) * acceptShare)
 	for {
@@ -53,7 +53,7 @@
 		}
 		g.callers.conns.CloseIdle()
 		active := g.active.Load()
-		if active+g.releasing.Load() == 0 && g.callers.conns.EndAll() || since > limit-stopMargin {
+		if active+g.releasing.Load() == 0 && g.callers.conns.StopReading() || since > limit-stopMargin {
 			g.log.Info("stop", zap.String("reason", "drained"), zap.Int64("active", active), zap.Duration("took_ms", since))
 			g.callers.close()
 			return
@@ -61,34 +61,34 @@
 	}
 }
 
-// accepting tells whether a new request that takes need can still end before the
+// canAccept tells whether a new request that takes need can still end before the
 // process stops. When all nodes of a data centre are stopped in turn, the balancer
 // goes on sending to those that drain: short work is still served then.
-func (g *Gateway) accepting(need time.Duration) bool {
-	if g.stopping.Load() == 0 {
+func (g *Gateway) canAccept(need time.Duration) bool {
+	if g.drainStartedAt.Load() == 0 {
 		return true
 	}
 	limit := g.settings.DrainTimeout.D()
-	since := g.since(&g.stopping)
+	since := g.elapsedSince(&g.drainStartedAt)
 	return since < time.Duration(float64(limit)*acceptShare) || since+need < limit-stopMargin
 }
 
 const (
-	// passEstimate is how long an engine under load takes for one event of a stream:
+	// eventEstimate is how long an engine under load takes for one event of a stream:
 	// its decode steps and the prompts that it prefills between them.
-	passEstimate = 150 * time.Millisecond
-	// firstEstimate is the wait for the first event beside the prefill.
-	firstEstimate = time.Second
-	// plainEstimate bounds the work of a plain service.
-	plainEstimate = 1500 * time.Millisecond
+	eventEstimate = 150 * time.Millisecond
+	// firstEventEstimate is the wait for the first event beside the prefill.
+	firstEventEstimate = time.Second
+	// plainServiceEstimate bounds the work of a plain service.
+	plainServiceEstimate = 1500 * time.Millisecond
 )
 
-// need estimates how long a call takes, rather too long than too short.
-func (c *call) need() time.Duration {
+// estimatedDuration estimates how long a call takes, rather too long than too short.
+func (c *call) estimatedDuration() time.Duration {
 	engine := c.service.Engine
 	if engine == nil || engine.Stride <= 0 {
-		return min(c.route.Timeout, plainEstimate)
+		return min(c.route.Timeout, plainServiceEstimate)
 	}
 	events := c.OutputTokens/engine.Stride + 1
-	return min(c.route.Timeout, firstEstimate+2*direct.PrefillTime(engine, c.PromptTokens)+time.Duration(events)*passEstimate)
+	return min(c.route.Timeout, firstEventEstimate+2*direct.PrefillTime(engine, c.PromptTokens)+time.Duration(events)*eventEstimate)
 }
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// emitted finds the events that the package's code writes: their names and levels by
+// emittedEvents finds the events that the package's code writes: their names and levels by
 // the calls of a log, and the names of all fields.
-func emitted(t *testing.T) (levels map[string]string, fields map[string]bool) {
+func emittedEvents(t *testing.T) (levels map[string]string, fields map[string]bool) {
 	t.Helper()
 	levels, fields = map[string]string{}, map[string]bool{}
 	files, err := filepath.Glob("*.go")
@@ -54,7 +54,7 @@
 			switch {
 			case on != nil && on.Name == "zap":
 				fields[text] = true
-			case isLog(selector.X):
+			case isLogger(selector.X):
 				levels[text] = map[string]string{"Add": "info", "Info": "info", "Warn": "warn", "Error": "error"}[selector.Sel.Name]
 			}
 			return true
@@ -63,8 +63,8 @@
 	return levels, fields
 }
 
-// isLog tells whether an expression is a log.
-func isLog(x ast.Expr) bool {
+// isLogger tells whether an expression is a log.
+func isLogger(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.SelectorExpr:
 		return x.Sel.Name == "log"
@@ -74,9 +74,9 @@
 	return false
 }
 
-func TestTheTableOfEventsIsWhatTheCodeWrites(t *testing.T) {
+func TestTheEventTableMatchesTheCode(t *testing.T) {
 	is := is.New(t)
-	levels, fields := emitted(t)
+	levels, fields := emittedEvents(t)
 	is.True(len(levels) > 20)
 	known := map[string]bool{}
 	for _, e := range events {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestDocsHoldTheTableOfEvents(t *testing.T) {
+func TestDocsContainTheEventTable(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/LOGS.md")
 	is.NoErr(err)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -27,34 +27,34 @@
 // Unwrap gives the cause.
 func (e *sendError) Unwrap() error { return e.cause }
 
-// reply is an endpoint's answer, its body not yet read.
-type reply struct {
-	status   int
-	header   http.Header
-	answer   Answer
-	body     io.Reader
-	unframed bool // its end is the connection's end
-	endpoint *directory.Listed
-
-	pool    *pool
-	conn    *endpointConn
-	written <-chan error
-	keep    time.Duration
-	stop    func() bool
+// endpointResponse is an endpoint's answer, its body not yet read.
+type endpointResponse struct {
+	status         int
+	header         http.Header
+	parsed         Response
+	body           io.Reader
+	closeDelimited bool // its end is the connection's end
+	endpoint       *directory.EndpointState
+
+	pool        *pool
+	conn        *endpointConn
+	writeResult <-chan error
+	keepAlive   time.Duration
+	stop        func() bool
 	// watchdog is nil where the request could not go on elsewhere.
 	watchdog *watchdog
 }
 
-// hear notes that the endpoint gave a sign of life.
-func (r *reply) hear() {
+// noteActivity notes that the endpoint gave a sign of life.
+func (r *endpointResponse) noteActivity() {
 	if r.watchdog != nil {
-		r.watchdog.hear()
+		r.watchdog.noteActivity()
 	}
 }
 
-// release ends what looks after the exchange; it tells whether its context still
+// stopWatching ends what looks after the exchange; it tells whether its context still
 // stood, so that nothing has disturbed the connection.
-func (r *reply) release() bool {
+func (r *endpointResponse) stopWatching() bool {
 	if r.watchdog != nil {
 		r.watchdog.stop()
 		if r.watchdog.unreachable.Load() {
@@ -65,12 +65,12 @@
 	return r.stop()
 }
 
-// maxCrossed is how many answers to other requests are passed over on a connection
+// maxStrayResponses is how many answers to other requests are passed over on a connection
 // before it is given up.
-const maxCrossed = 3
+const maxStrayResponses = 3
 
-// errCrossed is returned when a connection brings answers to other requests only.
-var errCrossed = errors.New("answer belongs to another request")
+// errStrayResponse is returned when a connection brings answers to other requests only.
+var errStrayResponse = errors.New("answer belongs to another request")
 
 // exchange sends a request to an endpoint and reads the head of its answer. ctx
 // bounds the whole exchange, the body included: its end closes the connection, so
@@ -78,7 +78,7 @@
 //
 // silence is after which time without a byte the endpoint is probed; 0: never, for
 // requests that could not go on elsewhere.
-func (g *Gateway) exchange(ctx context.Context, e *directory.Listed, out *outgoing, once bool, silence time.Duration) (*reply, *sendError) {
+func (g *Gateway) exchange(ctx context.Context, e *directory.EndpointState, out *outgoingRequest, once bool, silence time.Duration) (*endpointResponse, *sendError) {
 	conn, err := g.pool.get(ctx, e, once)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -87,12 +87,12 @@
 		return nil, &sendError{attempt.NotSent, err}
 	}
 	g.countConnection(conn.reused)
-	r := &reply{endpoint: e, pool: g.pool, conn: conn}
+	r := &endpointResponse{endpoint: e, pool: g.pool, conn: conn}
 	r.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if silence > 0 {
-		r.watchdog = g.watch(ctx, r, silence)
+		r.watchdog = g.startWatchdog(ctx, r, silence)
 	}
-	r.written = out.send(conn)
+	r.writeResult = out.write(conn)
 	if err := r.readHead(g.dialect, out); err != nil {
 		r.abandon()
 		return nil, &sendError{attempt.Broken, err}
@@ -102,87 +102,87 @@
 
 // readHead reads answers until one belongs to the request. A late second answer to
 // an earlier request may stand before it; its ID tells.
-func (r *reply) readHead(dialect Dialect, out *outgoing) error {
-	for crossed := 0; crossed < maxCrossed; {
+func (r *endpointResponse) readHead(dialect Dialect, out *outgoingRequest) error {
+	for crossed := 0; crossed < maxStrayResponses; {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: out.method})
 		if err != nil {
 			return errors.Wrap(err, "read answer")
 		}
-		r.hear()
+		r.noteActivity()
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		r.answer = dialect.ReadAnswer(response.StatusCode, response.Header)
+		r.parsed = dialect.ReadResponse(response.StatusCode, response.Header)
 		unframed := response.ContentLength < 0 && len(response.TransferEncoding) == 0
-		if r.answer.ID != out.id {
+		if r.parsed.ID != out.id {
 			crossed++
 			if unframed || response.Close {
-				return errCrossed
+				return errStrayResponse
 			}
 			if _, err := io.Copy(io.Discard, response.Body); err != nil {
 				return errors.Wrap(err, "read another request's answer")
 			}
 			continue
 		}
-		r.status, r.header, r.body, r.unframed = response.StatusCode, response.Header, response.Body, unframed
-		r.keep = keepFor(response)
+		r.status, r.header, r.body, r.closeDelimited = response.StatusCode, response.Header, response.Body, unframed
+		r.keepAlive = keepAliveTimeout(response)
 		return nil
 	}
-	return errCrossed
+	return errStrayResponse
 }
 
-// keepFor tells how long the endpoint keeps the connection; 0: it closes it.
-func keepFor(response *http.Response) time.Duration {
+// keepAliveTimeout tells how long the endpoint keeps the connection; 0: it closes it.
+func keepAliveTimeout(response *http.Response) time.Duration {
 	if response.Close {
 		return 0
 	}
 	for _, part := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
 		if text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout="); found {
 			if seconds, err := strconv.Atoi(text); err == nil {
-				return time.Duration(seconds)*time.Second - idleMargin
+				return time.Duration(seconds)*time.Second - keepAliveMargin
 			}
 		}
 	}
-	return idleMost
+	return maxIdleTime
 }
 
 // abandon closes the connection; the endpoint drops what it does for the request.
-func (r *reply) abandon() {
-	r.release()
+func (r *endpointResponse) abandon() {
+	r.stopWatching()
 	_ = r.conn.Close()
 }
 
 // finish ends an exchange whose body was read to its end. The connection is used
 // again only if nothing is doubtful about it: the request was written whole and
 // nothing stands behind the answer.
-func (r *reply) finish() {
+func (r *endpointResponse) finish() {
 	whole := false
 	select {
-	case err := <-r.written:
+	case err := <-r.writeResult:
 		whole = err == nil
 	default:
 	}
-	if !r.release() || !whole || r.unframed || r.keep <= 0 || r.conn.reader.Buffered() > 0 {
+	if !r.stopWatching() || !whole || r.closeDelimited || r.keepAlive <= 0 || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.Close()
 		return
 	}
-	r.pool.put(r.endpoint.Life, r.conn, r.keep)
+	r.pool.put(r.endpoint.Incarnation, r.conn, r.keepAlive)
 }
 
-// outgoing is a request as it is written to endpoints.
-type outgoing struct {
+// outgoingRequest is a request as it is written to endpoints.
+type outgoingRequest struct {
 	id, method, target, host string
 	header                   http.Header
 	body                     []byte
 }
 
-// inlineBytes is the largest request that is written before the answer is awaited. A
+// maxInlineWrite is the largest request that is written before the answer is awaited. A
 // longer one is written beside: an endpoint may answer before it has read it all, and
 // with both sides' buffers full neither would go on.
-const inlineBytes = 16 << 10
+const maxInlineWrite = 16 << 10
 
-// send writes the request and gives the outcome.
-func (o *outgoing) send(conn io.Writer) <-chan error {
+// write writes the request and gives the outcome.
+func (o *outgoingRequest) write(conn io.Writer) <-chan error {
 	var head bytes.Buffer
 	head.Grow(1024)
 	head.WriteString(o.method + " " + o.target + " HTTP/1.1\r\nHost: " + o.host + "\r\n")
@@ -193,7 +193,7 @@
 	head.WriteString("\r\n")
 	head.Write(o.body)
 	written := make(chan error, 1)
-	if head.Len() <= inlineBytes {
+	if head.Len() <= maxInlineWrite {
 		_, err := conn.Write(head.Bytes())
 		written <- err
 		return written
--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -6,7 +6,7 @@
 	"aspenyard.example/routing/direct"
 )
 
-// TellReading lets the gateway hear that another entry has so much prefill under way.
-func (g *Gateway) TellReading(service string, reading time.Duration) {
+// ReportPeerPrefill lets the gateway hear that another entry has so much prefill under way.
+func (g *Gateway) ReportPeerPrefill(service string, reading time.Duration) {
 	g.ledger.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: reading}}, nil)
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -22,42 +22,42 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// patience bounds every wait on a condition; only a fault makes a test wait so long.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait on a condition; only a fault makes a test wait so long.
+const waitTimeout = 30 * time.Second
 
-// site is a gateway before the stand-ins of its platform.
-type site struct {
-	t       *testing.T
-	store   *standin.Store
-	workers []*standin.Worker
-	gateway *gateway.Gateway
-	signals chan os.Signal
-	ended   chan error
-	log     *lockedBuffer
-	version int
-	routes  []map[string]any
-	limits  map[string]any
-	keys    []string
-	client  *http.Client
-	// own are more fields of the settings.
-	own string
+// fixture is a gateway before the stand-ins of its platform.
+type fixture struct {
+	t        *testing.T
+	store    *standin.Store
+	workers  []*standin.Worker
+	gateway  *gateway.Gateway
+	signals  chan os.Signal
+	serveErr chan error
+	log      *syncBuffer
+	version  int
+	routes   []map[string]any
+	limits   map[string]any
+	keys     []string
+	client   *http.Client
+	// extraSettings are more fields of the settings.
+	extraSettings string
 	// firstWait is how long requests wait for the first configuration; 0: the default.
 	firstWait time.Duration
 }
 
-// lockedBuffer collects the log.
-type lockedBuffer struct {
+// syncBuffer collects the log.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
@@ -76,11 +76,11 @@
 	}
 }
 
-// newSite prepares stand-ins with workers of service "app"; start starts the gateway.
-func newSite(t *testing.T, workers ...*standin.Worker) *site {
+// newFixture prepares stand-ins with workers of service "app"; start starts the gateway.
+func newFixture(t *testing.T, workers ...*standin.Worker) *fixture {
 	t.Helper()
-	s := &site{
-		t: t, store: standin.NewStore(), workers: workers, signals: make(chan os.Signal, 4), ended: make(chan error, 1), log: &lockedBuffer{}, keys: []string{key},
+	s := &fixture{
+		t: t, store: standin.NewStore(), workers: workers, signals: make(chan os.Signal, 4), serveErr: make(chan error, 1), log: &syncBuffer{}, keys: []string{key},
 		routes: []map[string]any{route("once", "/once/", "non_idempotent"), route("again", "/again/", "idempotent"), route("stream", "/stream/", "streaming")},
 		limits: map[string]any{"max_header_bytes": 8192, "max_body_bytes": 100_000, "header_timeout_ms": 10_000, "idle_timeout_ms": 20_000},
 		client: &http.Client{Transport: &http.Transport{DisableCompression: true}},
@@ -99,12 +99,12 @@
 }
 
 // configure writes the next version of the configuration.
-func (s *site) configure() {
+func (s *fixture) configure() {
 	s.version += 3
 	s.store.Put("op/config", s.config())
 }
 
-func (s *site) config() []byte {
+func (s *fixture) config() []byte {
 	services := []map[string]any{{"name": "app", "health_path": "/healthz", "max_conns": 100}, {"name": "model", "max_conns": 100, "engine": standin.SmallEngine(400_000)}}
 	data, err := json.Marshal(map[string]any{
 		"version": s.version, "routes": s.routes, "services": services, "limits": s.limits,
@@ -117,37 +117,37 @@
 }
 
 // start runs a gateway until the test ends and waits until it is ready.
-func (s *site) start() *site {
+func (s *fixture) start() *fixture {
 	s.t.Helper()
 	if s.version == 0 {
 		s.configure()
 	}
-	s.boot()
-	s.until("ready", func() bool { return s.ready() == http.StatusOK })
+	s.launch()
+	s.waitFor("ready", func() bool { return s.readyStatus() == http.StatusOK })
 	return s
 }
 
-// boot runs a gateway until the test ends.
-func (s *site) boot() {
+// launch runs a gateway until the test ends.
+func (s *fixture) launch() {
 	s.t.Helper()
 	server := httptest.NewServer(s.store.Handler())
 	var own settings.Gateway
-	text := fmt.Sprintf(`{"name":"g1","data_centre":"dc1","callers_listen":"127.0.0.1:0","readiness_listen":"127.0.0.1:0","metrics_listen":"127.0.0.1:0","store":%q,"drain_timeout":"5s","retry_allowance":3200%s}`, strings.TrimPrefix(server.URL, "http://"), s.own)
+	text := fmt.Sprintf(`{"name":"g1","data_centre":"dc1","callers_listen":"127.0.0.1:0","readiness_listen":"127.0.0.1:0","metrics_listen":"127.0.0.1:0","store":%q,"drain_timeout":"5s","retry_allowance":3200%s}`, strings.TrimPrefix(server.URL, "http://"), s.extraSettings)
 	if err := settings.Decode([]byte(text), &own); err != nil {
 		s.t.Fatal(err)
 	}
 	writer := eventlog.NewWriter(s.log)
 	dial := gateway.Dialer(time.Second)
-	orders := platform.NewOrders(dial)
+	orders := platform.NewEndpointClient(dial)
 	store := platform.NewStore(own.Store, dial)
 	s.gateway = gateway.New(gateway.Config{
-		Settings: own, Dialect: platform.Wire{}, Source: store, Registry: store, Reserver: orders, Pacer: orders,
+		Settings: own, Dialect: platform.HeaderCodec{}, Source: store, Registry: store, Reserver: orders, SlowdownReader: orders,
 		Log: eventlog.New(writer, own.Name, "gateway"), LogWriter: writer,
-		FirstWait: s.firstWait,
+		FirstConfigWait: s.firstWait,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		s.ended <- s.gateway.Serve(ctx, s.signals, func() (settings.Gateway, error) { return own, nil })
+		s.serveErr <- s.gateway.Serve(ctx, s.signals, func() (settings.Gateway, error) { return own, nil })
 	}()
 	s.t.Cleanup(func() {
 		cancel()
@@ -157,19 +157,19 @@
 			s.t.Log(s.logTail())
 		}
 	})
-	s.until("listening", func() bool { return s.gateway.CallersAddr() != "" })
+	s.waitFor("listening", func() bool { return s.gateway.CallersAddr() != "" })
 }
 
 // logTail is the end of the log, for failures.
-func (s *site) logTail() string {
+func (s *fixture) logTail() string {
 	lines := strings.Split(s.log.String(), "\n")
 	return strings.Join(lines[max(len(lines)-30, 0):], "\n")
 }
 
-// until waits for a condition.
-func (s *site) until(what string, met func() bool) {
+// waitFor waits for a condition.
+func (s *fixture) waitFor(what string, met func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !met() {
 		if time.Now().After(deadline) {
 			s.t.Fatalf("not met: %s", what)
@@ -178,7 +178,7 @@
 	}
 }
 
-func (s *site) ready() int {
+func (s *fixture) readyStatus() int {
 	response, err := s.client.Get("http://" + s.gateway.ReadinessAddr() + "/-/readyz")
 	if err != nil {
 		return 0
@@ -187,8 +187,8 @@
 	return response.StatusCode
 }
 
-// answer is what a caller got.
-type answer struct {
+// callerResponse is what a caller got.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -196,7 +196,7 @@
 }
 
 // request makes a caller's request.
-func (s *site) request(method, path, id, body string) *http.Request {
+func (s *fixture) request(method, path, id, body string) *http.Request {
 	s.t.Helper()
 	r, err := http.NewRequest(method, "http://"+s.gateway.CallersAddr()+path, strings.NewReader(body))
 	if err != nil {
@@ -210,24 +210,24 @@
 }
 
 // do sends a request.
-func (s *site) do(r *http.Request) answer {
+func (s *fixture) do(r *http.Request) callerResponse {
 	response, err := s.client.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return answer{response.StatusCode, response.Header, string(body), err}
+	return callerResponse{response.StatusCode, response.Header, string(body), err}
 }
 
 // post sends a request with a body.
-func (s *site) post(path, id string) answer {
+func (s *fixture) post(path, id string) callerResponse {
 	s.t.Helper()
 	return s.do(s.request(http.MethodPost, path, id, "body of "+id))
 }
 
-// runs counts how often a request ran at any worker.
-func (s *site) runs(id string) int {
+// runCount counts how often a request ran at any worker.
+func (s *fixture) runCount(id string) int {
 	n := 0
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
@@ -239,8 +239,8 @@
 	return n
 }
 
-// metric sums the series of a metric whose name and labels begin so.
-func (s *site) metric(prefix string) float64 {
+// sumMetric sums the series of a sumMetric whose name and labels begin so.
+func (s *fixture) sumMetric(prefix string) float64 {
 	response, err := s.client.Get("http://" + s.gateway.MetricsAddr() + "/metrics")
 	if err != nil {
 		return 0
@@ -260,13 +260,13 @@
 	return sum
 }
 
-func (s *site) terminate() { s.signals <- syscall.SIGTERM }
+func (s *fixture) sendSIGTERM() { s.signals <- syscall.SIGTERM }
 
-func (s *site) hangUp() { s.signals <- syscall.SIGHUP }
+func (s *fixture) sendSIGHUP() { s.signals <- syscall.SIGHUP }
 
-// plain and streaming make workers.
-func plain() *standin.Worker { return &standin.Worker{} }
+// plainWorker and streaming make workers.
+func plainWorker() *standin.Worker { return &standin.Worker{} }
 
-func streaming(events int) *standin.Worker {
+func streamingWorker(events int) *standin.Worker {
 	return &standin.Worker{Events: events, Pace: 2 * time.Millisecond}
 }
