--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -13,23 +13,23 @@
 	"aspenyard.example/settings"
 )
 
-// recorder is a source that records how long its calls may take.
-type recorder struct {
+// recordingSource is a source that records how long its calls may take.
+type recordingSource struct {
 	mu    sync.Mutex
 	fail  bool
 	calls []recordedCall
 }
 
 type recordedCall struct {
-	whole bool
-	// wait is how long the call asks the store to wait, bound when it is given up.
-	wait, bound time.Duration
-	failed      bool
+	fullRead bool
+	// wait is how long the call asks the store to wait, timeout when it is given up.
+	wait, timeout time.Duration
+	failed        bool
 }
 
-func (r *recorder) note(ctx context.Context, call recordedCall) error {
+func (r *recordingSource) record(ctx context.Context, call recordedCall) error {
 	deadline, _ := ctx.Deadline()
-	call.bound = time.Until(deadline)
+	call.timeout = time.Until(deadline)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	call.failed = r.fail
@@ -40,37 +40,37 @@
 	return nil
 }
 
-func (r *recorder) Read(ctx context.Context) (*directory.Reading, error) {
-	if err := r.note(ctx, recordedCall{whole: true}); err != nil {
+func (r *recordingSource) Read(ctx context.Context) (*directory.StoreState, error) {
+	if err := r.record(ctx, recordedCall{fullRead: true}); err != nil {
 		return nil, err
 	}
-	return &directory.Reading{At: 1, Config: directory.NewConfig(1, directory.Limits{}, nil, nil, nil), ConfigRevision: 1}, nil
+	return &directory.StoreState{Revision: 1, Config: directory.NewConfig(1, directory.Limits{}, nil, nil, nil), ConfigRevision: 1}, nil
 }
 
-func (r *recorder) Follow(ctx context.Context, after uint64, wait time.Duration) (*directory.Changes, error) {
-	if err := r.note(ctx, recordedCall{wait: wait}); err != nil {
+func (r *recordingSource) Watch(ctx context.Context, after uint64, wait time.Duration) (*directory.Changes, error) {
+	if err := r.record(ctx, recordedCall{wait: wait}); err != nil {
 		return nil, err
 	}
 	time.Sleep(time.Millisecond)
-	return &directory.Changes{At: after}, nil
+	return &directory.Changes{Revision: after}, nil
 }
 
-func (r *recorder) Reset() {}
+func (r *recordingSource) CloseIdleConnections() {}
 
 // Symptom: a change is in force seconds too late. Sequence: the store goes silent, or
 // drops its history, just as a call begins to wait; or it is back while a call that
 // cannot be answered still waits. Cause: waits of 10 s, and of 3 s and a timeout of 1 s;
 // with them this test fails.
-func TestCallsToTheStoreLeaveTimeForTheChange(t *testing.T) {
+func TestStoreCallsEndWithinConfigWithin(t *testing.T) {
 	is := is.New(t)
-	source := &recorder{}
+	source := &recordingSource{}
 	s := settings.Gateway{Name: "g", DataCentre: "d", CallersListen: "127.0.0.1:0", ReadinessListen: "127.0.0.1:0", Store: "127.0.0.1:1"}
 	is.NoErr(s.Check().Err())
 	g := New(Config{Settings: s, Source: source, Log: zap.NewNop()})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		g.follow(ctx)
+		g.watchStore(ctx)
 		close(ended)
 	}()
 	enough := func(n int) {
@@ -97,10 +97,10 @@
 	<-ended
 	source.mu.Lock()
 	defer source.mu.Unlock()
-	is.True(source.calls[0].whole) // nothing is believed before a whole reading
+	is.True(source.calls[0].fullRead) // nothing is believed before a whole reading
 	outage := false
 	for _, call := range source.calls {
-		is.True(call.bound <= s.ConfigWithin.D())
+		is.True(call.timeout <= s.ConfigWithin.D())
 		if outage {
 			is.Equal(call.wait, time.Duration(0)) // the store's return is to be seen at once
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,38 +35,38 @@
 
 // Gateway is one process.
 type Gateway struct {
-	settings    settings.Gateway
-	dialect     Dialect
-	source      directory.Source
-	reserver    Reserver
-	log         *zap.Logger
-	requestLogs *eventlog.RequestLogs
-	metrics     *metrics.Set
-	snapshot    atomic.Pointer[directory.Snapshot]
-	ledger      *direct.LoadTracker
-	policy      *direct.Policy
-	retries     *admission.RetryWindow
-	quarantine  *attempt.Quarantine
-	pool        *pool
-	callers     *callers
-	prober      *prober
-	longQueue   *admission.Semaphore
-	registry    directory.Registry
-	pacer       Pacer
-	paces       *paces
-	peers       *peers
-	peerLoop    atomic.Pointer[membership.Loop]
-	active      atomic.Int64
-	releasing   atomic.Int64 // requests whose memory is being given back
-	objectives  *window.Windows
-	// configAt is when the configuration came into force, heardStoreAt when the store last
+	settings       settings.Gateway
+	dialect        Dialect
+	source         directory.Source
+	reserver       Reserver
+	log            *zap.Logger
+	requestLogs    *eventlog.RequestLogs
+	metrics        *metrics.Set
+	snapshot       atomic.Pointer[directory.Snapshot]
+	ledger         *direct.LoadTracker
+	policy         *direct.Policy
+	retries        *admission.RetryWindow
+	quarantine     *attempt.Quarantine
+	pool           *pool
+	callers        *callerServer
+	prober         *prober
+	longQueue      *admission.Semaphore
+	registry       directory.Registry
+	slowdownReader SlowdownReader
+	paces          *slowdownMonitor
+	peers          *peers
+	peerLoop       atomic.Pointer[membership.Loop]
+	active         atomic.Int64
+	releasing      atomic.Int64 // requests whose memory is being given back
+	objectives     *window.Windows
+	// configAppliedAt is when the configuration came into force, storeAnsweredAt when the store last
 	// answered, both in nanoseconds since start.
-	configAt, heardStoreAt atomic.Int64
-	stopping               atomic.Int64 // when the drain began, in nanoseconds since start; 0: serving
-	started                time.Time
+	configAppliedAt, storeAnsweredAt atomic.Int64
+	drainStartedAt                   atomic.Int64 // when the drain began, in nanoseconds since start; 0: serving
+	started                          time.Time
 	// configured is closed when the first configuration is in force.
-	configured chan struct{}
-	firstWait  time.Duration
+	configured      chan struct{}
+	firstConfigWait time.Duration
 
 	// The addresses that are listened on, once they are.
 	callersAddr, readinessAddr, metricsAddr atomic.Value
@@ -93,19 +93,19 @@
 	Source   directory.Source
 	Reserver Reserver
 	Registry directory.Registry
-	// Pacer may be nil: endpoints that turn slow are then not found.
-	Pacer Pacer
-	Log   *zap.Logger
+	// SlowdownReader may be nil: endpoints that turn slow are then not found.
+	SlowdownReader SlowdownReader
+	Log            *zap.Logger
 	// LogWriter counts dropped lines; may be nil.
 	LogWriter *eventlog.Writer
-	// FirstWait is how long after the start requests wait for the first configuration; later
+	// FirstConfigWait is how long after the start requests wait for the first configuration; later
 	// they are refused at once. Default 400 ms: a store in order answers a whole reading 24 to
 	// 170 ms after the start, and a caller that is refused meanwhile comes back late. While
 	// the store is away it delays the refusals of that time.
-	FirstWait time.Duration
+	FirstConfigWait time.Duration
 }
 
-const defaultFirstWait = 400 * time.Millisecond
+const defaultFirstConfigWait = 400 * time.Millisecond
 
 // New makes a gateway; Serve starts it.
 func New(c Config) *Gateway {
@@ -116,37 +116,37 @@
 	g := &Gateway{
 		settings: c.Settings, dialect: c.Dialect, source: c.Source, reserver: c.Reserver, registry: c.Registry, log: c.Log, requestLogs: eventlog.NewRequestLogs(c.Log),
 		metrics: metrics.NewSet(), ledger: ledger, policy: direct.NewPolicy(ledger, globalRand{}), pool: newPool(), objectives: window.New(), started: time.Now(),
-		configured: make(chan struct{}), firstWait: cmp.Or(c.FirstWait, defaultFirstWait),
+		configured: make(chan struct{}), firstConfigWait: cmp.Or(c.FirstConfigWait, defaultFirstConfigWait),
 	}
 	g.quarantine = attempt.NewQuarantine()
 	g.retries = admission.NewRetryWindow(time.Now(), retryLimits(c.Settings))
-	g.snapshot.Store(directory.Empty())
-	g.callers = newCallers(g)
+	g.snapshot.Store(directory.EmptySnapshot())
+	g.callers = newCallerServer(g)
 	g.prober = newProber(g)
-	g.pacer, g.paces = c.Pacer, newPaces(g)
-	g.peers = &peers{gateway: g, told: map[direct.EndpointHash]direct.EndpointLoad{}}
+	g.slowdownReader, g.paces = c.SlowdownReader, newSlowdownMonitor(g)
+	g.peers = &peers{gateway: g, lastSent: map[direct.EndpointHash]direct.EndpointLoad{}}
 	g.longQueue = admission.NewSemaphore(1)
-	g.expose(c.LogWriter)
+	g.registerMetrics(c.LogWriter)
 	return g
 }
 
-// memoryShare is the part of the process's memory at which the runtime collects
+// goMemoryLimitShare is the part of the process's memory at which the runtime collects
 // garbage more eagerly; the rest is for stacks, buffers of the kernel and the binary.
-const memoryShare = 0.6
+const goMemoryLimitShare = 0.6
 
 // Serve works until a signal ends it or ctx does. SIGHUP reads the settings again,
 // by reload; any other signal drains, and an interrupt during a drain stops at once.
 func (g *Gateway) Serve(ctx context.Context, signals <-chan os.Signal, reload func() (settings.Gateway, error)) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	debug.SetMemoryLimit(int64(float64(g.settings.MemoryLimit) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(g.settings.MemoryLimit) * goMemoryLimitShare))
 	failures := make(chan error, 3)
 	if err := g.listen(ctx, failures); err != nil {
 		return err
 	}
-	go g.follow(ctx)
+	go g.watchStore(ctx)
 	if g.settings.PeersListen != "" {
-		go g.peers.run(ctx)
+		go g.peers.keepRegistered(ctx)
 	}
 	g.log.Info("start", zap.String("callers", g.settings.CallersListen), zap.String("store", g.settings.Store))
 	for {
@@ -185,7 +185,7 @@
 			return errors.Wrap(err, "listen")
 		}
 		p.bound.Store(listener.Addr().String())
-		server := &http.Server{Handler: p.handler, ReadHeaderTimeout: operatorsHeaderTimeout}
+		server := &http.Server{Handler: p.handler, ReadHeaderTimeout: monitoringHeaderTimeout}
 		context.AfterFunc(ctx, func() { _ = server.Close() })
 		go func() {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// operatorsHeaderTimeout bounds how long the balancer or a scraper takes to send a
+// monitoringHeaderTimeout bounds how long the balancer or a scraper takes to send a
 // request's head.
-const operatorsHeaderTimeout = 5 * time.Second
+const monitoringHeaderTimeout = 5 * time.Second
 
 func retryLimits(s settings.Gateway) admission.RetryLimits {
 	return admission.RetryLimits{Ratio: s.RetryRatio, Allowance: s.RetryAllowance, Window: s.RetryWindow.D()}
@@ -224,10 +224,10 @@
 	g.log.Info("reload", zap.Float64("retry_ratio", next.RetryRatio), zap.Float64("retry_allowance", next.RetryAllowance))
 }
 
-// ready tells the balancer whether to send callers here.
-func (g *Gateway) ready() error {
+// checkReady tells the balancer whether to send callers here.
+func (g *Gateway) checkReady() error {
 	switch {
-	case g.stopping.Load() != 0:
+	case g.drainStartedAt.Load() != 0:
 		return errors.New("draining")
 	case g.snapshot.Load().Config == nil:
 		return errors.New("no configuration yet")
@@ -236,11 +236,11 @@
 }
 
 // Ready tells whether callers are to be sent here.
-func (g *Gateway) Ready() bool { return g.CallersAddr() != "" && g.ready() == nil }
+func (g *Gateway) Ready() bool { return g.CallersAddr() != "" && g.checkReady() == nil }
 
 func (g *Gateway) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if err := g.ready(); err != nil {
+		if err := g.checkReady(); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -22,45 +22,45 @@
 // call is one caller's request on its way through the gateway.
 type call struct {
 	Request
-	gateway  *Gateway
-	started  time.Time
-	deadline time.Time
-	snapshot *directory.Snapshot
-	config   *directory.Config
-	route    *directory.Route
-	service  *directory.Service
-	account  *directory.Account
-	body     []byte
-	out      http.ResponseWriter
-	in       *http.Request
-	log      *eventlog.RequestLog
-	// firstAnswer is when the answer's head or first event was passed on; gap is the
+	gateway     *Gateway
+	started     time.Time
+	deadline    time.Time
+	snapshot    *directory.Snapshot
+	config      *directory.Config
+	route       *directory.Route
+	service     *directory.Service
+	account     *directory.Account
+	body        []byte
+	writer      http.ResponseWriter
+	httpRequest *http.Request
+	log         *eventlog.RequestLog
+	// firstByteAt is when the answer's head or first event was passed on; gap is the
 	// longest pause between events.
-	firstAnswer time.Time
-	gap         time.Duration
-	gapAt       time.Time // when it ended
-	events      int
-	// endpoint is the last that the request was sent to.
-	endpoint string
-	// print is the request's fingerprint; each half is 0 until it was asked for.
-	print attempt.Fingerprint
+	firstByteAt     time.Time
+	longestPause    time.Duration
+	longestPauseEnd time.Time // when it ended
+	eventsSent      int
+	// lastEndpoint is the last that the request was sent to.
+	lastEndpoint string
+	// cachedFingerprint is the request's fingerprint; each half is 0 until it was asked for.
+	cachedFingerprint attempt.Fingerprint
 }
 
 // serveCaller serves one request from a caller.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	c := &call{gateway: g, started: time.Now(), Request: g.dialect.ReadRequest(r.Header), out: w, in: r}
+	c := &call{gateway: g, started: time.Now(), Request: g.dialect.ReadRequest(r.Header), writer: w, httpRequest: r}
 	c.log = g.requestLogs.Begin(c.ID)
-	failure := c.open()
+	failure := c.prepare()
 	if failure == nil {
 		failure = c.forward()
 	}
-	c.end(failure)
+	c.finish(failure)
 }
 
-// open finds out who asks for what and reads the body. Nothing has run when it fails.
-func (c *call) open() *result.Error {
+// prepare finds out who asks for what and reads the body. Nothing has run when it fails.
+func (c *call) prepare() *result.Error {
 	if failure := c.checkFraming(); failure != nil {
 		return failure
 	}
@@ -68,26 +68,26 @@
 	c.snapshot = c.gateway.snapshot.Load()
 	c.config = c.snapshot.Config
 	if c.config == nil {
-		return result.Refuse(result.NotReady, notReadyRetry, "no configuration yet")
+		return result.Refuse(result.NotReady, notReadyRetryAfter, "no configuration yet")
 	}
-	if limit := c.config.Limits.HeaderBytes; limit > 0 && headBytes(c.in) > limit {
+	if limit := c.config.Limits.HeaderBytes; limit > 0 && headBytes(c.httpRequest) > limit {
 		return result.Refuse(result.HeaderTooLarge, 0, "the head is over %d bytes", limit)
 	}
-	if failure := c.identify(); failure != nil {
+	if failure := c.resolveRoute(); failure != nil {
 		return failure
 	}
 	if failure := c.readBody(); failure != nil {
 		return failure
 	}
-	name := c.route.Pick(globalRand{}.Float64())
+	name := c.route.PickService(globalRand{}.Float64())
 	if name == "" {
-		return result.Refuse(result.NoEndpoint, noEndpointRetry, "route %q has no service", c.route.Name)
+		return result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "route %q has no service", c.route.Name)
 	}
 	c.service = c.config.Service(name)
-	if !c.gateway.accepting(c.need()) {
-		return result.Refuse(result.Leaving, leavingRetry, "the process is shutting down")
+	if !c.gateway.canAccept(c.estimatedDuration()) {
+		return result.Refuse(result.Leaving, drainingRetryAfter, "the process is shutting down")
 	}
-	c.gateway.retries.Request(c.started, c.service.Name)
+	c.gateway.retries.RecordRequest(c.started, c.service.Name)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 		return
 	default:
 	}
-	left := c.gateway.firstWait - time.Since(c.gateway.started)
+	left := c.gateway.firstConfigWait - time.Since(c.gateway.started)
 	if left <= 0 {
 		return
 	}
@@ -109,35 +109,35 @@
 	select {
 	case <-c.gateway.configured:
 	case <-timer.C:
-	case <-c.in.Context().Done():
+	case <-c.httpRequest.Context().Done():
 	}
 }
 
 const (
-	notReadyRetry   = 500 * time.Millisecond
-	leavingRetry    = 50 * time.Millisecond
-	noEndpointRetry = time.Second
+	notReadyRetryAfter   = 500 * time.Millisecond
+	drainingRetryAfter   = 50 * time.Millisecond
+	noEndpointRetryAfter = time.Second
 )
 
 // checkFraming refuses a head that is malformed. It comes before any other answer: one
 // that keeps the connection would let what follows an ambiguous body be taken for the
 // next request.
 func (c *call) checkFraming() *result.Error {
-	if !strings.HasPrefix(c.in.RequestURI, "/") || strings.ContainsAny(c.in.RequestURI, " \t") {
+	if !strings.HasPrefix(c.httpRequest.RequestURI, "/") || strings.ContainsAny(c.httpRequest.RequestURI, " \t") {
 		return result.Refuse(result.BadRequest, 0, "the request target is not a path")
 	}
-	if len(c.in.TransferEncoding) > 0 && ambiguous(c.in) {
+	if len(c.httpRequest.TransferEncoding) > 0 && ambiguousLength(c.httpRequest) {
 		return result.Refuse(result.BadRequest, 0, "both a length and an encoding of the body")
 	}
 	return nil
 }
 
-// ambiguous tells whether the head gave two lengths of the body. The server has then
+// ambiguousLength tells whether the head gave two lengths of the body. The server has then
 // taken the encoding and dropped the length; another reader might do the reverse, and
 // a second request could be hidden in the difference.
-func ambiguous(r *http.Request) bool {
+func ambiguousLength(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(*callerConn)
-	return ok && conn.sawLength()
+	return ok && conn.hasContentLength()
 }
 
 // headBytes is the size of a request's head as it was sent, to a few bytes.
@@ -151,20 +151,20 @@
 	return n
 }
 
-// identify finds the route and the account and fixes the deadline.
-func (c *call) identify() *result.Error {
-	path, _, _ := strings.Cut(c.in.RequestURI, "?")
-	c.route = c.config.Route(c.in.Host, path)
+// resolveRoute finds the route and the account and fixes the deadline.
+func (c *call) resolveRoute() *result.Error {
+	path, _, _ := strings.Cut(c.httpRequest.RequestURI, "?")
+	c.route = c.config.Route(c.httpRequest.Host, path)
 	if c.route == nil {
-		if c.gateway.outOfDate() {
-			return c.refuseToJudge()
+		if c.gateway.configMayBeStale() {
+			return c.refuseOutOfDate()
 		}
-		return result.Refuse(result.UnknownKind, 0, "no route for host %q and path %q", c.in.Host, path)
+		return result.Refuse(result.UnknownKind, 0, "no route for host %q and path %q", c.httpRequest.Host, path)
 	}
 	c.account = c.config.Account(c.Key)
 	if c.config.HasAccounts() && !c.route.Public && c.account == nil {
-		if c.Key != "" && c.gateway.outOfDate() {
-			return c.refuseToJudge()
+		if c.Key != "" && c.gateway.configMayBeStale() {
+			return c.refuseOutOfDate()
 		}
 		code := result.WrongKey
 		if c.Key == "" {
@@ -186,11 +186,11 @@
 	return nil
 }
 
-// refuseToJudge answers a request for a route or with a key that this node does not know
+// refuseOutOfDate answers a request for a route or with a key that this node does not know
 // but that a newer configuration may have. Callers ask another node after it, and nobody
 // after 404 or 401.
-func (c *call) refuseToJudge() *result.Error {
-	return result.Refuse(result.NotReady, notReadyRetry, "the configuration here may be out of date")
+func (c *call) refuseOutOfDate() *result.Error {
+	return result.Refuse(result.NotReady, notReadyRetryAfter, "the configuration here may be out of date")
 }
 
 // defaultDeadline is used where neither the caller nor the route gives one.
@@ -199,20 +199,20 @@
 // readBody reads the whole body before anything is sent on: a request that breaks
 // off on its way here then certainly has not run.
 func (c *call) readBody() *result.Error {
-	if c.in.Body == nil || c.in.Body == http.NoBody {
+	if c.httpRequest.Body == nil || c.httpRequest.Body == http.NoBody {
 		return nil
 	}
 	limit := int64(c.config.Limits.BodyBytes)
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
-	if c.in.ContentLength > limit {
-		return result.Refuse(result.BodyTooLarge, 0, "the body has %d bytes, %d are allowed", c.in.ContentLength, limit)
+	if c.httpRequest.ContentLength > limit {
+		return result.Refuse(result.BodyTooLarge, 0, "the body has %d bytes, %d are allowed", c.httpRequest.ContentLength, limit)
 	}
-	control := http.NewResponseController(c.out)
+	control := http.NewResponseController(c.writer)
 	_ = control.SetReadDeadline(c.deadline)
-	reader := http.MaxBytesReader(c.out, c.in.Body, limit)
-	body, err := readAll(reader, c.in.ContentLength)
+	reader := http.MaxBytesReader(c.writer, c.httpRequest.Body, limit)
+	body, err := readAll(reader, c.httpRequest.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	var timeout net.Error
@@ -224,7 +224,7 @@
 		return result.Refuse(result.BodyTooLarge, 0, "the body is over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout():
 		return result.Refuse(result.SlowCaller, 0, "the body did not come in time")
-	case c.in.Context().Err() != nil || errors.Is(err, io.ErrUnexpectedEOF):
+	case c.httpRequest.Context().Err() != nil || errors.Is(err, io.ErrUnexpectedEOF):
 		return result.Refuse(result.Cancelled, 0, "the caller went away while sending the body")
 	}
 	return result.Refuse(result.BadRequest, 0, "the body could not be read: %v", err)
@@ -242,11 +242,11 @@
 	return body, err
 }
 
-// refuse answers a request that has not run, or that failed without an answer from
+// writeError answers a request that has not run, or that failed without an answer from
 // an endpoint.
-func (c *call) refuse(failure *result.Error) {
+func (c *call) writeError(failure *result.Error) {
 	status := result.Lookup(failure.Code).HTTPStatus
-	h := c.out.Header()
+	h := c.writer.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if failure.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(failure.RetryAfter.Seconds(), 'f', 3, 64))
@@ -254,25 +254,25 @@
 	if failure.Code == result.SlowCaller || failure.Code == result.BodyTooLarge || failure.Code == result.BadRequest || failure.Code == result.Leaving {
 		h.Set("Connection", "close")
 	}
-	c.out.WriteHeader(status)
-	_, _ = io.WriteString(c.out, failure.Error()+"\n")
+	c.writer.WriteHeader(status)
+	_, _ = io.WriteString(c.writer, failure.Error()+"\n")
 }
 
-// end answers a request that failed, counts it and logs it.
-func (c *call) end(failure *result.Error) {
+// finish answers a request that failed, counts it and logs it.
+func (c *call) finish(failure *result.Error) {
 	took := time.Since(c.started)
-	code, started := result.OK, !c.firstAnswer.IsZero()
+	code, started := result.OK, !c.firstByteAt.IsZero()
 	if failure != nil {
 		code = failure.Code
 	}
 	late := c.lateness(took)
-	c.gateway.measure(c, code, took, late)
+	c.gateway.observeCall(c, code, took, late)
 	fields := []zap.Field{
-		zap.Int("code", int(code)), zap.Duration("took_ms", took), zap.Uint64("config", c.version()),
-		zap.String("route", c.routeName()), zap.String("endpoint", c.endpoint), zap.Int("prompt_tokens", c.PromptTokens),
+		zap.Int("code", int(code)), zap.Duration("took_ms", took), zap.Uint64("config", c.configVersion()),
+		zap.String("route", c.routeName()), zap.String("endpoint", c.lastEndpoint), zap.Int("prompt_tokens", c.PromptTokens),
 	}
 	if started {
-		fields = append(fields, zap.String("late", string(late)), zap.Bool("resumed", c.LastEvent != ""), zap.Duration("first_ms", c.firstAnswer.Sub(c.started)), zap.Duration("gap_ms", c.gap), zap.Duration("gap_end_ms", c.gapEnd()), zap.Int("events", c.events))
+		fields = append(fields, zap.String("late", string(late)), zap.Bool("resumed", c.LastEventID != ""), zap.Duration("first_ms", c.firstByteAt.Sub(c.started)), zap.Duration("gap_ms", c.longestPause), zap.Duration("gap_end_ms", c.pauseEndOffset()), zap.Int("events", c.eventsSent))
 	}
 	if failure != nil {
 		fields = append(fields, zap.String("ran", string(failure.Ran)), zap.String("detail", failure.Detail), zap.Duration("retry_after_ms", failure.RetryAfter))
@@ -285,7 +285,7 @@
 		// The answer has begun and must not look whole, or nobody reads it.
 		panic(http.ErrAbortHandler)
 	default:
-		c.refuse(failure)
+		c.writeError(failure)
 	}
 }
 
@@ -294,11 +294,11 @@
 
 // The ways of being late.
 const (
-	onTime     lateness = "no"
-	lateAnswer lateness = "answer"
-	lateFirst  lateness = "first"
-	latePause  lateness = "pause"
-	lateBoth   lateness = "both"
+	onTime         lateness = "no"
+	lateResponse   lateness = "answer"
+	lateFirstEvent lateness = "first"
+	latePause      lateness = "pause"
+	lateBoth       lateness = "both"
 )
 
 // lateness tells in which way an answer missed its route's targets.
@@ -308,32 +308,32 @@
 	}
 	if c.route.Kind != directory.Streaming {
 		if took > c.route.Target {
-			return lateAnswer
+			return lateResponse
 		}
 		return onTime
 	}
-	first := c.firstAnswer.Sub(c.started) > c.route.Target
-	pause := c.route.TargetGap > 0 && c.gap > c.route.TargetGap
+	first := c.firstByteAt.Sub(c.started) > c.route.Target
+	pause := c.route.TargetPause > 0 && c.longestPause > c.route.TargetPause
 	switch {
 	case first && pause:
 		return lateBoth
 	case first:
-		return lateFirst
+		return lateFirstEvent
 	case pause:
 		return latePause
 	}
 	return onTime
 }
 
-// gapEnd is when the longest pause ended, from the start of the call.
-func (c *call) gapEnd() time.Duration {
-	if c.gapAt.IsZero() {
+// pauseEndOffset is when the longest pause ended, from the start of the call.
+func (c *call) pauseEndOffset() time.Duration {
+	if c.longestPauseEnd.IsZero() {
 		return 0
 	}
-	return c.gapAt.Sub(c.started)
+	return c.longestPauseEnd.Sub(c.started)
 }
 
-func (c *call) version() uint64 {
+func (c *call) configVersion() uint64 {
 	if c.config == nil {
 		return 0
 	}
@@ -347,7 +347,7 @@
 	return c.route.Name
 }
 
-// timeout gives a context that ends at the call's deadline or when the caller leaves.
-func (c *call) timeout() (context.Context, context.CancelFunc) {
-	return context.WithDeadline(c.in.Context(), c.deadline)
+// withDeadline gives a context that ends at the call's deadline or when the caller leaves.
+func (c *call) withDeadline() (context.Context, context.CancelFunc) {
+	return context.WithDeadline(c.httpRequest.Context(), c.deadline)
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// hopByHop are headers that concern one connection only.
-var hopByHop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+// hopByHopHeaders are headers that concern one connection only.
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// forwardable copies the headers that are passed on.
-func forwardable(h http.Header) http.Header {
+// forwardableHeaders copies the headers that are passed on.
+func forwardableHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for _, name := range splitList(list) {
 			out.Del(name)
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -11,20 +11,22 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// models starts a site with engines and a route to them.
-func models(t *testing.T, engines int) *site { return newModels(t, engines).start() }
+// startEngineFixture starts a site with engines and a route to them.
+func startEngineFixture(t *testing.T, engines int) *fixture {
+	return newEngineFixture(t, engines).start()
+}
 
-// newModels prepares a site with engines, and routes to them whose callers allow pauses of
+// newEngineFixture prepares a site with engines, and routes to them whose callers allow pauses of
 // 250 ms and of a second.
-func newModels(t *testing.T, engines int) *site {
+func newEngineFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 	var workers []*standin.Worker
 	for i := range engines {
-		w := streaming(5)
+		w := streamingWorker(5)
 		w.ID, w.Service = fmt.Sprintf("e-%02d", i), "model"
 		workers = append(workers, w)
 	}
-	s := newSite(t, workers...)
+	s := newFixture(t, workers...)
 	r := route("model", "/model/", "streaming")
 	r["service"], r["target_gap_ms"] = "model", 250
 	patient := route("patient", "/patient/", "streaming")
@@ -33,16 +35,16 @@
 	return s
 }
 
-// prompt sends a prompt of so many tokens.
-func (s *site) prompt(id string, tokens int) answer {
+// sendPrompt sends a sendPrompt of so many tokens.
+func (s *fixture) sendPrompt(id string, tokens int) callerResponse {
 	r := s.request(http.MethodPost, "/model/a", id, "x")
 	r.Header.Set("X-Aspenyard-Model", "m")
 	r.Header.Set("X-Aspenyard-Token-Usage", fmt.Sprintf("%d,400", tokens))
 	return s.do(r)
 }
 
-// ran finds the run of a request.
-func (s *site) ran(id string) *standin.Run {
+// findRun finds the run of a request.
+func (s *fixture) findRun(id string) *standin.Run {
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
 			if run.ID == id && run.Ran {
@@ -53,8 +55,8 @@
 	return nil
 }
 
-// dropped tells whether a worker saw the caller of a request leave.
-func (s *site) dropped(id string) bool {
+// callerDropped tells whether a worker saw the caller of a request leave.
+func (s *fixture) callerDropped(id string) bool {
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
 			if run.ID == id && run.Dropped {
@@ -65,8 +67,8 @@
 	return false
 }
 
-// held counts the reservations that engines hold.
-func (s *site) held() int {
+// reservationCount counts the reservations that engines hold.
+func (s *fixture) reservationCount() int {
 	n := 0
 	for _, w := range s.workers {
 		held, _, _ := w.Reserved()
@@ -77,36 +79,36 @@
 
 func TestPromptsArePrefilledInPartsByTheirLength(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 20)
+	s := startEngineFixture(t, 20)
 	for id, want := range map[string]int{"short": 0, "medium": 7, "long": 15} {
 		tokens := map[string]int{"short": 3000, "medium": 45_000, "long": 150_000}[id]
-		is.Equal(s.prompt(id, tokens).body, standin.StreamText(id, 5))
+		is.Equal(s.sendPrompt(id, tokens).body, standin.StreamText(id, 5))
 		helpers := 0
-		if run := s.ran(id); run.Helpers != "" {
+		if run := s.findRun(id); run.Helpers != "" {
 			helpers = len(strings.Split(run.Helpers, ","))
 		}
 		is.True(helpers >= want-1 && helpers <= want+1)
-		is.True(s.ran(id).Priority != "")
+		is.True(s.findRun(id).Priority != "")
 	}
-	is.Equal(s.held(), 0)
+	is.Equal(s.reservationCount(), 0)
 }
 
 // Symptom: every prompt that is prefilled on many engines is refused. Sequence: one
 // engine is leaving and a node that cannot reach the store still has it on its list.
-func TestAHelperThatFailedIsLeftOut(t *testing.T) {
+func TestAFailedHelperIsAvoided(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 12)
+	s := startEngineFixture(t, 12)
 	gone := s.workers[3]
 	for _, w := range s.workers {
 		w.BlameHelper(gone.Addr())
 	}
-	s.until("a request that it would help", func() bool {
+	s.waitFor("a request that it would help", func() bool {
 		for _, w := range s.workers {
 			w.Always(standin.FaultHelper)
 		}
-		first := make(chan answer, 1)
-		go func() { first <- s.prompt("q1", 100_000) }()
-		s.until("it was refused", func() bool {
+		first := make(chan callerResponse, 1)
+		go func() { first <- s.sendPrompt("q1", 100_000) }()
+		s.waitFor("it was refused", func() bool {
 			for _, w := range s.workers {
 				for _, run := range w.Runs() {
 					if run.ID == "q1" {
@@ -122,127 +124,127 @@
 		<-first
 		return true
 	})
-	is.Equal(s.prompt("q2", 100_000).body, standin.StreamText("q2", 5))
-	is.True(!strings.Contains(s.ran("q2").Helpers, gone.Addr())) // passed over now
+	is.Equal(s.sendPrompt("q2", 100_000).body, standin.StreamText("q2", 5))
+	is.True(!strings.Contains(s.findRun("q2").Helpers, gone.Addr())) // passed over now
 }
 
-func TestMemoryIsReservedForAPromptOverOneEngine(t *testing.T) {
+func TestMemoryIsReservedForAPromptLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 17)
-	got := s.prompt("q1", 500_000)
+	s := startEngineFixture(t, 17)
+	got := s.sendPrompt("q1", 500_000)
 	is.Equal(got.body, standin.StreamText("q1", 5))
-	run := s.ran("q1")
+	run := s.findRun("q1")
 	is.Equal(len(strings.Split(run.Helpers, ",")), 16)
 	is.Equal(strings.Count(run.Helpers, "/q1-"), 4) // each holder with its reservation
-	s.until("all is released", func() bool { return s.held() == 0 })
+	s.waitFor("all is released", func() bool { return s.reservationCount() == 0 })
 }
 
 // Symptom: memory stays reserved that nobody uses. Sequence: a reservation is refused,
 // or its answer is lost; the request ends without having run, or its caller leaves.
-func TestReservedMemoryIsGivenBackOnEveryWayOut(t *testing.T) {
-	cases := map[string]func(s *site){
-		"refused": func(s *site) {
+func TestReservedMemoryIsAlwaysReleased(t *testing.T) {
+	cases := map[string]func(s *fixture){
+		"refused": func(s *fixture) {
 			for _, w := range s.workers {
 				w.Always(standin.FaultShed)
 			}
 		},
-		"some refused": func(s *site) { s.each(standin.FaultShed, 12) },
-		"answers lost": func(s *site) { s.each(standin.FaultReset, 8) },
-		"breaks off":   func(s *site) {},
+		"some refused": func(s *fixture) { s.queueFault(standin.FaultShed, 12) },
+		"answers lost": func(s *fixture) { s.queueFault(standin.FaultReset, 8) },
+		"breaks off":   func(s *fixture) {},
 	}
 	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := models(t, 17)
+			s := startEngineFixture(t, 17)
 			prepare(s)
-			got := s.prompt("q1", 500_000)
+			got := s.sendPrompt("q1", 500_000)
 			if name == "refused" && got.status != http.StatusServiceUnavailable {
 				t.Fatal(got.status)
 			}
-			s.until("all is released", func() bool { return s.held() == 0 })
+			s.waitFor("all is released", func() bool { return s.reservationCount() == 0 })
 		})
 	}
 }
 
 // Symptom: a prompt is sent without the memory that it needs, and cut off. Sequence: the
 // engines' memory is taken by others' reservations.
-func TestAPromptWithoutMemoryIsRefusedAndHoldsNothing(t *testing.T) {
+func TestAPromptWithoutMemoryIsRefusedAndReservesNothing(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 17)
+	s := startEngineFixture(t, 17)
 	for _, w := range s.workers {
 		w.MemoryTokens = 1000
 	}
-	got := s.prompt("q1", 500_000)
+	got := s.sendPrompt("q1", 500_000)
 	is.Equal(got.status, http.StatusServiceUnavailable)
-	is.Equal(s.runs("q1"), 0)
-	s.until("all is released", func() bool { return s.held() == 0 })
+	is.Equal(s.runCount("q1"), 0)
+	s.waitFor("all is released", func() bool { return s.reservationCount() == 0 })
 }
 
 // Symptom: a prompt is refused by its helpers, or cut off, though its memory was reserved.
 // Sequence: at the first try some helpers have no memory and the others are released; the
 // second try reserves at them while a release is still on its way. Cause: one name for
 // the reservations of both tries.
-func TestEachTryHasReservationsOfItsOwn(t *testing.T) {
+func TestEachAttemptHasItsOwnReservations(t *testing.T) {
 	is := is.New(t)
-	s := newModels(t, 5)
+	s := newEngineFixture(t, 5)
 	s.routes[len(s.routes)-1]["target_latency_ms"] = 20_000 // five engines take long
 	s.start()
 	for _, w := range s.workers { // all holders of the first try refuse, one of the second
 		w.NextOrder(standin.FaultShed)
 	}
-	is.Equal(s.prompt("q1", 500_000).status, http.StatusOK)
-	is.True(strings.Contains(s.ran("q1").Helpers, "/q1-2-"))
-	is.True(!strings.Contains(s.ran("q1").Helpers, "/q1-1-"))
+	is.Equal(s.sendPrompt("q1", 500_000).status, http.StatusOK)
+	is.True(strings.Contains(s.findRun("q1").Helpers, "/q1-2-"))
+	is.True(!strings.Contains(s.findRun("q1").Helpers, "/q1-1-"))
 }
 
 // Symptom: a prompt waits for half a second and is refused then. Sequence: engines are in
 // use, and its parts would stop everyone there for over 0.7 s, which is known when it
 // comes. Cause: looking for room only when its turn had come.
-func TestAPromptWithoutRoomIsRefusedAtOnce(t *testing.T) {
+func TestAPromptWithoutCapacityIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 17)
+	s := startEngineFixture(t, 17)
 	for i := range 6 {
 		for _, w := range s.workers {
 			w.Always(standin.FaultHang)
 		}
-		go s.prompt(fmt.Sprint("h", i), 1000)
+		go s.sendPrompt(fmt.Sprint("h", i), 1000)
 	}
-	s.until("engines are in use", func() bool {
+	s.waitFor("engines are in use", func() bool {
 		working := 0
 		for _, w := range s.workers {
 			working += w.Working()
 		}
 		return working == 6
 	})
-	got := s.prompt("big", 500_000)
+	got := s.sendPrompt("big", 500_000)
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
-	is.Equal(s.runs("big"), 0)
+	is.Equal(s.runCount("big"), 0)
 	// a request's lines are written together once it has ended, beside the answer
-	s.until("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"capacity_refused"`) })
+	s.waitFor("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"capacity_refused"`) })
 	is.True(!strings.Contains(s.log.String(), `"event":"queue_left"`)) // it did not wait
 }
 
-func TestAFullEndpointIsLeftForAnother(t *testing.T) {
+func TestARequestRefusedByAFullEndpointIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	full, other := plain(), plain()
+	full, other := plainWorker(), plainWorker()
 	full.Slots = 1
-	s := newSite(t, full, other)
+	s := newFixture(t, full, other)
 	s.store.Delete("servers/" + other.ID)
 	s.start()
 	full.Next(standin.FaultHang)
 	go s.post("/once/a", "h1")
-	s.until("one is busy", func() bool { return full.Working() == 1 })
+	s.waitFor("one is busy", func() bool { return full.Working() == 1 })
 	s.store.Put("servers/"+other.ID, other.Registration("ready"))
-	s.until("the other is listed", func() bool { return s.metric("aspenyard_gateway_endpoints ") == 2 })
+	s.waitFor("the other is listed", func() bool { return s.sumMetric("aspenyard_gateway_endpoints ") == 2 })
 	for i := range 6 {
 		id := fmt.Sprint("q", i)
 		is.Equal(s.post("/once/a", id).body, standin.PlainAnswer(id))
-		is.Equal(s.runs(id), 1)
+		is.Equal(s.runCount(id), 1)
 	}
 }
 
-// each queues a fault at the first workers.
-func (s *site) each(fault standin.Fault, workers int) {
+// queueFault queues a fault at the first workers.
+func (s *fixture) queueFault(fault standin.Fault, workers int) {
 	for _, w := range s.workers[:workers] {
 		w.Next(fault)
 	}
@@ -252,46 +254,46 @@
 // engine leaves the order to reserve without an answer, the request is refused and its
 // reservations are released, and the engine carries the order out after that. Cause: a
 // release that came before the order it was to undo was the last one.
-func TestMemoryOfALateOrderIsGivenBack(t *testing.T) {
-	s := models(t, 20)
+func TestMemoryOfALateReservationIsReleased(t *testing.T) {
+	s := startEngineFixture(t, 20)
 	late := s.workers // whichever of them hold memory
 	for _, w := range late {
 		w.NextOrder(standin.FaultLate)
 	}
-	s.prompt("q1", 500_000)
-	s.until("what came in time is released", func() bool { return s.held() == 0 })
-	s.until("late reservations are held", func() bool { return s.held() > 0 })
+	s.sendPrompt("q1", 500_000)
+	s.waitFor("what came in time is released", func() bool { return s.reservationCount() == 0 })
+	s.waitFor("late reservations are held", func() bool { return s.reservationCount() > 0 })
 	freed := 0
 	for _, w := range s.workers {
 		freed += w.Freed()
 	}
-	s.until("late reservations are released", func() bool {
+	s.waitFor("late reservations are released", func() bool {
 		now := 0
 		for _, w := range s.workers {
 			now += w.Freed()
 		}
-		return now > freed && s.held() == 0
+		return now > freed && s.reservationCount() == 0
 	})
 }
 
 // Symptom: memory is held for ten seconds and nobody uses it. Sequence: helpers have
 // reserved, and the engine that the prompt was sent to does not begin. Cause: a request
 // kept its reservations for as long as its caller waited.
-func TestMemoryIsNotHeldForAPromptThatDoesNotBegin(t *testing.T) {
+func TestMemoryIsNotHeldForAPromptThatDoesNotStart(t *testing.T) {
 	is := is.New(t)
-	s := newModels(t, 20)
-	s.own = `,"memory_idle_within":"600ms"`
+	s := newEngineFixture(t, 20)
+	s.extraSettings = `,"memory_idle_within":"600ms"`
 	s.start()
 	for _, w := range s.workers {
 		w.Always(standin.FaultHang)
 	}
-	got := make(chan answer, 1)
-	go func() { got <- s.prompt("q1", 500_000) }()
-	s.until("it was sent", func() bool { return s.ran("q1") != nil })
+	got := make(chan callerResponse, 1)
+	go func() { got <- s.sendPrompt("q1", 500_000) }()
+	s.waitFor("it was sent", func() bool { return s.findRun("q1") != nil })
 	for _, w := range s.workers {
 		w.Always("")
 	}
-	s.until("it was taken back", func() bool { return s.dropped("q1") })
+	s.waitFor("it was taken back", func() bool { return s.callerDropped("q1") })
 	is.Equal((<-got).body, standin.StreamText("q1", 5)) // it goes on elsewhere
-	s.until("all is released", func() bool { return s.held() == 0 })
+	s.waitFor("all is released", func() bool { return s.reservationCount() == 0 })
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// expose registers the gauges.
-func (g *Gateway) expose(writer *eventlog.Writer) {
+// registerMetrics registers the gauges.
+func (g *Gateway) registerMetrics(writer *eventlog.Writer) {
 	g.metrics.NewGauge("aspenyard_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
 	g.metrics.NewGauge("aspenyard_gateway_endpoints", func() float64 { return float64(g.snapshot.Load().Len()) })
 	g.metrics.NewGauge("aspenyard_gateway_slow_endpoints", func() float64 { return float64(len(g.ledger.SlowEndpoints(time.Now()))) })
@@ -35,8 +35,8 @@
 		return 0
 	})
 	g.metrics.NewGauge("aspenyard_gateway_request_logs_skipped_total", func() float64 { return float64(g.requestLogs.Skipped()) })
-	g.metrics.NewGauge("aspenyard_gateway_config_age_seconds", func() float64 { return g.since(&g.configAt).Seconds() })
-	g.metrics.NewGauge("aspenyard_gateway_list_age_seconds", func() float64 { return g.since(&g.heardStoreAt).Seconds() })
+	g.metrics.NewGauge("aspenyard_gateway_config_age_seconds", func() float64 { return g.elapsedSince(&g.configAppliedAt).Seconds() })
+	g.metrics.NewGauge("aspenyard_gateway_list_age_seconds", func() float64 { return g.elapsedSince(&g.storeAnsweredAt).Seconds() })
 	g.metrics.NewGauge("aspenyard_gateway_suspect_requests", func() float64 {
 		suspects, _ := g.quarantine.Counts(time.Now())
 		return float64(suspects)
@@ -45,15 +45,15 @@
 		_, quarantined := g.quarantine.Counts(time.Now())
 		return float64(quarantined)
 	})
-	g.exposePeers()
+	g.registerPeerMetrics()
 	if writer != nil {
 		g.metrics.NewGauge("aspenyard_gateway_log_lines_dropped_total", func() float64 { return float64(writer.Dropped()) })
 	}
 }
 
-// exposePeers registers what tells how much of the other entries' work is known, and what it
+// registerPeerMetrics registers what tells how much of the other entries' work is known, and what it
 // takes to know it.
-func (g *Gateway) exposePeers() {
+func (g *Gateway) registerPeerMetrics() {
 	knowledge := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
 	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(knowledge().Peers) })
 	g.metrics.NewGauge("aspenyard_gateway_peers_heard", func() float64 { return float64(knowledge().Heard) })
@@ -73,21 +73,21 @@
 	}
 }
 
-// since gives the time since a moment that is kept as nanoseconds from the process's
-// start; since the start itself where there was none yet.
-func (g *Gateway) since(moment *atomic.Int64) time.Duration {
+// elapsedSince gives the time elapsedSince a moment that is kept as nanoseconds from the process's
+// start; elapsedSince the start itself where there was none yet.
+func (g *Gateway) elapsedSince(moment *atomic.Int64) time.Duration {
 	return time.Since(g.started) - time.Duration(moment.Load())
 }
 
-// now is the time as it is kept for ages.
-func (g *Gateway) now() int64 { return int64(time.Since(g.started)) }
+// uptimeNanos is the time as it is kept for ages.
+func (g *Gateway) uptimeNanos() int64 { return int64(time.Since(g.started)) }
 
 // latencyBuckets bound the histograms of waits, in seconds.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 2, 3, 5, 10, 20}
 
-// classOf names a call's class by its kind and, for engines, the prompt's length. The
+// requestClass names a call's class by its kind and, for engines, the prompt's length. The
 // names are few whatever callers send.
-func (c *call) classOf() string {
+func (c *call) requestClass() string {
 	switch {
 	case c.route == nil:
 		return "none"
@@ -101,26 +101,26 @@
 	return "streaming_up_to_24k"
 }
 
-// measure counts an ended call.
-func (g *Gateway) measure(c *call, code result.Code, took time.Duration, late lateness) {
-	class := c.classOf()
+// observeCall counts an ended call.
+func (g *Gateway) observeCall(c *call, code result.Code, took time.Duration, late lateness) {
+	class := c.requestClass()
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_requests_total{class=%q,code="%d",outcome=%q}`, class, code, result.Lookup(code).Name)).Inc()
 	g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_request_seconds{class=%q}`, class), latencyBuckets).Update(took.Seconds())
 	if c.route != nil && c.route.Target > 0 && code != result.Cancelled {
 		good := code == result.OK && late == onTime
 		g.objectives.Register(g.metrics, "aspenyard_gateway_objective_events", fmt.Sprintf("kind=%q", class), good)
 	}
-	if c.firstAnswer.IsZero() {
+	if c.firstByteAt.IsZero() {
 		return
 	}
-	g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_first_event_seconds{class=%q}`, class), latencyBuckets).Update(c.firstAnswer.Sub(c.started).Seconds())
-	if c.events > 1 {
-		g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_longest_pause_seconds{class=%q}`, class), latencyBuckets).Update(c.gap.Seconds())
+	g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_first_event_seconds{class=%q}`, class), latencyBuckets).Update(c.firstByteAt.Sub(c.started).Seconds())
+	if c.eventsSent > 1 {
+		g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_longest_pause_seconds{class=%q}`, class), latencyBuckets).Update(c.longestPause.Seconds())
 	}
 }
 
-// measureWait measures how long a long prompt was held back.
-func (g *Gateway) measureWait(waited time.Duration) {
+// observeQueueWait measures how long a long prompt was held back.
+func (g *Gateway) observeQueueWait(waited time.Duration) {
 	g.metrics.GetOrCreatePrometheusHistogramExt("aspenyard_gateway_queue_wait_seconds", latencyBuckets).Update(waited.Seconds())
 }
 
@@ -129,8 +129,8 @@
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_crashes_total{service=%q}`, service)).Inc()
 }
 
-// countAttempt counts a failed attempt.
-func (g *Gateway) countAttempt(service string, outcome attempt.SendOutcome) {
+// countFailedAttempt counts a failed attempt.
+func (g *Gateway) countFailedAttempt(service string, outcome attempt.SendOutcome) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_attempts_failed_total{service=%q,outcome=%q}`, service, outcome)).Inc()
 }
 
@@ -138,8 +138,8 @@
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_endpoint_connections_total{reused="%t"}`, reused)).Inc()
 }
 
-// observeStore measures a call to the store.
-func (g *Gateway) observeStore(whole bool, took time.Duration, err error) {
+// observeStoreCall measures a call to the store.
+func (g *Gateway) observeStoreCall(whole bool, took time.Duration, err error) {
 	call, outcome := "follow", "ok"
 	if whole {
 		call = "read"
--- a/gateway/net_linux.go
+++ b/gateway/net_linux.go
@@ -15,14 +15,14 @@
 // requests are logged by the handlers.
 var discardLog = log.New(io.Discard, "", 0)
 
-// setTCP makes a connection fail within seconds when its peer is gone: without
+// setTCPTimeouts makes a connection fail within seconds when its peer is gone: without
 // that, one that went silent would hold its request until the deadline.
-func setTCP(conn net.Conn) {
+func setTCPTimeouts(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	_ = tcp.SetKeepAliveConfig(keepAlive)
+	_ = tcp.SetKeepAliveConfig(tcpKeepAlive)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		setTCP(conn)
+		setTCPTimeouts(conn)
 		return conn, nil
 	}
 }
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -11,8 +11,8 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// reports counts how often endpoints were asked for their reports.
-func (s *site) reports() int {
+// reportCount counts how often endpoints were asked for their reportCount.
+func (s *fixture) reportCount() int {
 	n := 0
 	for _, w := range s.workers {
 		n += w.Reports()
@@ -23,17 +23,17 @@
 // Symptom: an engine that has turned slow gets parts of every long prompt. Sequence: its
 // streams pause for longer than a full pass takes while it has nothing to prefill. Cause:
 // nobody asked it how fast it is.
-func TestAnEngineThatTurnsSlowIsFoundAndLeft(t *testing.T) {
+func TestASlowEngineIsDetectedAndAvoided(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 4)
-	s.prompt("q0", 1000)
-	is.Equal(s.reports(), 0) // nobody is asked while all is well
+	s := startEngineFixture(t, 4)
+	s.sendPrompt("q0", 1000)
+	is.Equal(s.reportCount(), 0) // nobody is asked while all is well
 	for _, w := range s.workers {
 		w.Always(standin.FaultSlow)
 	}
-	go s.prompt("h0", 1000)
+	go s.sendPrompt("h0", 1000)
 	var slow *standin.Worker
-	s.until("one streams", func() bool {
+	s.waitFor("one streams", func() bool {
 		for _, w := range s.workers {
 			if runs := w.Runs(); len(runs) > 0 && runs[len(runs)-1].ID == "h0" {
 				slow = w
@@ -42,32 +42,32 @@
 		return slow != nil
 	})
 	slow.SetPace(5)
-	s.until("it is found", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":5`) })
+	s.waitFor("it is found", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":5`) })
 	for _, w := range s.workers {
 		w.Always("")
 	}
 	for i := range 6 {
 		id := fmt.Sprint("l", i)
-		is.Equal(s.prompt(id, 150_000).body, standin.StreamText(id, 5))
-		is.True(s.ran(id).Helpers != "" && !strings.Contains(s.ran(id).Helpers, slow.Addr()))
+		is.Equal(s.sendPrompt(id, 150_000).body, standin.StreamText(id, 5))
+		is.True(s.findRun(id).Helpers != "" && !strings.Contains(s.findRun(id).Helpers, slow.Addr()))
 	}
 	is.Equal(strings.Count(s.log.String(), "endpoint_pace"), 1) // the others are not slow
 	slow.SetPace(1)
-	s.until("it has recovered", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":1`) })
+	s.waitFor("it has recovered", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":1`) })
 }
 
 // Symptom: the longer an engine is slow the more often it is asked. Sequence: callers see it
 // pause again and again while it is asked each second. Cause: each pause began another
 // series of questions.
-func TestASlowEngineIsAskedOnceASecond(t *testing.T) {
+func TestASlowEngineIsQueriedOncePerSecond(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 1)
+	s := startEngineFixture(t, 1)
 	worker := s.workers[0]
 	worker.SetPace(5)
 	worker.Pace = 400 * time.Millisecond
 	begun := time.Now()
 	for i := range 3 {
-		is.Equal(s.prompt(fmt.Sprint("q", i), 1000).body, standin.StreamText(fmt.Sprint("q", i), 5))
+		is.Equal(s.sendPrompt(fmt.Sprint("q", i), 1000).body, standin.StreamText(fmt.Sprint("q", i), 5))
 	}
 	most := int(time.Since(begun)/time.Second) + 2
 	is.True(worker.Reports() >= 2)
@@ -75,13 +75,13 @@
 }
 
 // An engine that does not say how slow it is stays in use.
-func TestAnEngineThatDoesNotSayHowSlowItIsIsUsed(t *testing.T) {
+func TestAnEngineWithUnknownSlowdownStaysInUse(t *testing.T) {
 	is := is.New(t)
-	s := models(t, 1)
+	s := startEngineFixture(t, 1)
 	worker := s.workers[0]
 	worker.SetPace(0)
 	worker.Pace = 250 * time.Millisecond
-	is.Equal(s.prompt("q1", 1000).body, standin.StreamText("q1", 5))
-	s.until("it was asked", func() bool { return strings.Contains(s.log.String(), "pace_unknown") })
-	is.Equal(s.prompt("q2", 1000).body, standin.StreamText("q2", 5))
+	is.Equal(s.sendPrompt("q1", 1000).body, standin.StreamText("q1", 5))
+	s.waitFor("it was asked", func() bool { return strings.Contains(s.log.String(), "pace_unknown") })
+	is.Equal(s.sendPrompt("q2", 1000).body, standin.StreamText("q2", 5))
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	// registerTTL is how long a node that died stays registered; registerInterval lets
+	// registrationTTL is how long a node that died stays registered; registerInterval lets
 	// two renewals be lost.
-	registerTTL      = 12 * time.Second
-	registerInterval = 4 * time.Second
-	registerTimeout  = time.Second
+	registrationTTL = 12 * time.Second
+	renewalInterval = 4 * time.Second
+	registryTimeout = time.Second
 	// deregisterTimeout is less than what a drain leaves until the process is killed.
 	deregisterTimeout = 150 * time.Millisecond
-	// peerInterval is the time between two heartbeats to other entries. They carry
+	// heartbeatInterval is the time between two heartbeats to other entries. They carry
 	// what this entry's requests ask of the engines, and an entry that does not know
 	// what the others have just sent sends to the same engines. Shorter
 	// gains nothing more.
-	peerInterval = 100 * time.Millisecond
-	// wholeInterval is the time between two heartbeats that tell everything: for so long
+	heartbeatInterval = 100 * time.Millisecond
+	// fullHeartbeatInterval is the time between two heartbeats that tell everything: for so long
 	// a lost one leaves an old number behind.
-	wholeInterval = time.Second
-	// peerLongestInterval is how old the word of another entry may be for that all entries
+	fullHeartbeatInterval = time.Second
+	// maxHeartbeatInterval is how old the word of another entry may be for that all entries
 	// hear of each other, up to about a hundred; more hear of a part of them.
-	peerLongestInterval = 300 * time.Millisecond
-	// peersNear and peersFar are heard of in any case, in the own data centre and in others.
-	peersNear, peersFar = 8, 8
-	// peerSuspect is the silence after which another entry counts as gone.
-	peerSuspect = time.Second
-	// peerBytes is what heartbeats may take at a receiving entry, in bytes a second; with
+	maxHeartbeatInterval = 300 * time.Millisecond
+	// localPeers and remotePeers are heard of in any case, in the own data centre and in others.
+	localPeers, remotePeers = 8, 8
+	// peerSuspectAfter is the silence after which another entry counts as gone.
+	peerSuspectAfter = time.Second
+	// heartbeatBytesPerSecond is what heartbeats may take at a receiving entry, in bytes a second; with
 	// more entries they come less often.
-	peerBytes = 50_000
-	// findingsMost is how many findings of crashes a heartbeat tells, of about 24 bytes each.
-	findingsMost = 32
+	heartbeatBytesPerSecond = 50_000
+	// maxHeartbeatFindings is how many findings of crashes a heartbeat tells, of about 24 bytes each.
+	maxHeartbeatFindings = 32
 )
 
 // peers is what this entry has to do with the others: it registers in the store, so
@@ -57,43 +57,43 @@
 	gateway *Gateway
 	// lease is that of the registration; 0: not registered.
 	lease atomic.Uint64
-	// told is what the other entries were told of each endpoint since wholeAt, when all of
-	// it was told. Both belong to the control thread.
-	told    map[direct.EndpointHash]direct.EndpointLoad
-	wholeAt time.Time
+	// lastSent is what the other entries were lastSent of each endpoint since wholeAt, when all of
+	// it was lastSent. Both belong to the control thread.
+	lastSent   map[direct.EndpointHash]direct.EndpointLoad
+	fullSentAt time.Time
 }
 
-// run registers this node and keeps it registered until ctx ends.
-func (p *peers) run(ctx context.Context) {
+// keepRegistered registers this node and keeps it registered until ctx ends.
+func (p *peers) keepRegistered(ctx context.Context) {
 	g := p.gateway
 	node := directory.Node{Name: g.settings.Name, Addr: g.settings.PeersListen, DataCentre: g.settings.DataCentre}
 	var current directory.Registration
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, registerTimeout)
+		bounded, cancel := context.WithTimeout(ctx, registryTimeout)
 		var err error
 		if current.Lease == 0 {
-			if current, err = g.registry.Register(bounded, node, registerTTL); err == nil {
+			if current, err = g.registry.Register(bounded, node, registrationTTL); err == nil {
 				p.lease.Store(current.Lease)
 				g.log.Info("registered", zap.Uint64("lease", current.Lease), zap.Uint64("revision", current.Revision))
-				p.start(ctx, current.Revision)
+				p.startHeartbeats(ctx, current.Revision)
 			}
 		} else {
 			err = g.registry.Renew(bounded, current.Lease)
 		}
 		cancel()
-		if errors.Is(err, directory.ErrLapsed) {
+		if errors.Is(err, directory.ErrLeaseExpired) {
 			current = directory.Registration{}
 			continue
 		}
 		if err != nil {
 			g.log.Warn("not_registered", eventlog.Error(err))
 		}
-		membership.Sleep(ctx, registerInterval)
+		membership.Sleep(ctx, renewalInterval)
 	}
 }
 
-// leave tells the other entries that this one drains.
-func (p *peers) leave() {
+// announceLeaving tells the other entries that this one drains.
+func (p *peers) announceLeaving() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Leave()
 	}
@@ -113,18 +113,18 @@
 	}
 }
 
-// announce tells the other entries at once of what has changed: a long prompt that one
+// sendHeartbeat tells the other entries at once of what has changed: a long prompt that one
 // entry sends is prefilled for longer than heartbeats are apart, and the others hold
 // theirs back.
-func (p *peers) announce() {
+func (p *peers) sendHeartbeat() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Announce()
 	}
 }
 
-// start runs the heartbeats once the node has its first registration, whose revision
+// startHeartbeats runs the heartbeats once the node has its first registration, whose revision
 // is its incarnation: it rises with each life whatever the time of day does.
-func (p *peers) start(ctx context.Context, incarnation uint64) {
+func (p *peers) startHeartbeats(ctx context.Context, incarnation uint64) {
 	g := p.gateway
 	if g.peerLoop.Load() != nil {
 		return
@@ -132,8 +132,8 @@
 	loop := membership.NewLoop(membership.Config{
 		Node: g.settings.Name, Role: membership.RoleEntry, DataCentre: g.settings.DataCentre,
 		Listen: g.settings.PeersListen, Advertise: g.settings.PeersListen, Incarnation: incarnation,
-		Tick: peerInterval, Interval: peerInterval, SuspectAfter: peerSuspect, BytesPerSecond: peerBytes, ForgetAfter: registerTTL,
-		NearEntries: peersNear, FarEntries: peersFar, LongestInterval: peerLongestInterval,
+		Tick: heartbeatInterval, Interval: heartbeatInterval, SuspectAfter: peerSuspectAfter, BytesPerSecond: heartbeatBytesPerSecond, RemoveAfter: registrationTTL,
+		LocalEntries: localPeers, RemoteEntries: remotePeers, LongestInterval: maxHeartbeatInterval,
 	}, p)
 	g.peerLoop.Store(loop)
 	go func() {
@@ -141,11 +141,11 @@
 			g.log.Error("heartbeats_stopped", eventlog.Error(err))
 		}
 	}()
-	p.list(g.snapshot.Load())
+	p.setMembers(g.snapshot.Load())
 }
 
-// list tells the control loop which entries are registered.
-func (p *peers) list(snapshot *directory.Snapshot) {
+// setMembers tells the control loop which entries are registered.
+func (p *peers) setMembers(snapshot *directory.Snapshot) {
 	loop := p.gateway.peerLoop.Load()
 	if loop == nil {
 		return
@@ -157,26 +157,26 @@
 	loop.SetList(vms)
 }
 
-// Fill implements membership.Delegate. Between whole heartbeats only changes are told: a
+// FillHeartbeat implements membership.Delegate. Between whole heartbeats only changes are told: a
 // tenth of the bytes, and of the work of those who take them in.
-func (p *peers) Fill(now time.Time, h *wire.Heartbeat) {
+func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
 	opens := p.gateway.ledger.Loads(now)
-	if h.Partial = now.Sub(p.wholeAt) < wholeInterval; !h.Partial {
-		p.wholeAt = now
-		clear(p.told)
+	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
+		p.fullSentAt = now
+		clear(p.lastSent)
 	}
-	for _, o := range p.changed(opens) {
+	for _, o := range p.changedLoads(opens) {
 		h.OpenEndpoints = append(h.OpenEndpoints, uint32(o.Endpoint))
 		h.OpenCounts = append(h.OpenCounts, uint32(o.InFlight))
 		h.ReadingMs = append(h.ReadingMs, uint32(max(o.PendingPrefill.Milliseconds(), 0)))
 		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(o.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
-		fillStreams(h, o.Streams)
+		appendStreams(h, o.Streams)
 	}
 	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
 		h.SlowPercents = append(h.SlowPercents, uint32(s.Slowdown*percent))
 	}
-	fillFindings(h, p.gateway.quarantine.Findings(now, !h.Partial, findingsMost))
+	appendFindings(h, p.gateway.quarantine.Findings(now, !h.Partial, maxHeartbeatFindings))
 	for _, d := range p.gateway.ledger.Demands(now) {
 		h.Demands = append(h.Demands, &wire.Demand{
 			Service: d.Service, LongPrefillMs: uint32(d.LongPrefill.Milliseconds()), OpenShort: uint32(max(d.ShortInFlight, 0)),
@@ -185,29 +185,29 @@
 	}
 }
 
-// changed gives those of an entry's loads that differ from what was told, and notes that
+// changedLoads gives those of an entry's loads that differ from what was told, and notes that
 // they are told.
-func (p *peers) changed(opens []direct.EndpointLoad) []direct.EndpointLoad {
+func (p *peers) changedLoads(opens []direct.EndpointLoad) []direct.EndpointLoad {
 	var list []direct.EndpointLoad
 	present := make(map[direct.EndpointHash]bool, len(opens))
 	for _, o := range opens {
 		present[o.Endpoint] = true
-		if p.told[o.Endpoint] != o {
-			p.told[o.Endpoint] = o
+		if p.lastSent[o.Endpoint] != o {
+			p.lastSent[o.Endpoint] = o
 			list = append(list, o)
 		}
 	}
-	for endpoint := range p.told {
+	for endpoint := range p.lastSent {
 		if !present[endpoint] {
-			delete(p.told, endpoint)
+			delete(p.lastSent, endpoint)
 			list = append(list, direct.EndpointLoad{Endpoint: endpoint})
 		}
 	}
 	return list
 }
 
-// Heard implements membership.Delegate.
-func (p *peers) Heard(now time.Time, h *wire.Heartbeat) {
+// HandleHeartbeat implements membership.Delegate.
+func (p *peers) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
 		demands = append(demands, direct.Demand{
@@ -226,10 +226,10 @@
 		}
 		open = append(open, o)
 	}
-	readStreams(h, open)
-	p.gateway.ledger.RecordPeerSlowEndpoints(now, slows(h))
-	for _, request := range p.gateway.quarantine.Hear(now, findings(h)) {
-		p.gateway.noteQuarantined(request, h.Node)
+	decodeStreams(h, open)
+	p.gateway.ledger.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
+	for _, request := range p.gateway.quarantine.Merge(now, decodeFindings(h)) {
+		p.gateway.reportQuarantined(request, h.Node)
 	}
 	if h.Partial {
 		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, open)
@@ -241,8 +241,8 @@
 // streamKeyBase is what an endpoint's index is multiplied by in the key of its streams.
 const streamKeyBase = 16
 
-// fillStreams tells of the streams at the last endpoint of a heartbeat.
-func fillStreams(h *wire.Heartbeat, streams direct.StreamCounts) {
+// appendStreams tells of the streams at the last endpoint of a heartbeat.
+func appendStreams(h *wire.Heartbeat, streams direct.StreamCounts) {
 	index := len(h.OpenEndpoints) - 1
 	for class, n := range streams {
 		if n > 0 {
@@ -252,8 +252,8 @@
 	}
 }
 
-// readStreams reads what a heartbeat tells of the streams at its endpoints.
-func readStreams(h *wire.Heartbeat, open []direct.EndpointLoad) {
+// decodeStreams reads what a heartbeat tells of the streams at its endpoints.
+func decodeStreams(h *wire.Heartbeat, open []direct.EndpointLoad) {
 	for i := range min(len(h.StreamKeys), len(h.StreamCounts)) {
 		index, class := int(h.StreamKeys[i]/streamKeyBase), int(h.StreamKeys[i]%streamKeyBase)
 		if index < len(open) && class < len(open[index].Streams) {
@@ -262,8 +262,8 @@
 	}
 }
 
-// fillFindings tells under which requests endpoints crashed.
-func fillFindings(h *wire.Heartbeat, list []attempt.Finding) {
+// appendFindings tells under which requests endpoints crashed.
+func appendFindings(h *wire.Heartbeat, list []attempt.Finding) {
 	for _, f := range list {
 		h.FindingScopes = append(h.FindingScopes, f.Request.Scope)
 		h.FindingBodies = append(h.FindingBodies, f.Request.Body)
@@ -272,8 +272,8 @@
 	}
 }
 
-// findings reads under which requests another entry knows endpoints to have crashed.
-func findings(h *wire.Heartbeat) []attempt.Finding {
+// decodeFindings reads under which requests another entry knows endpoints to have crashed.
+func decodeFindings(h *wire.Heartbeat) []attempt.Finding {
 	n := min(len(h.FindingScopes), len(h.FindingBodies), len(h.FindingEndpoints), len(h.FindingAgesMs))
 	list := make([]attempt.Finding, 0, n)
 	for i := range n {
@@ -283,8 +283,8 @@
 	return list
 }
 
-// slows reads which endpoints another entry knows to be slow.
-func slows(h *wire.Heartbeat) []direct.SlowEndpoint {
+// decodeSlowEndpoints reads which endpoints another entry knows to be slow.
+func decodeSlowEndpoints(h *wire.Heartbeat) []direct.SlowEndpoint {
 	list := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
 	for i := range min(len(h.SlowEndpoints), len(h.SlowPercents)) {
 		list = append(list, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
@@ -294,7 +294,7 @@
 
 // Tick implements membership.Delegate.
 func (p *peers) Tick(now time.Time, members *membership.View) {
-	p.gateway.retries.SetEntries(now, members.SharingCount()+1)
+	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
 	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
 	number := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -15,8 +15,8 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// storeAndClient starts a store for the test, and makes a client of it.
-func storeAndClient(t *testing.T) (*standin.Store, *platform.Store) {
+// newStoreAndClient starts a store for the test, and makes a client of it.
+func newStoreAndClient(t *testing.T) (*standin.Store, *platform.Store) {
 	t.Helper()
 	store := standin.NewStore()
 	server := httptest.NewServer(store.Handler())
@@ -28,7 +28,7 @@
 // when the lease has lapsed, whatever answers were lost on the way.
 func TestNodesRegisterInTheStore(t *testing.T) {
 	is := is.New(t)
-	store, client := storeAndClient(t)
+	store, client := newStoreAndClient(t)
 	ctx := context.Background()
 	node := directory.Node{Name: "g1", Addr: "127.0.0.1:7340", DataCentre: "dc1"}
 	store.SetFaults(standin.StoreFaults{LoseAnswers: 2})
@@ -45,8 +45,8 @@
 	is.NoErr(client.Renew(ctx, registration.Lease))
 	store.EndLeases()
 	err = client.Renew(ctx, registration.Lease)
-	is.True(strings.Contains(err.Error(), directory.ErrLapsed.Error()))
-	changes, err := client.Follow(ctx, reading.At, 0)
+	is.True(strings.Contains(err.Error(), directory.ErrLeaseExpired.Error()))
+	changes, err := client.Watch(ctx, reading.Revision, 0)
 	is.NoErr(err)
 	is.Equal(changes.Changes[len(changes.Changes)-1].NodeGone, "g1")
 	again, err := client.Register(ctx, node, time.Minute)
@@ -56,19 +56,19 @@
 }
 
 // A record is written once, is read and seen by others, and ends with its lease.
-func TestNodesLeaveRecordsInTheStore(t *testing.T) {
+func TestNodesWriteRecordsToTheStore(t *testing.T) {
 	is := is.New(t)
-	store, client := storeAndClient(t)
+	store, client := newStoreAndClient(t)
 	ctx := context.Background()
 	before, err := client.Read(ctx)
 	is.NoErr(err)
 	record := directory.Record{Name: "r1", Value: []byte("first")}
-	is.NoErr(client.Keep(ctx, record, time.Minute))
-	is.NoErr(client.Keep(ctx, directory.Record{Name: "r1", Value: []byte("second")}, time.Minute))
+	is.NoErr(client.CreateRecord(ctx, record, time.Minute))
+	is.NoErr(client.CreateRecord(ctx, directory.Record{Name: "r1", Value: []byte("second")}, time.Minute))
 	reading, err := client.Read(ctx)
 	is.NoErr(err)
 	is.Equal(reading.Records, []directory.Record{record})
-	changes, err := client.Follow(ctx, before.At, 0)
+	changes, err := client.Watch(ctx, before.Revision, 0)
 	is.NoErr(err)
 	is.Equal(len(changes.Changes), 1)
 	is.Equal(*changes.Changes[0].Record, record)
@@ -80,15 +80,15 @@
 
 // Gateways that are registered hear of each other over their sockets, and their metrics say
 // of how many, how old that is and what it takes.
-func TestGatewaysHearOfEachOther(t *testing.T) {
+func TestGatewaysExchangeHeartbeats(t *testing.T) {
 	is := is.New(t)
 	first, second := twoGateways(t)
-	for _, s := range []*site{first, second} {
-		s.until("heard of the other", func() bool {
-			return s.metric("aspenyard_gateway_peers_heard ") == 1 && s.metric("aspenyard_gateway_peers ") == 1
+	for _, s := range []*fixture{first, second} {
+		s.waitFor("heard of the other", func() bool {
+			return s.sumMetric("aspenyard_gateway_peers_heard ") == 1 && s.sumMetric("aspenyard_gateway_peers ") == 1
 		})
-		s.until("an age", func() bool { return s.metric("aspenyard_gateway_peer_age_seconds ") > 0 })
-		is.True(s.metric(`aspenyard_gateway_heartbeat_bytes_total{direction="in"}`) > 0)
-		is.True(s.metric(`aspenyard_gateway_heartbeat_bytes_total{direction="out"}`) > 0)
+		s.waitFor("an age", func() bool { return s.sumMetric("aspenyard_gateway_peer_age_seconds ") > 0 })
+		is.True(s.sumMetric(`aspenyard_gateway_heartbeat_bytes_total{direction="in"}`) > 0)
+		is.True(s.sumMetric(`aspenyard_gateway_heartbeat_bytes_total{direction="out"}`) > 0)
 	}
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -15,26 +15,26 @@
 	// packet is sent again after a second at the earliest; another endpoint serves
 	// the request sooner.
 	dialTimeout = 400 * time.Millisecond
-	// idleMost is how long a connection is kept for another request; endpoints that
+	// maxIdleTime is how long a connection is kept for another request; endpoints that
 	// say so in Keep-Alive are believed instead, less idleMargin for the way.
-	idleMost   = 8 * time.Second
-	idleMargin = 500 * time.Millisecond
-	// freshIdle is the longest idle time after which a connection is used for a
+	maxIdleTime     = 8 * time.Second
+	keepAliveMargin = 500 * time.Millisecond
+	// nonRepeatableMaxIdle is the longest idle time after which a connection is used for a
 	// request that must not run twice: the endpoint may be closing it just as the
 	// request crosses, and then nobody knows whether it ran.
-	freshIdle = time.Second
-	// maxIdle is how many idle connections are kept for an endpoint.
-	maxIdle = 32
-	// readBuffer holds an answer's head and several events.
-	readBuffer = 4 << 10
+	nonRepeatableMaxIdle = time.Second
+	// maxIdleConns is how many idle connections are kept for an endpoint.
+	maxIdleConns = 32
+	// readBufferSize holds an answer's head and several events.
+	readBufferSize = 4 << 10
 )
 
 // endpointConn is one connection to an endpoint.
 type endpointConn struct {
 	net.Conn
 	reader *bufio.Reader
-	// until is when it is too old to be used again, and since when it is idle.
-	until, since time.Time
+	// expiresAt is when it is too old to be used again, and idleSince when it is idle.
+	expiresAt, idleSince time.Time
 	// reused is set once it has carried a request.
 	reused bool
 }
@@ -43,18 +43,18 @@
 type pool struct {
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	mu   sync.Mutex
-	idle map[directory.Life][]*endpointConn
+	idle map[directory.Incarnation][]*endpointConn
 }
 
 func newPool() *pool {
-	return &pool{dial: Dialer(dialTimeout), idle: map[directory.Life][]*endpointConn{}}
+	return &pool{dial: Dialer(dialTimeout), idle: map[directory.Incarnation][]*endpointConn{}}
 }
 
 // get gives a connection: an idle one, the most recent first, or a new one. once is
 // set for requests that must not run twice.
-func (p *pool) get(ctx context.Context, e *directory.Listed, once bool) (*endpointConn, error) {
+func (p *pool) get(ctx context.Context, e *directory.EndpointState, once bool) (*endpointConn, error) {
 	for {
-		conn := p.pop(e.Life, once)
+		conn := p.popIdle(e.Incarnation, once)
 		if conn == nil {
 			break
 		}
@@ -67,27 +67,27 @@
 }
 
 // open opens a connection.
-func (p *pool) open(ctx context.Context, e *directory.Listed) (*endpointConn, error) {
+func (p *pool) open(ctx context.Context, e *directory.EndpointState) (*endpointConn, error) {
 	conn, err := p.dial(ctx, "tcp", e.Addr)
 	if err != nil {
 		return nil, err
 	}
-	return &endpointConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer)}, nil
+	return &endpointConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-func (p *pool) pop(life directory.Life, once bool) *endpointConn {
+func (p *pool) popIdle(life directory.Incarnation, once bool) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[life]
 	now := time.Now()
 	for len(list) > 0 {
 		conn := list[len(list)-1]
-		if once && now.Sub(conn.since) > freshIdle {
+		if once && now.Sub(conn.idleSince) > nonRepeatableMaxIdle {
 			return nil
 		}
 		list = list[:len(list)-1]
 		p.idle[life] = list
-		if now.Before(conn.until) {
+		if now.Before(conn.expiresAt) {
 			return conn
 		}
 		_ = conn.Close()
@@ -96,12 +96,12 @@
 }
 
 // put keeps a connection for another request.
-func (p *pool) put(life directory.Life, conn *endpointConn, keep time.Duration) {
-	conn.since, conn.reused = time.Now(), true
-	conn.until = conn.since.Add(min(keep, idleMost))
+func (p *pool) put(life directory.Incarnation, conn *endpointConn, keep time.Duration) {
+	conn.idleSince, conn.reused = time.Now(), true
+	conn.expiresAt = conn.idleSince.Add(min(keep, maxIdleTime))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if list := p.idle[life]; len(list) < maxIdle {
+	if list := p.idle[life]; len(list) < maxIdleConns {
 		p.idle[life] = append(list, conn)
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // prune closes the connections of endpoints that are no longer known.
-func (p *pool) prune(known func(life directory.Life) bool) {
+func (p *pool) prune(known func(life directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for life, list := range p.idle {
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -16,10 +16,10 @@
 	// probeTimeout is how long an endpoint may take to accept a connection; it takes
 	// milliseconds while the endpoint lives, however busy it is.
 	probeTimeout = 250 * time.Millisecond
-	// probeValid is how long a probe's result holds for other requests.
-	probeValid = 300 * time.Millisecond
-	// unreachableInterval is the pause between probes of an endpoint that is unreachable.
-	unreachableInterval = 300 * time.Millisecond
+	// probeResultTTL is how long a probe's result holds for other requests.
+	probeResultTTL = 300 * time.Millisecond
+	// unreachableProbeInterval is the pause between probes of an endpoint that is unreachable.
+	unreachableProbeInterval = 300 * time.Millisecond
 )
 
 // prober finds out whether a silent endpoint is dead or only busy. Waiting tells
@@ -28,38 +28,38 @@
 type prober struct {
 	gateway *Gateway
 	mu      sync.Mutex
-	results map[directory.Life]*probe
+	results map[directory.Incarnation]*probe
 }
 
 type probe struct {
 	began time.Time
 	done  chan struct{}
-	// alive is set where the endpoint accepted a connection, refused where nobody listens.
-	alive, refused bool
+	// alive is set where the endpoint accepted a connection, connectionRefused where nobody listens.
+	alive, connectionRefused bool
 }
 
 func newProber(g *Gateway) *prober {
-	return &prober{gateway: g, results: map[directory.Life]*probe{}}
+	return &prober{gateway: g, results: map[directory.Incarnation]*probe{}}
 }
 
 // alive tells whether the endpoint accepts connections; a recent probe's result is
 // used again, and one at a time is under way.
-func (p *prober) alive(ctx context.Context, e *directory.Listed) bool {
-	result, ok := p.ask(ctx, e, time.Now().Add(-probeValid))
+func (p *prober) alive(ctx context.Context, e *directory.EndpointState) bool {
+	result, ok := p.resultSince(ctx, e, time.Now().Add(-probeResultTTL))
 	return !ok || result.alive
 }
 
-// refuses tells whether nobody listens any more where the endpoint did.
-func (p *prober) refuses(ctx context.Context, e *directory.Listed) bool {
-	result, ok := p.ask(ctx, e, time.Now())
-	return ok && result.refused
+// connectionRefused tells whether nobody listens any more where the endpoint did.
+func (p *prober) connectionRefused(ctx context.Context, e *directory.EndpointState) bool {
+	result, ok := p.resultSince(ctx, e, time.Now())
+	return ok && result.connectionRefused
 }
 
-// ask gives the result of a probe that did not begin before since; false where the context ended
+// resultSince gives the result of a probe that did not begin before since; false where the context ended
 // before. One that began earlier may tell of an endpoint that has ended in the meantime.
-func (p *prober) ask(ctx context.Context, e *directory.Listed, since time.Time) (*probe, bool) {
+func (p *prober) resultSince(ctx context.Context, e *directory.EndpointState, since time.Time) (*probe, bool) {
 	for {
-		current := p.latest(e, since)
+		current := p.latestOrStart(e, since)
 		select {
 		case <-current.done:
 		case <-ctx.Done():
@@ -71,16 +71,16 @@
 	}
 }
 
-// latest gives the last probe, or a new one where that has ended and is too old.
-func (p *prober) latest(e *directory.Listed, since time.Time) *probe {
+// latestOrStart gives the last probe, or a new one where that has ended and is too old.
+func (p *prober) latestOrStart(e *directory.EndpointState, since time.Time) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	last := p.results[e.Life]
+	last := p.results[e.Incarnation]
 	if last != nil && (!last.ended() || !last.began.Before(since)) {
 		return last
 	}
 	last = &probe{began: time.Now(), done: make(chan struct{})}
-	p.results[e.Life] = last
+	p.results[e.Incarnation] = last
 	go p.run(e, last)
 	return last
 }
@@ -95,9 +95,9 @@
 	}
 }
 
-func (p *prober) run(e *directory.Listed, result *probe) {
+func (p *prober) run(e *directory.EndpointState, result *probe) {
 	err := p.dial(e)
-	result.alive, result.refused = err == nil, refused(err)
+	result.alive, result.connectionRefused = err == nil, isConnectionRefused(err)
 	close(result.done)
 	if err != nil {
 		p.gateway.markUnreachable(e, "does not accept connections")
@@ -105,36 +105,36 @@
 }
 
 // dial opens a connection and leaves it to the next request.
-func (p *prober) dial(e *directory.Listed) error {
+func (p *prober) dial(e *directory.EndpointState) error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	conn, err := p.gateway.pool.open(ctx, e)
 	if err != nil {
 		return err
 	}
-	p.gateway.pool.put(e.Life, conn, idleMost)
+	p.gateway.pool.put(e.Incarnation, conn, maxIdleTime)
 	return nil
 }
 
 // prune forgets endpoints that are not known any more.
-func (p *prober) prune(known func(life directory.Life) bool) {
+func (p *prober) prune(known func(life directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.results, func(life directory.Life, _ *probe) bool { return !known(life) })
+	maps.DeleteFunc(p.results, func(life directory.Incarnation, _ *probe) bool { return !known(life) })
 }
 
 // markUnreachable keeps requests from an endpoint until it accepts connections again.
-func (g *Gateway) markUnreachable(e *directory.Listed, why string) {
-	if !g.ledger.SetUnreachable(e.Life, true) {
+func (g *Gateway) markUnreachable(e *directory.EndpointState, why string) {
+	if !g.ledger.SetUnreachable(e.Incarnation, true) {
 		return
 	}
 	g.log.Warn("endpoint_unreachable", zap.String("endpoint", e.ID), zap.String("reason", why))
 	go func() {
 		begun := time.Now()
-		for g.snapshot.Load().Endpoint(e.Life) != nil {
-			time.Sleep(unreachableInterval)
+		for g.snapshot.Load().Endpoint(e.Incarnation) != nil {
+			time.Sleep(unreachableProbeInterval)
 			if g.prober.dial(e) == nil {
-				g.ledger.SetUnreachable(e.Life, false)
+				g.ledger.SetUnreachable(e.Incarnation, false)
 				g.log.Info("endpoint_reachable", zap.String("endpoint", e.ID), zap.Duration("unreachable_ms", time.Since(begun)))
 				return
 			}
@@ -146,25 +146,25 @@
 // it is probed, and if it is dead the exchange is ended, so that the request can go
 // on elsewhere while its caller still waits.
 type watchdog struct {
-	gateway     *Gateway
-	reply       *reply
-	ctx         context.Context
-	silence     time.Duration
-	heard       atomic.Int64 // nanoseconds since the gateway's start
-	unreachable atomic.Bool
-	timer       *time.Timer
+	gateway      *Gateway
+	response     *endpointResponse
+	ctx          context.Context
+	silence      time.Duration
+	lastActivity atomic.Int64 // nanoseconds since the gateway's start
+	unreachable  atomic.Bool
+	timer        *time.Timer
 }
 
-// watch starts a watchdog over an exchange.
-func (g *Gateway) watch(ctx context.Context, r *reply, silence time.Duration) *watchdog {
-	w := &watchdog{gateway: g, reply: r, ctx: ctx, silence: silence}
-	w.hear()
+// startWatchdog starts a watchdog over an exchange.
+func (g *Gateway) startWatchdog(ctx context.Context, r *endpointResponse, silence time.Duration) *watchdog {
+	w := &watchdog{gateway: g, response: r, ctx: ctx, silence: silence}
+	w.noteActivity()
 	w.timer = time.AfterFunc(silence, w.check)
 	return w
 }
 
-// hear notes a sign of life.
-func (w *watchdog) hear() { w.heard.Store(w.gateway.now()) }
+// noteActivity notes a sign of life.
+func (w *watchdog) noteActivity() { w.lastActivity.Store(w.gateway.uptimeNanos()) }
 
 // stop ends the watch.
 func (w *watchdog) stop() { w.timer.Stop() }
@@ -173,15 +173,15 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	silent := w.gateway.since(&w.heard)
+	silent := w.gateway.elapsedSince(&w.lastActivity)
 	if silent < w.silence {
 		w.timer.Reset(w.silence - silent)
 		return
 	}
-	if w.gateway.prober.alive(w.ctx, w.reply.endpoint) {
+	if w.gateway.prober.alive(w.ctx, w.response.endpoint) {
 		w.timer.Reset(w.silence)
 		return
 	}
 	w.unreachable.Store(true)
-	_ = w.reply.conn.SetDeadline(time.Unix(1, 0))
+	_ = w.response.conn.SetDeadline(time.Unix(1, 0))
 }
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -13,30 +13,30 @@
 )
 
 // Guards against missing a crash as a probe that began before it says that the endpoint lives.
-func TestAProbeThatBeganEarlierDoesNotTellOfNow(t *testing.T) {
+func TestAResultOfAnEarlierProbeIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	local, remote := net.Pipe()
 	defer remote.Close()
 	g := &Gateway{pool: newPool()}
 	g.pool.dial = func(context.Context, string, string) (net.Conn, error) { return local, nil }
 	p := newProber(g)
-	e := &directory.Listed{Endpoint: directory.Endpoint{Life: directory.Life{ID: "i-1"}}}
+	e := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: "i-1"}}}
 	now := time.Now()
 	earlier := &probe{began: now.Add(-time.Millisecond), done: make(chan struct{})}
-	p.results[e.Life] = earlier
+	p.results[e.Incarnation] = earlier
 	end := sync.OnceFunc(func() { close(earlier.done) })
-	got, ok := p.ask(waiting{context.Background(), end}, e, now)
+	got, ok := p.resultSince(doneNotifier{context.Background(), end}, e, now)
 	is.True(ok)
 	is.True(got != earlier)
 }
 
-// waiting is a context that tells once somebody waits for its end.
-type waiting struct {
+// doneNotifier is a context that tells once somebody waits for its end.
+type doneNotifier struct {
 	context.Context
-	tell func()
+	notify func()
 }
 
-func (w waiting) Done() <-chan struct{} {
-	w.tell()
+func (w doneNotifier) Done() <-chan struct{} {
+	w.notify()
 	return w.Context.Done()
 }
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// comeBackLeast bounds from below when a refused long prompt may come back.
-	comeBackLeast = 500 * time.Millisecond
-	// drainFactor is how much longer than its work a backlog takes to go down, as others come
+	// minRetryAfter bounds from below when a refused long prompt may come back.
+	minRetryAfter = 500 * time.Millisecond
+	// backlogDrainFactor is how much longer than its work a backlog takes to go down, as others come
 	// meanwhile.
-	drainFactor = 3
+	backlogDrainFactor = 3
 )
 
 // waitInQueue holds a long prompt while the engines have enough of them to prefill.
@@ -37,30 +37,30 @@
 	engines := len(endpoints)
 	expected := g.policy.AddLongPrompt(f.started, f.service, engines, f.PromptTokens)
 	if expected.TooLate(f.route.Target) {
-		return f.refuseExpected(expected, drainFactor*(expected.FirstToken()-f.route.Target))
+		return f.refuseLateFirstToken(expected, backlogDrainFactor*(expected.FirstToken()-f.route.Target))
 	}
-	if plan := g.policy.Place(f.started, &f.request, endpoints); plan != nil && plan.Overloaded {
+	if plan := g.policy.Place(f.started, &f.placementRequest, endpoints); plan != nil && plan.Overloaded {
 		return f.refuseCapacity(plan) // known now: waiting would only delay the refusal
 	}
 	held := g.policy.Enqueue(f.service, f.PromptTokens)
-	room := f.untilRoom(ctx, held, f.started.Add(expected.LatestStart(f.route.Target)))
+	room := f.waitForCapacity(ctx, held, f.started.Add(expected.LatestStart(f.route.Target)))
 	held.Dequeue()
 	if ctx.Err() != nil {
-		return f.ended(ctx)
+		return f.contextError(ctx)
 	}
-	g.measureWait(time.Since(f.started))
+	g.observeQueueWait(time.Since(f.started))
 	if !room {
 		now := g.policy.EstimateFirstToken(time.Now(), f.service, engines, f.PromptTokens)
-		return f.refuseExpected(now, now.Wait)
+		return f.refuseLateFirstToken(now, now.Wait)
 	}
 	f.log.Add("queue_left", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("waited_ms", time.Since(f.started)), zap.Int("waiting", g.longQueue.Waiting()))
 	return nil
 }
 
-// untilRoom waits until the engines have room for the prompt. False: they have none when its first
+// waitForCapacity waits until the engines have room for the prompt. False: they have none when its first
 // token would begin to be late, or ctx has ended. Where the route names no target nothing is late,
 // and nothing is waited for.
-func (f *forwarding) untilRoom(ctx context.Context, held *direct.QueuedPrompt, latest time.Time) bool {
+func (f *forwarding) waitForCapacity(ctx context.Context, held *direct.QueuedPrompt, latest time.Time) bool {
 	if f.route.Target == 0 {
 		return true
 	}
@@ -80,9 +80,9 @@
 	return true
 }
 
-// refuseExpected ends a call whose first token is expected too late, or whose turn did not come in
+// refuseLateFirstToken ends a call whose first token is expected too late, or whose turn did not come in
 // time.
-func (f *forwarding) refuseExpected(expected direct.FirstTokenEstimate, comeBack time.Duration) *result.Error {
+func (f *forwarding) refuseLateFirstToken(expected direct.FirstTokenEstimate, comeBack time.Duration) *result.Error {
 	f.log.Add("queue_refused", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("wait_ms", expected.Wait), zap.Duration("limit_ms", f.route.Target), zap.Duration("waited_ms", time.Since(f.started)))
-	return result.Refuse(result.Overloaded, max(comeBack, comeBackLeast), "its first token is expected after %v", expected.FirstToken())
+	return result.Refuse(result.Overloaded, max(comeBack, minRetryAfter), "its first token is expected after %v", expected.FirstToken())
 }
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -10,26 +10,26 @@
 )
 
 // Guards against sending a long prompt to crowded engines when it can only be late.
-func TestALongPromptWhoseTurnDoesNotComeInTimeIsRefused(t *testing.T) {
+func TestALongPromptThatGetsNoCapacityInTimeIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := newModels(t, 12)
+	s := newEngineFixture(t, 12)
 	s.routes[len(s.routes)-1]["target_latency_ms"] = 2000
 	s.start()
-	is.Equal(s.prompt("first", 150_000).status, http.StatusOK)
-	got := make(chan answer, 1)
-	s.gateway.TellReading("model", crowdedReading)
-	go func() { got <- s.prompt("late", 150_000) }()
+	is.Equal(s.sendPrompt("first", 150_000).status, http.StatusOK)
+	got := make(chan callerResponse, 1)
+	s.gateway.ReportPeerPrefill("model", peerPrefill)
+	go func() { got <- s.sendPrompt("late", 150_000) }()
 	for len(got) == 0 { // another entry's word is used for a second
-		s.gateway.TellReading("model", crowdedReading)
+		s.gateway.ReportPeerPrefill("model", peerPrefill)
 		time.Sleep(10 * time.Millisecond)
 	}
 	refused := <-got
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.True(refused.header.Get("Retry-After") != "")
-	is.Equal(s.runs("late"), 0)
-	s.until("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"queue_refused"`) })
+	is.Equal(s.runCount("late"), 0)
+	s.waitFor("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"queue_refused"`) })
 }
 
-// crowdedReading is more than twelve engines may have to prefill before another long prompt
+// peerPrefill is more than twelve engines may have to prefill before another long prompt
 // starts, and less than they prefill in two seconds.
-const crowdedReading = 10500 * time.Millisecond
+const peerPrefill = 10500 * time.Millisecond
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -15,56 +15,56 @@
 	"aspenyard.example/result"
 )
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedResponse is an answer that was read to its end.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// maxWholeBytes bounds an answer that is held until it is whole. Answers are held so
+// maxBufferedBytes bounds an answer that is held until it is whole. Answers are held so
 // that one that breaks off can be asked for again, or is not passed on as if whole.
-const maxWholeBytes = 8 << 20
+const maxBufferedBytes = 8 << 20
 
-var errTooLong = errors.New("the answer is too long to be held")
+var errResponseTooLong = errors.New("the answer is too long to be held")
 
-// passWhole reads an answer to its end and writes it to the caller.
-func (f *forwarding) passWhole(r *reply) (attempt.SendOutcome, error) {
-	body, err := io.ReadAll(io.LimitReader(r.body, maxWholeBytes+1))
-	if err == nil && len(body) > maxWholeBytes {
-		err = errTooLong
+// relayBuffered reads an answer to its end and writes it to the caller.
+func (f *forwarding) relayBuffered(r *endpointResponse) (attempt.SendOutcome, error) {
+	body, err := io.ReadAll(io.LimitReader(r.body, maxBufferedBytes+1))
+	if err == nil && len(body) > maxBufferedBytes {
+		err = errResponseTooLong
 	}
 	if err != nil {
 		r.abandon()
 		return attempt.Broken, errors.Wrap(err, "read answer's body")
 	}
 	r.finish()
-	answer := &whole{status: r.status, header: r.header, body: body}
+	answer := &bufferedResponse{status: r.status, header: r.header, body: body}
 	if r.status >= http.StatusInternalServerError {
-		f.failure = answer
+		f.failedResponse = answer
 		return attempt.Failed, errors.Errorf("the endpoint answered with status %d", r.status)
 	}
-	answer.write(f.call)
+	answer.writeTo(f.call)
 	return 0, nil
 }
 
-// write writes the answer to the caller. The nil that it returns lets a failure of
+// writeTo writes the answer to the caller. The nil that it returns lets a failure of
 // the endpoint end a call as it was given.
-func (a *whole) write(c *call) *result.Error {
-	if c.firstAnswer.IsZero() {
-		c.firstAnswer = time.Now()
+func (a *bufferedResponse) writeTo(c *call) *result.Error {
+	if c.firstByteAt.IsZero() {
+		c.firstByteAt = time.Now()
 	}
-	copyHead(c.out.Header(), a.header)
-	c.out.WriteHeader(a.status)
-	if _, err := c.out.Write(a.body); err != nil {
+	copyHeaders(c.writer.Header(), a.header)
+	c.writer.WriteHeader(a.status)
+	if _, err := c.writer.Write(a.body); err != nil {
 		c.log.Add("caller_lost", eventlog.Error(err))
 	}
 	return nil
 }
 
-// copyHead copies the headers of an endpoint's answer that are passed on.
-func copyHead(to, from http.Header) {
-	for name, values := range forwardable(from) {
+// copyHeaders copies the headers of an endpoint's answer that are passed on.
+func copyHeaders(to, from http.Header) {
+	for name, values := range forwardableHeaders(from) {
 		to[name] = values
 	}
 	if from.Get("Content-Type") == "" {
@@ -72,9 +72,9 @@
 	}
 }
 
-// abandonOrFinish ends an exchange whose answer is of no use: its connection is kept
+// discard ends an exchange whose answer is of no use: its connection is kept
 // only if the body is short and whole.
-func (r *reply) abandonOrFinish() {
+func (r *endpointResponse) discard() {
 	if n, err := io.Copy(io.Discard, io.LimitReader(r.body, maxDiscard)); err != nil || n == maxDiscard {
 		r.abandon()
 		return
@@ -84,41 +84,41 @@
 
 const maxDiscard = 16 << 10
 
-// relay passes the events of a stream on. Only whole events are passed on, so that
+// streamRelay passes the events of a stream on. Only whole events are passed on, so that
 // after a break in the midst of one the stream can go on elsewhere.
-type relay struct {
+type streamRelay struct {
 	*call
-	// last is the ID of the last event that the caller has.
-	last    string
-	begun   bool
-	lastAt  time.Time
-	control *http.ResponseController
+	// lastEventID is the ID of the lastEventID event that the caller has.
+	lastEventID string
+	headSent    bool
+	lastEventAt time.Time
+	controller  *http.ResponseController
 }
 
 var (
-	errTornEvent = errors.New("the stream ended in the midst of an event")
-	errCaller    = errors.New("the caller takes no more")
+	errTruncatedEvent = errors.New("the stream ended in the midst of an event")
+	errCallerWrite    = errors.New("the caller takes no more")
 )
 
-// pass relays one endpoint's stream to its end. prefilled is called with the first event,
+// run relays one endpoint's stream to its end. prefilled is called with the first event,
 // which shows that the prompt has been read, and paused with the time between two events.
-func (s *relay) pass(r *reply, prefilled func(), paused func(gap time.Duration)) (attempt.SendOutcome, error) {
+func (s *streamRelay) run(r *endpointResponse, prefilled func(), paused func(gap time.Duration)) (attempt.SendOutcome, error) {
 	var last time.Time
-	reader := bufio.NewReaderSize(r.body, readBuffer)
+	reader := bufio.NewReaderSize(r.body, readBufferSize)
 	for {
 		event, id, err := readEvent(reader)
 		if err == io.EOF {
 			r.finish()
-			if !s.begun {
-				s.begin(r)
+			if !s.headSent {
+				s.writeHead(r)
 			}
 			return 0, nil
 		}
 		if err != nil {
 			r.abandon()
-			return attempt.Broken, errors.Wrapf(err, "after event %q", s.last)
+			return attempt.Broken, errors.Wrapf(err, "after event %q", s.lastEventID)
 		}
-		r.hear()
+		r.noteActivity()
 		now := time.Now()
 		if last.IsZero() {
 			prefilled()
@@ -126,20 +126,20 @@
 			paused(now.Sub(last))
 		}
 		last = now
-		if s.begun && !s.follows(id) {
+		if s.headSent && !s.isNew(id) {
 			continue
 		}
-		if err := s.write(r, event, id, now, reader.Buffered() > 0); err != nil {
+		if err := s.writeEvent(r, event, id, now, reader.Buffered() > 0); err != nil {
 			r.abandon()
 			return attempt.Broken, err
 		}
 	}
 }
 
-// follows tells whether an event comes after what the caller has: an endpoint at
+// isNew tells whether an event comes after what the caller has: an endpoint at
 // which a stream goes on may begin with events that the caller has already.
-func (s *relay) follows(id string) bool {
-	return id == "" || laterEvent(id, s.last)
+func (s *streamRelay) isNew(id string) bool {
+	return id == "" || laterEvent(id, s.lastEventID)
 }
 
 // laterEvent compares the IDs of two events, which are numbers.
@@ -150,45 +150,45 @@
 	return id > last
 }
 
-// begin writes the answer's head; a stream that goes on elsewhere keeps it.
-func (s *relay) begin(r *reply) {
-	s.begun = true
-	s.control = http.NewResponseController(s.out)
-	copyHead(s.out.Header(), r.header)
-	s.out.WriteHeader(r.status)
+// writeHead writes the answer's head; a stream that goes on elsewhere keeps it.
+func (s *streamRelay) writeHead(r *endpointResponse) {
+	s.headSent = true
+	s.controller = http.NewResponseController(s.writer)
+	copyHeaders(s.writer.Header(), r.header)
+	s.writer.WriteHeader(r.status)
 }
 
-// write passes an event that came now on; more events are at hand or it is flushed.
-func (s *relay) write(r *reply, event []byte, id string, now time.Time, more bool) error {
-	if !s.begun {
-		s.begin(r)
-		s.firstAnswer = now
-	} else if s.events > 0 {
-		if gap := now.Sub(s.lastAt); gap > s.gap {
-			s.gap, s.gapAt = gap, now
+// writeEvent passes an event that came now on; more events are at hand or it is flushed.
+func (s *streamRelay) writeEvent(r *endpointResponse, event []byte, id string, now time.Time, more bool) error {
+	if !s.headSent {
+		s.writeHead(r)
+		s.firstByteAt = now
+	} else if s.eventsSent > 0 {
+		if gap := now.Sub(s.lastEventAt); gap > s.longestPause {
+			s.longestPause, s.longestPauseEnd = gap, now
 		}
 	}
-	_ = s.control.SetWriteDeadline(now.Add(callerStall))
-	if _, err := s.out.Write(event); err != nil {
-		return errors.Wrap(errCaller, err.Error())
+	_ = s.controller.SetWriteDeadline(now.Add(callerWriteTimeout))
+	if _, err := s.writer.Write(event); err != nil {
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
-	s.lastAt = now
-	s.events++
+	s.lastEventAt = now
+	s.eventsSent++
 	if id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
 	if more {
 		return nil
 	}
-	if err := s.control.Flush(); err != nil {
-		return errors.Wrap(errCaller, err.Error())
+	if err := s.controller.Flush(); err != nil {
+		return errors.Wrap(errCallerWrite, err.Error())
 	}
 	return nil
 }
 
-// callerStall is how long a caller may leave the connection full before it is given
+// callerWriteTimeout is how long a caller may leave the connection full before it is given
 // up: its stream holds an engine's slot meanwhile.
-const callerStall = 3 * time.Second
+const callerWriteTimeout = 3 * time.Second
 
 // maxEventBytes bounds one event.
 const maxEventBytes = 1 << 20
@@ -205,7 +205,7 @@
 		case err == io.EOF && len(event) == 0:
 			return nil, "", io.EOF
 		case err == io.EOF:
-			return nil, "", errTornEvent
+			return nil, "", errTruncatedEvent
 		case err != nil:
 			return nil, "", err
 		}
--- a/gateway/state_test.go
+++ b/gateway/state_test.go
@@ -14,14 +14,14 @@
 
 func TestNothingIsServedWithoutAConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
-	s.boot()
-	s.until("the port answers", func() bool { return s.ready() == http.StatusServiceUnavailable })
+	s := newFixture(t, plainWorker())
+	s.launch()
+	s.waitFor("the port answers", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
 	got := s.post("/once/a", "q1")
 	is.Equal(got.status, http.StatusServiceUnavailable) // not 404: it does not know
 	is.True(got.header.Get("Retry-After") != "")
 	s.configure()
-	s.until("ready", func() bool { return s.ready() == http.StatusOK })
+	s.waitFor("ready", func() bool { return s.readyStatus() == http.StatusOK })
 	is.Equal(s.post("/once/a", "q2").status, http.StatusOK)
 }
 
@@ -31,20 +31,20 @@
 // Cause: a process that has only just asked took itself for one that knows nothing.
 func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
-	s.firstWait = patience
-	s.boot()
-	answers := make(chan answer, 1)
+	s := newFixture(t, plainWorker())
+	s.firstWait = waitTimeout
+	s.launch()
+	answers := make(chan callerResponse, 1)
 	go func() { answers <- s.post("/once/a", "q1") }()
-	s.until("a request is there", func() bool { return s.metric("aspenyard_gateway_active_requests") == 1 || len(answers) == 1 })
+	s.waitFor("a request is there", func() bool { return s.sumMetric("aspenyard_gateway_active_requests") == 1 || len(answers) == 1 })
 	s.configure()
 	is.Equal((<-answers).status, http.StatusOK)
-	is.Equal(s.runs("q1"), 1)
+	is.Equal(s.runCount("q1"), 1)
 }
 
-func TestWhoMayAskForWhat(t *testing.T) {
+func TestRoutesAndKeysAreChecked(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
+	s := newFixture(t, plainWorker())
 	open := route("open", "/open/", "idempotent")
 	open["public"] = true
 	s.routes = append(s.routes, open)
@@ -62,13 +62,13 @@
 	r = s.request(http.MethodPost, "/once/a", "q5", "")
 	r.Host = "other.example"
 	is.Equal(s.do(r).status, http.StatusNotFound)
-	is.Equal(s.runs("q1")+s.runs("q2")+s.runs("q3")+s.runs("q5"), 0)
+	is.Equal(s.runCount("q1")+s.runCount("q2")+s.runCount("q3")+s.runCount("q5"), 0)
 	is.Equal(s.workers[0].Runs()[0].Account, "") // nobody's
 }
 
 func TestTheLongestPrefixWins(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain(), &standin.Worker{ID: "i-x", Service: "other"})
+	s := newFixture(t, plainWorker(), &standin.Worker{ID: "i-x", Service: "other"})
 	deep := route("deep", "/once/deep/", "idempotent")
 	deep["service"] = "other"
 	s.routes = append(s.routes, deep)
@@ -81,12 +81,12 @@
 
 func TestARevokedKeyIsRefused(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	is.Equal(s.post("/once/a", "q1").status, http.StatusOK)
 	s.keys = []string{"key-2"}
 	s.configure()
 	n := 1
-	s.until("the key is refused", func() bool { n++; return s.post("/once/a", fmt.Sprint("q", n)).status == http.StatusUnauthorized })
+	s.waitFor("the key is refused", func() bool { n++; return s.post("/once/a", fmt.Sprint("q", n)).status == http.StatusUnauthorized })
 }
 
 // Symptom: a node works by an old configuration for seconds after an outage of the
@@ -98,15 +98,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSite(t, plain()).start()
+			s := newFixture(t, plainWorker()).start()
 			s.store.SetFaults(faults)
-			s.until("the outage is seen", func() bool { return strings.Contains(s.log.String(), "store_lost") })
+			s.waitFor("the outage is seen", func() bool { return strings.Contains(s.log.String(), "store_lost") })
 			is.Equal(s.post("/once/a", "q1").status, http.StatusOK) // what is known stays in force
 			s.routes = append(s.routes, route("new", "/new/", "idempotent"))
 			s.configure()
 			s.store.SetFaults(standin.StoreFaults{})
-			s.until("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
-			s.until("the store is back", func() bool { return strings.Contains(s.log.String(), "store_regained") })
+			s.waitFor("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
+			s.waitFor("the store is back", func() bool { return strings.Contains(s.log.String(), "store_regained") })
 		})
 	}
 }
@@ -115,12 +115,12 @@
 // Sequence: one node is cut off from the store, keys are added, and the balancer sends
 // their callers there too. Cause: the node answered for a configuration that it knew might
 // be out of date; callers do not ask elsewhere after that.
-func TestANodeThatIsCutOffDoesNotJudgeWhatItMayNotKnow(t *testing.T) {
+func TestANodeWithAStaleConfigurationDoesNotDenyRequests(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain())
-	s.own = `,"store_timeout":"50ms","config_within":"200ms","leaving_within":"200ms"`
+	s := newFixture(t, plainWorker())
+	s.extraSettings = `,"store_timeout":"50ms","config_within":"200ms","leaving_within":"200ms"`
 	s.start()
-	unknown := func(path string) answer {
+	unknown := func(path string) callerResponse {
 		r := s.request(http.MethodPost, path, "q1", "")
 		r.Header.Set("Authorization", "Bearer added-later")
 		return s.do(r)
@@ -128,30 +128,30 @@
 	is.Equal(unknown("/once/a").status, http.StatusUnauthorized)
 	is.Equal(unknown("/later/a").status, http.StatusNotFound)
 	s.store.SetFaults(standin.StoreFaults{Silent: true})
-	s.until("it says when to come back", func() bool { return unknown("/once/a").status == http.StatusServiceUnavailable })
+	s.waitFor("it says when to come back", func() bool { return unknown("/once/a").status == http.StatusServiceUnavailable })
 	got := unknown("/later/a")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
 	is.Equal(s.post("/once/a", "q2").status, http.StatusOK) // what it knows stays in force
 	s.store.SetFaults(standin.StoreFaults{})
-	s.until("it judges again", func() bool { return unknown("/once/a").status == http.StatusUnauthorized })
-	is.Equal(s.runs("q1"), 0)
+	s.waitFor("it judges again", func() bool { return unknown("/once/a").status == http.StatusUnauthorized })
+	is.Equal(s.runCount("q1"), 0)
 }
 
 // Symptom: a node misses a change for good, or for as long as a watch may wait.
 // Sequence: watches hear nothing while the configuration changes, then the store drops
 // its history. Cause: watches of ten seconds, which end without an answer.
-func TestAChangeWhoseHistoryIsGoneIsReadAnew(t *testing.T) {
-	s := newSite(t, plain(), plain()).start()
+func TestTheStateIsReadInFullWhenTheHistoryIsGone(t *testing.T) {
+	s := newFixture(t, plainWorker(), plainWorker()).start()
 	s.store.SetFaults(standin.StoreFaults{Deaf: true})
 	calls := s.store.Calls("/-/kv-watch")
-	s.until("a watch that hears nothing", func() bool { return s.store.Calls("/-/kv-watch") > calls })
+	s.waitFor("a watch that hears nothing", func() bool { return s.store.Calls("/-/kv-watch") > calls })
 	s.routes = append(s.routes, route("new", "/new/", "idempotent"))
 	s.configure()
 	s.store.Delete("servers/" + s.workers[0].ID)
 	s.store.DropHistory()
 	s.store.SetFaults(standin.StoreFaults{})
-	s.until("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
+	s.waitFor("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
 	before := len(s.workers[0].Runs())
 	for i := range 10 {
 		s.post("/once/a", fmt.Sprint("r", i))
@@ -163,10 +163,10 @@
 
 // Symptom: requests reach an endpoint that is about to stop. Sequence: it registers as
 // draining, or its registration ends without that.
-func TestAnEndpointThatLeavesGetsNothingNew(t *testing.T) {
+func TestALeavingEndpointGetsNoNewRequests(t *testing.T) {
 	for _, how := range []string{"draining", "gone"} {
 		t.Run(how, func(t *testing.T) {
-			s := newSite(t, plain(), plain()).start()
+			s := newFixture(t, plainWorker(), plainWorker()).start()
 			leaving := s.workers[0]
 			event := "endpoint_leaving"
 			if how == "draining" {
@@ -175,7 +175,7 @@
 				s.store.Delete("servers/" + leaving.ID)
 				event = "endpoint_gone"
 			}
-			s.until("it is known", func() bool { return strings.Contains(s.log.String(), event) })
+			s.waitFor("it is known", func() bool { return strings.Contains(s.log.String(), event) })
 			before := len(leaving.Runs())
 			for i := range 20 {
 				s.post("/once/a", fmt.Sprint("q", i))
@@ -189,12 +189,12 @@
 
 // Symptom: a node stops serving after one bad edit. Sequence: the store holds a
 // configuration that cannot be decoded.
-func TestAConfigurationThatCannotBeDecodedIsLoggedAndLeft(t *testing.T) {
+func TestAnUndecodableConfigurationIsLoggedAndIgnored(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	s.store.Put("op/config", []byte(`{"version":99,"routes":[{"name":"r","prefix":"/x/","route_kind":"sideways"}]}`))
 	s.store.Put("servers/i-bad", []byte(`{"service":"app","address":"nowhere"}`))
-	s.until("it is logged", func() bool { return strings.Contains(s.log.String(), "i-bad") })
+	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), "i-bad") })
 	log := s.log.String()
 	is.True(strings.Contains(log, "store_item_refused"))
 	is.True(strings.Contains(log, "version 99"))
@@ -202,27 +202,27 @@
 	is.Equal(s.post("/once/a", "q1").status, http.StatusOK)
 	s.version = 100
 	s.configure()
-	s.until("the next one is in force", func() bool { return strings.Contains(s.log.String(), `"version":103`) })
+	s.waitFor("the next one is in force", func() bool { return strings.Contains(s.log.String(), `"version":103`) })
 }
 
-// newStopping starts a site, a stream of over a second, and then a stop.
-func newStopping(t *testing.T, pace time.Duration) (*site, <-chan answer) {
-	worker := streaming(30)
+// startDraining starts a site, a stream of over a second, and then a stop.
+func startDraining(t *testing.T, pace time.Duration) (*fixture, <-chan callerResponse) {
+	worker := streamingWorker(30)
 	worker.Pace = pace
-	s := newSite(t, worker).start()
-	results := make(chan answer, 1)
+	s := newFixture(t, worker).start()
+	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.until("it runs", func() bool { return worker.Working() == 1 })
-	s.terminate()
-	s.until("not ready", func() bool { return s.ready() == http.StatusServiceUnavailable })
+	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	s.sendSIGTERM()
+	s.waitFor("not ready", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
 	return s, results
 }
 
 // Symptom: a request is cut by a stop. Sequence: SIGTERM while a stream runs and while
 // callers go on using open connections.
-func TestAStopCutsNothing(t *testing.T) {
+func TestAShutdownCutsNoRequest(t *testing.T) {
 	is := is.New(t)
-	s, results := newStopping(t, 40*time.Millisecond)
+	s, results := startDraining(t, 40*time.Millisecond)
 	late := s.post("/stream/b", "q2") // the balancer has not seen it yet
 	is.Equal(late.status, http.StatusOK)
 	is.Equal(late.body, standin.StreamText("q2", 30))
@@ -230,9 +230,9 @@
 	is.NoErr(first.err)
 	is.Equal(first.body, standin.StreamText("q1", 30))
 	select {
-	case err := <-s.ended:
+	case err := <-s.serveErr:
 		is.NoErr(err)
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the process does not end")
 	}
 }
@@ -240,80 +240,80 @@
 // Symptom, were it there: streams end when the node no longer takes requests, long before it
 // is killed. Sequence: SIGTERM while a stream runs that lasts longer than the part of the
 // drain in which requests are taken.
-func TestADrainWaitsForAStreamThatLastsLonger(t *testing.T) {
+func TestADrainWaitsForALongStream(t *testing.T) {
 	is := is.New(t)
-	s, results := newStopping(t, 80*time.Millisecond) // 2.4 s; requests are taken for 1.8 s of 5 s
+	s, results := startDraining(t, 80*time.Millisecond) // 2.4 s; requests are taken for 1.8 s of 5 s
 	got := <-results
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 30))
-	is.NoErr(<-s.ended)
+	is.NoErr(<-s.serveErr)
 }
 
 // Symptom: a stop cuts requests at once. Sequence: during a drain come a change of the
 // settings file and the signal to stop once more. Cause: any signal in a drain was taken
 // for a wish to end at once.
-func TestMoreSignalsInADrainCutNothing(t *testing.T) {
+func TestFurtherSignalsDuringADrainCutNoRequest(t *testing.T) {
 	is := is.New(t)
-	s, results := newStopping(t, 40*time.Millisecond)
-	s.hangUp()
-	s.terminate()
+	s, results := startDraining(t, 40*time.Millisecond)
+	s.sendSIGHUP()
+	s.sendSIGTERM()
 	select {
 	case got := <-results:
 		is.NoErr(got.err)
 		is.Equal(got.body, standin.StreamText("q1", 30))
-	case <-s.ended: // the process would be gone, and its connections with it
+	case <-s.serveErr: // the process would be gone, and its connections with it
 		t.Fatal("ended while a request was under way")
 	}
-	is.NoErr(<-s.ended)
+	is.NoErr(<-s.serveErr)
 }
 
-func TestAStopAnswersLateCallersAtOnce(t *testing.T) {
+func TestRequestsThatCannotEndBeforeTheStopAreRefused(t *testing.T) {
 	is := is.New(t)
-	worker := plain()
-	s := newSite(t, worker).start()
+	worker := plainWorker()
+	s := newFixture(t, worker).start()
 	worker.Always(standin.FaultHang)
 	go s.post("/once/a", "q1") // holds the process
-	s.until("it runs", func() bool { return worker.Working() == 1 })
-	s.terminate()
-	s.until("it refuses", func() bool {
+	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	s.sendSIGTERM()
+	s.waitFor("it refuses", func() bool {
 		r := s.request(http.MethodPost, "/stream/late", "q2", "")
 		r.Header.Set("X-Aspenyard-Deadline-Ms", "20")
 		got := s.do(r)
 		return got.err != nil || got.status == http.StatusServiceUnavailable
 	})
-	is.Equal(s.runs("q3"), 0)
+	is.Equal(s.runCount("q3"), 0)
 }
 
 // Symptom: requests are cut by a change of the settings file. Sequence: SIGHUP while
 // requests run.
-func TestAReloadCutsNothing(t *testing.T) {
+func TestAReloadCutsNoRequest(t *testing.T) {
 	is := is.New(t)
-	worker := streaming(20)
+	worker := streamingWorker(20)
 	worker.Pace = 20 * time.Millisecond
-	s := newSite(t, worker).start()
-	results := make(chan answer, 1)
+	s := newFixture(t, worker).start()
+	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.until("it runs", func() bool { return worker.Working() == 1 })
-	s.hangUp()
-	s.until("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"reload"`) })
+	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	s.sendSIGHUP()
+	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"reload"`) })
 	got := <-results
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 20))
-	is.Equal(s.ready(), http.StatusOK)
+	is.Equal(s.readyStatus(), http.StatusOK)
 }
 
-func TestMetricsTellOutcomesAndAges(t *testing.T) {
+func TestMetricsReportOutcomesAndAges(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, plain()).start()
+	s := newFixture(t, plainWorker()).start()
 	s.post("/once/a", "q1")
 	s.post("/nowhere/a", "q2")
-	s.until("counted", func() bool {
-		return s.metric(`aspenyard_gateway_requests_total{class="non_idempotent",code="1000"`) == 1 && s.metric(`aspenyard_gateway_requests_total{class="none",code="2002"`) == 1
+	s.waitFor("counted", func() bool {
+		return s.sumMetric(`aspenyard_gateway_requests_total{class="non_idempotent",code="1000"`) == 1 && s.sumMetric(`aspenyard_gateway_requests_total{class="none",code="2002"`) == 1
 	})
-	is.Equal(s.metric("aspenyard_gateway_config_version"), 3.0)
-	is.Equal(s.metric("aspenyard_gateway_endpoints "), 1.0)
-	is.True(s.metric(`aspenyard_gateway_store_seconds_count{call="read"`) >= 1)
-	is.Equal(s.metric(`aspenyard_gateway_objective_events{kind="non_idempotent",outcome="good",window="5m"}`), 1.0)
-	is.True(s.metric("aspenyard_gateway_config_age_seconds ") > 0)
-	is.True(s.metric("aspenyard_gateway_list_age_seconds ") > 0)
+	is.Equal(s.sumMetric("aspenyard_gateway_config_version"), 3.0)
+	is.Equal(s.sumMetric("aspenyard_gateway_endpoints "), 1.0)
+	is.True(s.sumMetric(`aspenyard_gateway_store_seconds_count{call="read"`) >= 1)
+	is.Equal(s.sumMetric(`aspenyard_gateway_objective_events{kind="non_idempotent",outcome="good",window="5m"}`), 1.0)
+	is.True(s.sumMetric("aspenyard_gateway_config_age_seconds ") > 0)
+	is.True(s.sumMetric("aspenyard_gateway_list_age_seconds ") > 0)
 }
--- a/graceful/graceful.go
+++ b/graceful/graceful.go
@@ -20,10 +20,10 @@
 type Conns struct {
 	mu   sync.Mutex
 	open map[*Conn]struct{}
-	// ending is set when connections that are opened now are not read any more.
-	ending bool
-	// lastAnswers is set when every further answer ends its connection.
-	lastAnswers atomic.Bool
+	// readingStopped is set when connections that are opened now are not read any more.
+	readingStopped bool
+	// closeAfterAnswer is set when every further answer ends its connection.
+	closeAfterAnswer atomic.Bool
 }
 
 // Listener gives a listener whose connections are kept track of.
@@ -53,8 +53,8 @@
 		c.open = map[*Conn]struct{}{}
 	}
 	c.open[tracked] = struct{}{}
-	if c.ending {
-		tracked.use.Store(useEnded)
+	if c.readingStopped {
+		tracked.use.Store(useStopped)
 	}
 	return tracked
 }
@@ -69,22 +69,22 @@
 // Handler wraps the server's handler.
 func (c *Conns) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.lastAnswers.Load() {
+		if c.closeAfterAnswer.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// EndKeepAlive makes every further answer close its connection. It closes none itself.
-func (c *Conns) EndKeepAlive() { c.lastAnswers.Store(true) }
+// DisableKeepAlives makes every further answer close its connection. It closes none itself.
+func (c *Conns) DisableKeepAlives() { c.closeAfterAnswer.Store(true) }
 
 // CloseIdle closes connections on which a request has been answered and none is under way.
 func (c *Conns) CloseIdle() {
 	c.mu.Lock()
 	var idle []*Conn
 	for conn := range c.open {
-		if conn.State() == http.StateIdle && conn.end() {
+		if conn.State() == http.StateIdle && conn.stopReading() {
 			idle = append(idle, conn)
 		}
 	}
@@ -94,32 +94,32 @@
 	}
 }
 
-// EndAll lets no request be read any more where none has been, and tells whether that is
+// StopReading lets no request be read any more where none has been, and tells whether that is
 // so on every connection. Without it a request that is read as the process ends is handled
 // and its caller gets no answer.
-func (c *Conns) EndAll() bool {
+func (c *Conns) StopReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
+	c.readingStopped = true
 	all := true
 	for conn := range c.open {
-		all = conn.end() && all
+		all = conn.stopReading() && all
 	}
 	return all
 }
 
-// drainPoll is the time between two looks at what is still under way.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the time between two looks at what is still under way.
+const drainPollInterval = 20 * time.Millisecond
 
 // Drain closes connections as they become idle and returns when no request is under way on
 // any; active counts those that are handled. Error: ctx ended before.
 func (c *Conns) Drain(ctx context.Context, active func() int64) error {
-	c.EndKeepAlive()
-	ticker := time.NewTicker(drainPoll)
+	c.DisableKeepAlives()
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		c.CloseIdle()
-		if active() == 0 && c.EndAll() {
+		if active() == 0 && c.StopReading() {
 			return nil
 		}
 		select {
@@ -142,25 +142,25 @@
 
 // What a connection is used for.
 const (
-	useNone  int32 = iota // no byte of the next request has been read
-	useTaken              // a request is being read or answered
-	useEnded              // no request is read any more
+	useIdle    int32 = iota // no byte of the next request has been read
+	useRequest              // a request is being read or answered
+	useStopped              // no request is read any more
 )
 
 // State is the server's state of the connection.
 func (c *Conn) State() http.ConnState { return http.ConnState(c.state.Load()) }
 
-// Taken tells whether a part of a request has been read and its answer is not complete.
-func (c *Conn) Taken() bool { return c.use.Load() == useTaken }
+// InRequest tells whether a part of a request has been read and its answer is not complete.
+func (c *Conn) InRequest() bool { return c.use.Load() == useRequest }
 
 // SetState notes the server's state.
 func (c *Conn) SetState(state http.ConnState) {
 	c.state.Store(int32(state))
 	switch state {
 	case http.StateActive: // a request that was read together with the one before it
-		c.use.CompareAndSwap(useNone, useTaken)
+		c.use.CompareAndSwap(useIdle, useRequest)
 	case http.StateIdle:
-		c.use.CompareAndSwap(useTaken, useNone)
+		c.use.CompareAndSwap(useRequest, useIdle)
 	case http.StateClosed, http.StateHijacked:
 		c.conns.mu.Lock()
 		delete(c.conns.open, c)
@@ -172,18 +172,18 @@
 // nowhere.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.State() != http.StateActive && !c.take() {
+	if n > 0 && c.State() != http.StateActive && !c.beginRequest() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// end lets no request be read any more; false while one is under way.
-func (c *Conn) end() bool {
-	return c.use.CompareAndSwap(useNone, useEnded) || c.use.Load() == useEnded
+// stopReading lets no request be read any more; false while one is under way.
+func (c *Conn) stopReading() bool {
+	return c.use.CompareAndSwap(useIdle, useStopped) || c.use.Load() == useStopped
 }
 
-// take tells whether what was read may be taken for a request.
-func (c *Conn) take() bool {
-	return c.use.CompareAndSwap(useNone, useTaken) || c.use.Load() == useTaken
+// beginRequest tells whether what was read may be taken for a request.
+func (c *Conn) beginRequest() bool {
+	return c.use.CompareAndSwap(useIdle, useRequest) || c.use.Load() == useRequest
 }
--- a/graceful/graceful_test.go
+++ b/graceful/graceful_test.go
@@ -36,20 +36,20 @@
 	is.NoErr(err)
 	is.Equal(n, 4)
 	c.CloseIdle()
-	is.True(!c.EndAll()) // the process must not end either
+	is.True(!c.StopReading()) // the process must not end either
 	go func() { _, _ = conn.Write([]byte("HTTP")) }()
 	_, err = theirs.Read(make([]byte, 4))
 	is.NoErr(err)
 	conn.SetState(http.StateActive)
 	conn.SetState(http.StateIdle) // it has been answered
-	is.True(c.EndAll())
+	is.True(c.StopReading())
 }
 
 // What comes as the connection is closed is not taken for a request, and so runs nowhere.
-func TestARequestThatCrossesTheEndIsNotRead(t *testing.T) {
+func TestNoRequestIsReadAfterStopReading(t *testing.T) {
 	is := is.New(t)
 	c, conn, theirs := idleConn(t)
-	is.True(c.EndAll())
+	is.True(c.StopReading())
 	go func() { _, _ = theirs.Write([]byte("POST")) }()
 	n, err := conn.Read(make([]byte, 16))
 	is.Equal(n, 0)
@@ -59,31 +59,31 @@
 // Symptom, were it there: the process ends with a request under way. Sequence: two requests
 // come at once; the second is begun without a further read. Cause: only reading took the
 // connection.
-func TestASecondRequestOfOneReadKeepsItsConnection(t *testing.T) {
+func TestAPipelinedRequestKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
 	c, conn, _ := idleConn(t)
 	conn.SetState(http.StateActive)
-	is.True(!c.EndAll())
+	is.True(!c.StopReading())
 	conn.SetState(http.StateIdle)
-	is.True(c.EndAll())
+	is.True(c.StopReading())
 }
 
 // A request as it goes over the wire, in two parts.
 const head, rest = "POST / HT", "TP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
 
-// served is a server with a caller that has had one answer and has sent a part of its next
+// halfSentRequest is a server with a caller that has had one answer and has sent a part of its next
 // request, which the server has read.
-type served struct {
+type halfSentRequest struct {
 	conns   *Conns
 	active  atomic.Int64
 	caller  net.Conn
 	answers *bufio.Reader
 }
 
-func serveHalf(t *testing.T) *served {
+func startHalfSentRequest(t *testing.T) *halfSentRequest {
 	t.Helper()
 	is := is.New(t)
-	s := &served{conns: &Conns{}}
+	s := &halfSentRequest{conns: &Conns{}}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.active.Add(1)
 		defer s.active.Add(-1)
@@ -103,15 +103,15 @@
 	first, err := http.ReadResponse(s.answers, nil)
 	is.NoErr(err)
 	is.True(!first.Close)
-	s.await(t, useNone)
+	s.awaitUse(t, useIdle)
 	_, err = s.caller.Write([]byte(head))
 	is.NoErr(err)
-	s.await(t, useTaken)
+	s.awaitUse(t, useRequest)
 	return s
 }
 
-// await waits until the only connection is used as given.
-func (s *served) await(t *testing.T, use int32) {
+// awaitUse waits until the only connection is used as given.
+func (s *halfSentRequest) awaitUse(t *testing.T, use int32) {
 	t.Helper()
 	for limit := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		s.conns.mu.Lock()
@@ -129,9 +129,9 @@
 	}
 }
 
-// lastAnswer sends the rest of the request and reads its answer, which must close the
+// finishRequest sends the rest of the request and reads its answer, which must close the
 // connection, so that the caller sends its next request elsewhere.
-func (s *served) lastAnswer(t *testing.T) {
+func (s *halfSentRequest) finishRequest(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	_, err := s.caller.Write([]byte(rest))
@@ -146,29 +146,29 @@
 // after it was sent, without an answer (soak, seed 2, a stop in turn). Sequence: a
 // connection is idle, a request comes on it, SIGTERM arrives before the server has read its
 // whole head. Cause: the server's own way to end keep-alive closes what it takes for idle.
-func TestARequestThatCrossesTheStopIsAnswered(t *testing.T) {
-	s := serveHalf(t)
-	s.conns.EndKeepAlive()
-	s.lastAnswer(t)
+func TestARequestHalfReadAtShutdownIsAnswered(t *testing.T) {
+	s := startHalfSentRequest(t)
+	s.conns.DisableKeepAlives()
+	s.finishRequest(t)
 }
 
 // The same for a whole drain, whose end closes what is idle: it waits for the request.
 func TestADrainWaitsForARequestThatIsBeingRead(t *testing.T) {
 	is := is.New(t)
-	s := serveHalf(t)
+	s := startHalfSentRequest(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	drained := make(chan error, 1)
 	go func() { drained <- s.conns.Drain(ctx, s.active.Load) }()
-	time.Sleep(5 * drainPoll) // without a fault the drain does nothing in this time
+	time.Sleep(5 * drainPollInterval) // without a fault the drain does nothing in this time
 	is.Equal(len(drained), 0)
-	s.lastAnswer(t)
+	s.finishRequest(t)
 	is.NoErr(<-drained)
 }
 
 func TestADrainEndsWithItsContext(t *testing.T) {
 	is := is.New(t)
-	s := serveHalf(t)
+	s := startHalfSentRequest(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(s.conns.Drain(ctx, s.active.Load), context.Canceled))
--- a/membership/config.go
+++ b/membership/config.go
@@ -31,19 +31,19 @@
 	// work away sooner; longer forgives more lost datagrams. At least four
 	// intervals, so that one of four may be lost without consequence.
 	SuspectAfter time.Duration
-	// ForgetAfter is the silence after which a node that the platform does not
+	// RemoveAfter is the silence after which a node that the platform does not
 	// list either is dropped from the view.
-	ForgetAfter time.Duration
+	RemoveAfter time.Duration
 	// Tick is the period of timers and of publishing views; default 50ms.
 	Tick time.Duration
 	// BytesPerSecond bounds what heartbeats cost a receiving entry: it advises
 	// its agents of a longer interval when they are many, and takes a longer one itself
 	// when it reports to many others. Default 4,000.
 	BytesPerSecond int
-	// NearEntries and FarEntries are how many entries a node reports to in its own data
+	// LocalEntries and RemoteEntries are how many entries a node reports to in its own data
 	// centre and in each other one; defaults 8 and 2. More of them know more of the
 	// node's load, and receive more heartbeats.
-	NearEntries, FarEntries int
+	LocalEntries, RemoteEntries int
 	// LongestInterval is how far an entry's heartbeats to other entries may be apart where
 	// they are many: it reports to as many of them as BytesPerSecond allow at that interval,
 	// at least NearEntries and FarEntries, and to all where these are fewer. Longer lets
@@ -80,24 +80,24 @@
 	if c.BytesPerSecond == 0 {
 		c.BytesPerSecond = defaultBytesPerSecond
 	}
-	if c.ForgetAfter == 0 {
-		c.ForgetAfter = defaultForgetAfter
+	if c.RemoveAfter == 0 {
+		c.RemoveAfter = defaultForgetAfter
 	}
-	if c.NearEntries == 0 {
-		c.NearEntries = defaultNearEntries
+	if c.LocalEntries == 0 {
+		c.LocalEntries = defaultNearEntries
 	}
-	if c.FarEntries == 0 {
-		c.FarEntries = defaultFarEntries
+	if c.RemoteEntries == 0 {
+		c.RemoteEntries = defaultFarEntries
 	}
 }
 
 // Delegate is the role's part of the control state. All methods run on the
 // control thread.
 type Delegate interface {
-	// Fill adds the role's own state to a heartbeat about to be sent.
-	Fill(now time.Time, h *wire.Heartbeat)
-	// Heard tells of an accepted heartbeat.
-	Heard(now time.Time, h *wire.Heartbeat)
+	// FillHeartbeat adds the role's own state to a heartbeat about to be sent.
+	FillHeartbeat(now time.Time, h *wire.Heartbeat)
+	// HandleHeartbeat tells of an accepted heartbeat.
+	HandleHeartbeat(now time.Time, h *wire.Heartbeat)
 	// Tick runs the role's timers; members is the present view.
 	Tick(now time.Time, members *View)
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -11,10 +11,10 @@
 // maxListBackoff bounds how far the wait between failed reads grows.
 const maxListBackoff = 16
 
-// FollowList reads the platform's list every interval until ctx ends. After
+// PollList reads the platform's list every interval until ctx ends. After
 // failures it waits longer, with jitter, so that the platform's return does not
 // meet all nodes at once.
-func (l *Loop) FollowList(ctx context.Context, list infra.VMList, interval time.Duration) {
+func (l *Loop) PollList(ctx context.Context, list infra.VMList, interval time.Duration) {
 	factor := 1
 	for ctx.Err() == nil {
 		vms, err := list.VMs(ctx)
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -151,7 +151,7 @@
 	if !l.state.heard(now, h) {
 		return
 	}
-	l.delegate.Heard(now, h)
+	l.delegate.HandleHeartbeat(now, h)
 	if !h.Reply && l.config.Role == RoleEntry && h.Role == RoleAgent {
 		l.beat(now, []string{h.Addr}, true)
 	}
@@ -185,7 +185,7 @@
 		Incarnation: l.config.Incarnation, Sequence: l.state.sequence, Leaving: l.state.leaving(now), Reply: reply,
 		AdvisedIntervalMs: l.state.advised.Milliseconds(), LeavingNodes: l.state.leavingNames,
 	}
-	l.delegate.Fill(now, h)
+	l.delegate.FillHeartbeat(now, h)
 	if h.Partial {
 		h.Role, h.DataCentre, h.Addr, h.LeavingNodes = "", "", "", nil
 	}
--- a/membership/state.go
+++ b/membership/state.go
@@ -12,55 +12,55 @@
 
 // Member is one node in a view.
 type Member struct {
-	// Last is the latest heartbeat accepted; nil when only the list knows it.
-	Last *wire.Heartbeat
+	// LastHeartbeat is the latest heartbeat accepted; nil when only the list knows it.
+	LastHeartbeat *wire.Heartbeat
 	// VM is the platform's line; Listed tells whether there is one.
 	VM     infra.VM
 	Listed bool
 	// Suspect: silent for too long. Leaving: by its own word or the list's.
 	Suspect, Leaving bool
-	// Heard is when Last arrived, moved on by this observer's own pauses.
-	Heard time.Time
+	// LastHeard is when Last arrived, moved on by this observer's own pauses.
+	LastHeard time.Time
 	// rumoured is when another node last said that the list has this one as leaving.
 	rumoured time.Time
-	// Unlisted is when the list was first read without this node; zero: listed.
-	Unlisted time.Time
+	// UnlistedSince is when the list was first read without this node; zero: listed.
+	UnlistedSince time.Time
 }
 
 // Addr is the node's address.
 func (m *Member) Addr() string {
-	if m.Last != nil {
-		return m.Last.Addr
+	if m.LastHeartbeat != nil {
+		return m.LastHeartbeat.Addr
 	}
 	return m.VM.Addr
 }
 
 // Name is the node's name.
 func (m *Member) Name() string {
-	if m.Last != nil {
-		return m.Last.Node
+	if m.LastHeartbeat != nil {
+		return m.LastHeartbeat.Node
 	}
 	return m.VM.Name
 }
 
 // Role is the node's role.
 func (m *Member) Role() string {
-	if m.Last != nil {
-		return m.Last.Role
+	if m.LastHeartbeat != nil {
+		return m.LastHeartbeat.Role
 	}
 	return m.VM.Role
 }
 
 // DataCentre is where the node stands.
 func (m *Member) DataCentre() string {
-	if m.Last != nil {
-		return m.Last.DataCentre
+	if m.LastHeartbeat != nil {
+		return m.LastHeartbeat.DataCentre
 	}
 	return m.VM.DataCentre
 }
 
 // heard tells whether the node was heard of lately.
-func (m *Member) heard() bool { return m.Last != nil && !m.Suspect }
+func (m *Member) heard() bool { return m.LastHeartbeat != nil && !m.Suspect }
 
 // Alive tells whether the node was heard of lately and is not leaving.
 func (m *Member) Alive() bool { return m.heard() && !m.Leaving }
@@ -69,8 +69,8 @@
 type View struct {
 	// Members by name, this node excluded.
 	Members map[string]*Member
-	// ListRead is when the platform's list was last read; zero: never.
-	ListRead time.Time
+	// ListReadAt is when the platform's list was last read; zero: never.
+	ListReadAt time.Time
 }
 
 // Entries lists the live entries of a data centre ("" for all), this node
@@ -92,9 +92,9 @@
 	return v.countEntries(func(m *Member) bool { return !m.Leaving })
 }
 
-// SharingCount counts the entries among which a limit is shared, this node excluded: those
+// EntryCountWithLeaving counts the entries among which a limit is shared, this node excluded: those
 // of EntryCount and those that are leaving, which still serve what they have.
-func (v *View) SharingCount() int {
+func (v *View) EntryCountWithLeaving() int {
 	return v.countEntries(func(*Member) bool { return true })
 }
 
@@ -145,7 +145,7 @@
 		return false
 	}
 	member := s.members[h.Node]
-	if h.Partial && (member == nil || member.Last == nil) {
+	if h.Partial && (member == nil || member.LastHeartbeat == nil) {
 		return false // who it is comes with the next whole one
 	}
 	if member == nil {
@@ -153,7 +153,7 @@
 		s.members[h.Node] = member
 		s.targetsAt = time.Time{}
 	}
-	if last := member.Last; last != nil {
+	if last := member.LastHeartbeat; last != nil {
 		// A delayed datagram of an earlier life, or one overtaken on its way, must
 		// not bring back an old state such as "not leaving".
 		if h.Incarnation < last.Incarnation || (h.Incarnation == last.Incarnation && h.Sequence <= last.Sequence) {
@@ -163,7 +163,7 @@
 			h.Role, h.DataCentre, h.Addr, h.LeavingNodes = last.Role, last.DataCentre, last.Addr, nil
 		}
 	}
-	member.Last, member.Heard = h, now
+	member.LastHeartbeat, member.LastHeard = h, now
 	member.Suspect = false
 	member.judge(now)
 	s.dirty = true
@@ -185,7 +185,7 @@
 // it stands now and none is remembered: a VM that is replaced under its old name
 // is still "leaving" in a lagging list, and must get work once the list is right.
 func (m *Member) judge(now time.Time) {
-	m.Leaving = (m.Last != nil && m.Last.Leaving) || (m.Listed && m.VM.Leaving) || recent(now, m.rumoured)
+	m.Leaving = (m.LastHeartbeat != nil && m.LastHeartbeat.Leaving) || (m.Listed && m.VM.Leaving) || recent(now, m.rumoured)
 }
 
 func recent(now, rumoured time.Time) bool {
@@ -235,7 +235,7 @@
 			member = &Member{}
 			s.members[vm.Name] = member
 		}
-		member.VM, member.Listed, member.Unlisted = vm, true, time.Time{}
+		member.VM, member.Listed, member.UnlistedSince = vm, true, time.Time{}
 		member.rumoured = time.Time{}
 		member.judge(now)
 	}
@@ -244,8 +244,8 @@
 			continue
 		}
 		member.Listed = false
-		if member.Unlisted.IsZero() {
-			member.Unlisted = now
+		if member.UnlistedSince.IsZero() {
+			member.UnlistedSince = now
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	if !s.lastTick.IsZero() {
 		if pause := now.Sub(s.lastTick) - s.config.Tick; pause > s.config.Tick {
 			for _, member := range s.members {
-				member.Heard = member.Heard.Add(pause)
+				member.LastHeard = member.LastHeard.Add(pause)
 			}
 		}
 	}
@@ -268,12 +268,12 @@
 	s.leavingNames = s.listLeaving()
 	limit := s.suspectAfter()
 	for name, member := range s.members {
-		silent := now.Sub(member.Heard)
-		if member.Last != nil && !member.Suspect && silent > limit {
+		silent := now.Sub(member.LastHeard)
+		if member.LastHeartbeat != nil && !member.Suspect && silent > limit {
 			member.Suspect = true
 			s.dirty = true
 		}
-		if !member.Listed && silent > s.config.ForgetAfter {
+		if !member.Listed && silent > s.config.RemoveAfter {
 			delete(s.members, name)
 			s.dirty = true
 		}
@@ -359,9 +359,9 @@
 	afforded := s.affordedEntries(len(byDataCentre))
 	var targets []string
 	for dataCentre, entries := range byDataCentre {
-		count := s.config.FarEntries
+		count := s.config.RemoteEntries
 		if dataCentre == s.config.DataCentre {
-			count = s.config.NearEntries
+			count = s.config.LocalEntries
 		}
 		for _, member := range s.nearest(entries, max(count, afforded)) {
 			targets = append(targets, member.Addr())
@@ -397,7 +397,7 @@
 const maxLeavingNames = 16
 
 func (s *state) view() *View {
-	view := &View{Members: make(map[string]*Member, len(s.members)), ListRead: s.listRead}
+	view := &View{Members: make(map[string]*Member, len(s.members)), ListReadAt: s.listRead}
 	for name, member := range s.members {
 		shown := *member
 		view.Members[name] = &shown
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -129,10 +129,10 @@
 	s := testState(RoleEntry)
 	s.heard(testStart, beat("a", 1, 1))
 	s.listed(testStart, []infra.VM{{Name: "a"}})
-	is.True(s.members["a"].Unlisted.IsZero())
+	is.True(s.members["a"].UnlistedSince.IsZero())
 	s.listed(testStart.Add(time.Second), nil)
 	s.listed(testStart.Add(2*time.Second), nil)
-	is.Equal(s.members["a"].Unlisted, testStart.Add(time.Second))
+	is.Equal(s.members["a"].UnlistedSince, testStart.Add(time.Second))
 }
 
 // A partial heartbeat keeps what the last whole one said of the node; from a node that is
@@ -195,9 +195,9 @@
 
 type silentDelegate struct{}
 
-func (silentDelegate) Fill(time.Time, *wire.Heartbeat)  {}
-func (silentDelegate) Heard(time.Time, *wire.Heartbeat) {}
-func (silentDelegate) Tick(time.Time, *View)            {}
+func (silentDelegate) FillHeartbeat(time.Time, *wire.Heartbeat)   {}
+func (silentDelegate) HandleHeartbeat(time.Time, *wire.Heartbeat) {}
+func (silentDelegate) Tick(time.Time, *View)                      {}
 
 func FuzzReceive(f *testing.F) {
 	good, err := proto.Marshal(beat("a", 1, 1))
@@ -229,7 +229,7 @@
 		t.Run(fmt.Sprint(c.entries), func(t *testing.T) {
 			is := is.New(t)
 			s := testState(RoleEntry)
-			s.config.NearEntries, s.config.FarEntries, s.config.LongestInterval, s.config.BytesPerSecond = 8, 8, 300*time.Millisecond, 50_000
+			s.config.LocalEntries, s.config.RemoteEntries, s.config.LongestInterval, s.config.BytesPerSecond = 8, 8, 300*time.Millisecond, 50_000
 			for i := range c.entries - 1 {
 				h := beat(fmt.Sprintf("e-%03d", i), 1, 1)
 				h.Role, h.DataCentre, h.Addr = RoleEntry, fmt.Sprintf("dc%d", i%dataCentres), fmt.Sprintf("127.0.0.1:%d", 1000+i)
--- a/result/result.go
+++ b/result/result.go
@@ -126,9 +126,9 @@
 // coming back later may help.
 func (c Code) Busy() bool { return c == Overloaded || c == DeadlineUnmeetable }
 
-// From finds the *Error in a chain; any other error becomes Internal with an
+// FromError finds the *Error in a chain; any other error becomes Internal with an
 // unknown run, because nothing may be claimed about it.
-func From(err error) *Error {
+func FromError(err error) *Error {
 	if err == nil {
 		return nil
 	}
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -34,18 +34,18 @@
 	is.True(!RetryBudget.Refusal())
 }
 
-func TestDocsHoldTheTable(t *testing.T) {
+func TestDocsMatchTable(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/RESULT-CODES.md")
 	is.NoErr(err)
 	is.Equal(string(page), Markdown()) // run: aspenyard version --codes > docs/RESULT-CODES.md
 }
 
-func TestFromClaimsNothingOfUnknownErrors(t *testing.T) {
+func TestFromErrorOfOtherErrorIsRanUnknown(t *testing.T) {
 	is := is.New(t)
-	is.Equal(From(errors.New("x")).Ran, RanUnknown)
+	is.Equal(FromError(errors.New("x")).Ran, RanUnknown)
 	wrapped := fmt.Errorf("outer: %w", Refuse(Overloaded, 0, "full"))
-	is.Equal(From(wrapped).Code, Overloaded)
-	is.Equal(From(wrapped).Ran, RanNo)
-	is.True(From(nil) == nil)
+	is.Equal(FromError(wrapped).Code, Overloaded)
+	is.Equal(FromError(wrapped).Ran, RanNo)
+	is.True(FromError(nil) == nil)
 }
--- a/routing/direct/affinity.go
+++ b/routing/direct/affinity.go
@@ -49,12 +49,12 @@
 type drawn struct {
 	// own are engines for short prompts that this entry prefers, away others for short
 	// prompts, other those for long ones.
-	own, away, other []*directory.Listed
+	own, away, other []*directory.EndpointState
 }
 
 // draw takes of the engines for short prompts this entry's own and a few of the others', and
 // a few of those for long ones. What is not drawn need not be scored.
-func (p *Policy) draw(short, long []*directory.Listed) drawn {
+func (p *Policy) draw(short, long []*directory.EndpointState) drawn {
 	var d drawn
 	for _, e := range short {
 		if p.ledger.rank.prefers(e.Position, len(short)) {
@@ -69,7 +69,7 @@
 }
 
 // sample brings n at random to the front of a list and gives them.
-func (p *Policy) sample(list []*directory.Listed, n int) []*directory.Listed {
+func (p *Policy) sample(list []*directory.EndpointState, n int) []*directory.EndpointState {
 	n = min(n, len(list))
 	for i := range n {
 		j := i + p.rand.IntN(len(list)-i)
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -17,13 +17,13 @@
 
 // siteEngine is the engine of the users' sites.
 func siteEngine() *directory.Engine {
-	return &directory.Engine{Slots: 16, MemoryTokens: 405_000, Stride: 34, Chunk: 2048, Step: 1310 * time.Microsecond, PrefillPerSecond: 154_000, PairsPerMillion: 162 * time.Microsecond}
+	return &directory.Engine{Slots: 16, KVCacheTokens: 405_000, Stride: 34, ChunkTokens: 2048, StepTime: 1310 * time.Microsecond, PrefillTokensPerSecond: 154_000, AttentionTimePerMillionPairs: 162 * time.Microsecond}
 }
 
-func endpoints(n int) []*directory.Listed {
-	list := make([]*directory.Listed, n)
+func endpoints(n int) []*directory.EndpointState {
+	list := make([]*directory.EndpointState, n)
 	for i := range list {
-		list[i] = &directory.Listed{Endpoint: directory.Endpoint{Life: directory.Life{ID: fmt.Sprintf("e-%02d", i)}, Service: "m", Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Slots: 16}, Position: i}
+		list[i] = &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%02d", i)}, Service: "m", Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Slots: 16}, Position: i}
 	}
 	return list
 }
@@ -33,7 +33,7 @@
 func policy(seed uint64) *Policy { return NewPolicy(NewLoadTracker(), rand.New(rand.NewPCG(seed, 1))) }
 
 func prompt(tokens int) *Request {
-	return &Request{Service: service(), PromptTokens: tokens, OutputTokens: 1000, Tried: map[directory.Life]bool{}}
+	return &Request{Service: service(), PromptTokens: tokens, OutputTokens: 1000, Tried: map[directory.Incarnation]bool{}}
 }
 
 // The model against what engines were seen to take: a pause between events is the 45 ms
@@ -66,13 +66,13 @@
 		long := p.Place(testNow.Add(time.Duration(i)*time.Millisecond), prompt(150_000), list)
 		is.True(long.Long)
 		for _, e := range append(long.Helpers, long.Endpoint) {
-			if short := p.ledger.loads[e.Life]; short != nil && short.open > 0 {
+			if short := p.ledger.loads[e.Incarnation]; short != nil && short.open > 0 {
 				together++
 			}
 		}
 		p.ledger.Begin(testNow, long).FinishPrefill()
 	}
-	before := map[directory.Life]int{}
+	before := map[directory.Incarnation]int{}
 	for id, l := range p.ledger.loads {
 		before[id] = l.open
 	}
@@ -81,7 +81,7 @@
 	}
 	onLong := 0
 	for _, e := range list[10:] {
-		onLong += p.ledger.loads[e.Life].open - before[e.Life]
+		onLong += p.ledger.loads[e.Incarnation].open - before[e.Incarnation]
 	}
 	is.True(onLong <= 4) // of 20 that came after the long ones
 }
@@ -166,14 +166,14 @@
 	list := endpoints(4)
 	var open []EndpointLoad
 	for _, e := range list[:3] {
-		open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 8})
+		open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 8})
 	}
 	p.ledger.SetEntryCount(3)
 	p.ledger.ReplacePeerLoad(testNow, "b", nil, open) // one of two others is heard of
 	for range 20 {
 		is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.ID, list[3].ID)
 	}
-	there := p.ledger.estimate(testNow, list[0].Life).open
+	there := p.ledger.estimate(testNow, list[0].Incarnation).open
 	is.Equal(there, 16)
 }
 
@@ -216,7 +216,7 @@
 			p.ledger.SetEntryCount(entries)
 			var open []EndpointLoad
 			for n, e := range list {
-				open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, PendingPrefill: time.Duration(n) * time.Millisecond})
+				open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, PendingPrefill: time.Duration(n) * time.Millisecond})
 			}
 			p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, open)
 			placed[p.Place(testNow, prompt(3000), list).Endpoint.ID]++
@@ -239,7 +239,7 @@
 	p.ledger.SetEntryCount(2)
 	var open []EndpointLoad
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), PendingPrefill: 40 * time.Millisecond}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 40 * time.Millisecond}
 		if i%2 == 0 {
 			o.InFlight, o.PendingPrefill = 1, 0
 		}
@@ -249,7 +249,7 @@
 	plan := p.Place(testNow, prompt(250_000), list)
 	used := 0
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		there := p.ledger.estimate(testNow, e.Life).open
+		there := p.ledger.estimate(testNow, e.Incarnation).open
 		used += there
 	}
 	is.Equal(used, 0)
@@ -258,19 +258,19 @@
 func TestPlacingKeepsOffEndpointsThatCannotServe(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(5)
-	list[0].Missing = testNow
+	list[0].MissingSince = testNow
 	p := policy(4)
-	p.ledger.SetUnreachable(list[1].Life, true)
-	p.ledger.Avoid(list[2].Life, testNow.Add(time.Second))
+	p.ledger.SetUnreachable(list[1].Incarnation, true)
+	p.ledger.Avoid(list[2].Incarnation, testNow.Add(time.Second))
 	r := prompt(1000)
-	r.Tried[list[3].Life] = true
+	r.Tried[list[3].Incarnation] = true
 	for range 20 {
 		is.Equal(p.Place(testNow, r, list).Endpoint.ID, list[4].ID)
 	}
-	r.Tried[list[4].Life] = true
+	r.Tried[list[4].Incarnation] = true
 	is.True(p.Place(testNow, r, list) != nil) // a doubtful one is better than none
 	for _, e := range list {
-		r.Tried[e.Life] = true
+		r.Tried[e.Incarnation] = true
 	}
 	is.True(p.Place(testNow, r, list) == nil)
 	is.True(p.Place(testNow.Add(2*time.Second), prompt(1000), nil) == nil)
@@ -296,7 +296,7 @@
 }
 
 // opens gives each endpoint so many requests.
-func opens(list []*directory.Listed, count int) []EndpointLoad {
+func opens(list []*directory.EndpointState, count int) []EndpointLoad {
 	return eachOf(list, EndpointLoad{InFlight: count, Streams: streams(250*time.Millisecond, count)})
 }
 
@@ -316,7 +316,7 @@
 	is.True(plan.PartPrefill <= longestPart(service()))
 	is.True(len(plan.Helpers) >= 8)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		is.True(p.ledger.peerLoads[HashEndpoint(e.Life)].InFlight == 0) // those with the least open
+		is.True(p.ledger.peerLoads[HashEndpoint(e.Incarnation)].InFlight == 0) // those with the least open
 	}
 	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, opens(list, 9))
 	is.True(p.Place(testNow, prompt(250_000), list).Overloaded)
@@ -385,7 +385,7 @@
 	p.ledger.SetEntryCount(2)
 	var open []EndpointLoad
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, MemoryTokens: 210_000}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, MemoryTokens: 210_000}
 		if i == 11 {
 			o.PendingPrefill, o.MemoryTokens = 200*time.Millisecond, 20_000 // room, and the most to do
 		}
@@ -393,9 +393,9 @@
 	}
 	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second}}, open)
 	plan := p.Place(testNow, prompt(200_000), list)
-	is.Equal(plan.Endpoint.Life, list[11].Life)
+	is.Equal(plan.Endpoint.Incarnation, list[11].Incarnation)
 	p.ledger.Begin(testNow, plan)
-	is.True(p.Place(testNow, prompt(190_000), list).Endpoint.Life != list[11].Life) // its own is counted too
+	is.True(p.Place(testNow, prompt(190_000), list).Endpoint.Incarnation != list[11].Incarnation) // its own is counted too
 }
 
 // Symptom: most short streams that are late have a pause with a part of 150 ms or more of a
@@ -408,14 +408,14 @@
 	list := endpoints(21)
 	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 15 * time.Second}}, opens(list[:9], 7))
 	boundary := p.boundary(testNow, service(), len(list))
-	own := map[directory.Life]bool{}
+	own := map[directory.Incarnation]bool{}
 	for _, e := range list[:boundary] {
-		own[e.Life] = true
+		own[e.Incarnation] = true
 	}
 	plan := p.Place(testNow, prompt(380_000), list)
 	is.True(plan.HelperMemoryTokens > 0)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		is.True(!own[e.Life])
+		is.True(!own[e.Incarnation])
 	}
 	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
 }
@@ -499,9 +499,9 @@
 	open[0] = EndpointLoad{Endpoint: open[0].Endpoint, InFlight: 1, MemoryTokens: 404_000}
 	p.ledger.ReplacePeerLoad(testNow, "b", nil, open)
 	for range 10 {
-		is.True(p.Place(testNow, prompt(3000), list).Endpoint.Life != list[0].Life)
+		is.True(p.Place(testNow, prompt(3000), list).Endpoint.Incarnation != list[0].Incarnation)
 		parts := p.Place(testNow, prompt(60_000), list)
-		is.True(len(parts.Helpers) == 3 && parts.Endpoint.Life != list[0].Life)
+		is.True(len(parts.Helpers) == 3 && parts.Endpoint.Incarnation != list[0].Incarnation)
 	}
 }
 
@@ -512,7 +512,7 @@
 	s := service()
 	is.Equal(partTarget(s), 60*time.Millisecond)
 	is.Equal(longestPart(s), 700*time.Millisecond)
-	s.ShortestGap, s.LongestGap = 500*time.Millisecond, 2*time.Second
+	s.MinTargetPause, s.MaxTargetPause = 500*time.Millisecond, 2*time.Second
 	is.Equal(partTarget(s), 120*time.Millisecond)
 	is.Equal(longestPart(s), 1400*time.Millisecond)
 	r := prompt(60_000)
--- a/routing/direct/held.go
+++ b/routing/direct/held.go
@@ -48,7 +48,7 @@
 // have room for the prompt. Longer prompts wait for more to be done: what one of them takes would
 // make several shorter ones late. Where as many engines are idle as a prompt may use, none is
 // made late, however much others have to prefill.
-func (h *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.Listed) bool {
+func (h *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.EndpointState) bool {
 	p := h.policy
 	p.ledger.mu.Lock()
 	defer p.ledger.mu.Unlock()
@@ -77,11 +77,11 @@
 
 // idle counts, of the engines for long prompts, those on which nobody decodes and that are nearly
 // done with what they have to prefill.
-func (p *Policy) idle(now time.Time, service *directory.Service, endpoints []*directory.Listed, long int) int {
+func (p *Policy) idle(now time.Time, service *directory.Service, endpoints []*directory.EndpointState, long int) int {
 	kept := p.eligible(now, &Request{Service: service}, endpoints)
 	n := 0
 	for _, e := range kept[max(len(kept)-long, 0):] {
-		if there := p.ledger.estimate(now, e.Life); there.open == 0 && there.reading <= idleReading {
+		if there := p.ledger.estimate(now, e.Incarnation); there.open == 0 && there.reading <= idleReading {
 			n++
 		}
 	}
--- a/routing/direct/held_test.go
+++ b/routing/direct/held_test.go
@@ -32,10 +32,10 @@
 }
 
 // eachOf gives the same of each endpoint.
-func eachOf(list []*directory.Listed, o EndpointLoad) []EndpointLoad {
+func eachOf(list []*directory.EndpointState, o EndpointLoad) []EndpointLoad {
 	var all []EndpointLoad
 	for _, e := range list {
-		o.Endpoint = HashEndpoint(e.Life)
+		o.Endpoint = HashEndpoint(e.Incarnation)
 		all = append(all, o)
 	}
 	return all
--- a/routing/direct/ledger.go
+++ b/routing/direct/ledger.go
@@ -13,7 +13,7 @@
 // LoadTracker holds what this entry has given each endpoint to do. Safe for concurrent use.
 type LoadTracker struct {
 	mu    sync.Mutex
-	loads map[directory.Life]*load
+	loads map[directory.Incarnation]*load
 	// demands and shorts are by service: what its long prompts ask for, and how many
 	// requests with short ones are open.
 	demands map[string]*demand
@@ -52,7 +52,7 @@
 type EndpointHash uint32
 
 // HashEndpoint gives the hash of an endpoint's life.
-func HashEndpoint(life directory.Life) EndpointHash {
+func HashEndpoint(life directory.Incarnation) EndpointHash {
 	return EndpointHash(xxhash.Sum64String(life.String()))
 }
 
@@ -132,7 +132,7 @@
 
 // NewLoadTracker makes an empty ledger.
 func NewLoadTracker() *LoadTracker {
-	return &LoadTracker{loads: map[directory.Life]*load{}, demands: map[string]*demand{}, shorts: map[string]int{}, peers: map[string]*peer{}, reading: map[string]time.Duration{}, waiting: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerPaces: map[EndpointHash]peerPace{}, prefilling: map[*RequestLoad]struct{}{}}
+	return &LoadTracker{loads: map[directory.Incarnation]*load{}, demands: map[string]*demand{}, shorts: map[string]int{}, peers: map[string]*peer{}, reading: map[string]time.Duration{}, waiting: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerPaces: map[EndpointHash]peerPace{}, prefilling: map[*RequestLoad]struct{}{}}
 }
 
 // RequestLoad is what one request weighs on its endpoints, until it ends. Safe for use by
@@ -140,7 +140,7 @@
 type RequestLoad struct {
 	ledger *LoadTracker
 	parts  []part
-	open   directory.Life
+	open   directory.Incarnation
 	memory []memoryPart
 	// service is what the request is for, and long tells whether its prompt is.
 	service string
@@ -152,19 +152,19 @@
 
 // part is what is left to prefill of a prompt at one endpoint.
 type part struct {
-	endpoint directory.Life
+	endpoint directory.Incarnation
 	prefill  time.Duration
 }
 
 // memoryPart is the KV cache that a request needs at one endpoint, until it ends.
 type memoryPart struct {
-	endpoint directory.Life
+	endpoint directory.Incarnation
 	tokens   int
 }
 
 // Begin charges a plan that is carried out from now on.
 func (l *LoadTracker) Begin(now time.Time, p *Plan) *RequestLoad {
-	c := &RequestLoad{ledger: l, open: p.Endpoint.Life, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
+	c := &RequestLoad{ledger: l, open: p.Endpoint.Incarnation, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
 	c.progress = progress{began: now, expected: p.ExpectedFirstToken, part: p.PartPrefill}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,9 +178,9 @@
 	c.parts = append(c.parts, part{c.open, p.PartPrefill})
 	c.memory = append(c.memory, memoryPart{c.open, p.EndpointMemoryTokens})
 	for i, h := range p.Helpers {
-		c.parts = append(c.parts, part{h.Life, p.PartPrefill})
+		c.parts = append(c.parts, part{h.Incarnation, p.PartPrefill})
 		if i < p.ReservingHelpers {
-			c.memory = append(c.memory, memoryPart{h.Life, p.HelperMemoryTokens})
+			c.memory = append(c.memory, memoryPart{h.Incarnation, p.HelperMemoryTokens})
 		}
 	}
 	for _, m := range c.memory {
@@ -235,7 +235,7 @@
 }
 
 // RecordLoadReport notes an endpoint's own word of its load.
-func (l *LoadTracker) RecordLoadReport(now time.Time, endpoint directory.Life, running, waiting int) {
+func (l *LoadTracker) RecordLoadReport(now time.Time, endpoint directory.Incarnation, running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -260,7 +260,7 @@
 // estimate gives what is thought of an endpoint's life. How many requests are open is the
 // endpoint's last word, corrected by what this entry has begun and ended since, or what the
 // other entries tell, for as many as there are, whichever is more.
-func (l *LoadTracker) estimate(now time.Time, life directory.Life) estimate {
+func (l *LoadTracker) estimate(now time.Time, life directory.Incarnation) estimate {
 	hash := HashEndpoint(life)
 	peers, scale := l.peerLoads[hash], l.peerScale()
 	known := l.loads[life]
@@ -281,7 +281,7 @@
 
 // streams gives what is thought of the requests that are open at an endpoint's life, by the
 // pause that they allow: those of all entries.
-func (l *LoadTracker) streams(life directory.Life) StreamCounts {
+func (l *LoadTracker) streams(life directory.Incarnation) StreamCounts {
 	others := l.peerLoads[HashEndpoint(life)].Streams.times(l.peerScale())
 	if known := l.loads[life]; known != nil {
 		return known.streams.plus(others)
@@ -290,7 +290,7 @@
 }
 
 // SetUnreachable notes whether an endpoint accepts connections; it tells whether that is new.
-func (l *LoadTracker) SetUnreachable(endpoint directory.Life, unreachable bool) bool {
+func (l *LoadTracker) SetUnreachable(endpoint directory.Incarnation, unreachable bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -300,13 +300,13 @@
 }
 
 // Avoid passes an endpoint over until a time, as long as there are others.
-func (l *LoadTracker) Avoid(endpoint directory.Life, until time.Time) {
+func (l *LoadTracker) Avoid(endpoint directory.Incarnation, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load(endpoint).avoidUntil = until
 }
 
-func (l *LoadTracker) load(endpoint directory.Life) *load {
+func (l *LoadTracker) load(endpoint directory.Incarnation) *load {
 	known := l.loads[endpoint]
 	if known == nil {
 		known = &load{}
@@ -331,8 +331,8 @@
 }
 
 // Prune forgets endpoints that are not known any more, ended lives among them.
-func (l *LoadTracker) Prune(known func(life directory.Life) bool) {
+func (l *LoadTracker) Prune(known func(life directory.Incarnation) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.loads, func(life directory.Life, _ *load) bool { return !known(life) })
+	maps.DeleteFunc(l.loads, func(life directory.Incarnation, _ *load) bool { return !known(life) })
 }
--- a/routing/direct/limits.go
+++ b/routing/direct/limits.go
@@ -26,12 +26,12 @@
 
 // partTarget is the prefill of one part of a prompt.
 func partTarget(s *directory.Service) time.Duration {
-	return share(partShare, s.ShortestGap, usualGap)
+	return share(partShare, s.MinTargetPause, usualGap)
 }
 
 // longestPart is the prefill of a part that may be placed on engines in use.
 func longestPart(s *directory.Service) time.Duration {
-	return share(longestPartShare, s.LongestGap, patientGap)
+	return share(longestPartShare, s.MaxTargetPause, patientGap)
 }
 
 func share(part float64, of, otherwise time.Duration) time.Duration {
--- a/routing/direct/lives_test.go
+++ b/routing/direct/lives_test.go
@@ -16,34 +16,34 @@
 func TestANewLifeHasNoneOfTheLoadBefore(t *testing.T) {
 	is := is.New(t)
 	before := endpoints(1)[0]
-	before.Born = 100
+	before.StartUnixMilli = 100
 	after := *before
-	after.Born = 200
+	after.StartUnixMilli = 200
 	p := policy(1)
-	p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), []*directory.Listed{before}))
-	p.ledger.Avoid(before.Life, testNow.Add(time.Minute))
-	p.ledger.SetUnreachable(before.Life, true)
-	p.ledger.RecordLoadReport(testNow, before.Life, 16, 30)
+	p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), []*directory.EndpointState{before}))
+	p.ledger.Avoid(before.Incarnation, testNow.Add(time.Minute))
+	p.ledger.SetUnreachable(before.Incarnation, true)
+	p.ledger.RecordLoadReport(testNow, before.Incarnation, 16, 30)
 	p.ledger.SetEntryCount(2)
-	p.ledger.ReplacePeerLoad(testNow, "b", nil, []EndpointLoad{{Endpoint: HashEndpoint(before.Life), InFlight: 9, PendingPrefill: time.Second}})
-	there := p.ledger.estimate(testNow, before.Life)
+	p.ledger.ReplacePeerLoad(testNow, "b", nil, []EndpointLoad{{Endpoint: HashEndpoint(before.Incarnation), InFlight: 9, PendingPrefill: time.Second}})
+	there := p.ledger.estimate(testNow, before.Incarnation)
 	is.True(there.open > 9 && there.reading > time.Second)
-	there = p.ledger.estimate(testNow, after.Life)
+	there = p.ledger.estimate(testNow, after.Incarnation)
 	is.Equal(there.open, 0)
 	is.Equal(there.reading, time.Duration(0))
 	r := prompt(3000)
-	r.Tried[before.Life] = true
-	plan := p.Place(testNow, r, []*directory.Listed{&after})
-	is.Equal(plan.Endpoint.Life, after.Life)
+	r.Tried[before.Incarnation] = true
+	plan := p.Place(testNow, r, []*directory.EndpointState{&after})
+	is.Equal(plan.Endpoint.Incarnation, after.Incarnation)
 	is.True(plan.Cost < openCost)
-	p.ledger.Prune(func(life directory.Life) bool { return life == after.Life })
-	is.True(p.ledger.loads[before.Life] == nil)
+	p.ledger.Prune(func(life directory.Incarnation) bool { return life == after.Incarnation })
+	is.True(p.ledger.loads[before.Incarnation] == nil)
 }
 
 // Where registrations do not say when a life began, entries of both kinds name endpoints
 // alike.
 func TestALifeWithoutBirthIsNamedByItsID(t *testing.T) {
 	is := is.New(t)
-	is.Equal(directory.Life{ID: "a"}.String(), "a")
-	is.True(HashEndpoint(directory.Life{ID: "a", Born: 1}) != HashEndpoint(directory.Life{ID: "a", Born: 2}))
+	is.Equal(directory.Incarnation{ID: "a"}.String(), "a")
+	is.True(HashEndpoint(directory.Incarnation{ID: "a", StartUnixMilli: 1}) != HashEndpoint(directory.Incarnation{ID: "a", StartUnixMilli: 2}))
 }
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -25,10 +25,10 @@
 
 // aloneMemory is the largest need of memory, in tokens, that one engine takes.
 func aloneMemory(engine *directory.Engine) int {
-	if engine.MemoryTokens == 0 {
+	if engine.KVCacheTokens == 0 {
 		return math.MaxInt
 	}
-	return int(aloneShare * float64(engine.MemoryTokens))
+	return int(aloneShare * float64(engine.KVCacheTokens))
 }
 
 // holders is on how many engines a request needs memory, when its helpers each give
@@ -37,7 +37,7 @@
 	if memory <= aloneMemory(engine) {
 		return 1
 	}
-	each := helperShare * float64(engine.MemoryTokens)
+	each := helperShare * float64(engine.KVCacheTokens)
 	return 1 + int(math.Ceil(float64(memory-firstMemory(engine, memory))/each))
 }
 
@@ -47,7 +47,7 @@
 	if memory <= aloneMemory(engine) {
 		return memory
 	}
-	return int(firstShare * float64(engine.MemoryTokens))
+	return int(firstShare * float64(engine.KVCacheTokens))
 }
 
 // divideMemory sets what each engine of a plan has to hold. Few helpers hold memory, the
@@ -60,7 +60,7 @@
 	}
 	plan.EndpointMemoryTokens = firstMemory(engine, plan.MemoryTokens)
 	reserved := reserveSpare * float64(plan.MemoryTokens-plan.EndpointMemoryTokens)
-	each := helperShare * float64(engine.MemoryTokens)
+	each := helperShare * float64(engine.KVCacheTokens)
 	plan.ReservingHelpers = min(max(leastHolders, int(math.Ceil(reserved/each))), len(plan.Helpers))
 	plan.HelperMemoryTokens = int(math.Ceil(reserved / float64(plan.ReservingHelpers)))
 }
--- a/routing/direct/model.go
+++ b/routing/direct/model.go
@@ -19,11 +19,11 @@
 // Attention makes it grow with the square of the length: 5,000 tokens take 34 ms and
 // 182,000 take 3.9 s on the engines of the users' sites.
 func PrefillTime(e *directory.Engine, tokens int) time.Duration {
-	if e == nil || e.PrefillPerSecond <= 0 {
+	if e == nil || e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
 	n := float64(tokens)
-	read := n / e.PrefillPerSecond * float64(time.Second)
-	pairs := n * n / 2 / pairsUnit * float64(e.PairsPerMillion)
+	read := n / e.PrefillTokensPerSecond * float64(time.Second)
+	pairs := n * n / 2 / pairsUnit * float64(e.AttentionTimePerMillionPairs)
 	return time.Duration(read + pairs)
 }
--- a/routing/direct/pace.go
+++ b/routing/direct/pace.go
@@ -22,7 +22,7 @@
 
 // SetSlowdown notes how many times as long as described an endpoint's work takes. It tells
 // whether the endpoint has turned slow or has recovered.
-func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Life, pace float64) (slow, changed bool) {
+func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Incarnation, pace float64) (slow, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.load(endpoint)
@@ -90,7 +90,7 @@
 }
 
 // PendingPrefill estimates what all entries have given an endpoint to prefill.
-func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Life) time.Duration {
+func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Incarnation) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.estimate(now, endpoint).reading
@@ -102,13 +102,13 @@
 	if e == nil {
 		return 0
 	}
-	return DecodeTime(e, e.Slots, e.MemoryTokens)
+	return DecodeTime(e, e.Slots, e.KVCacheTokens)
 }
 
 // DecodeTime is that of the steps of one pass in which so many requests decode, with so many
 // tokens of context.
 func DecodeTime(e *directory.Engine, requests, tokens int) time.Duration {
-	step := e.Step + time.Duration(requests)*e.StepPerRequest + time.Duration(tokens/thousand)*e.StepPerContext
+	step := e.StepTime + time.Duration(requests)*e.StepTimePerRequest + time.Duration(tokens/thousand)*e.StepTimePerContext
 	return time.Duration(e.Stride) * step
 }
 
--- a/routing/direct/pace_test.go
+++ b/routing/direct/pace_test.go
@@ -10,10 +10,10 @@
 )
 
 // enginesOf names the engines of a plan.
-func enginesOf(plan *Plan) map[directory.Life]bool {
-	list := map[directory.Life]bool{plan.Endpoint.Life: true}
+func enginesOf(plan *Plan) map[directory.Incarnation]bool {
+	list := map[directory.Incarnation]bool{plan.Endpoint.Incarnation: true}
 	for _, h := range plan.Helpers {
-		list[h.Life] = true
+		list[h.Incarnation] = true
 	}
 	return list
 }
@@ -25,16 +25,16 @@
 	is := is.New(t)
 	list := endpoints(20)
 	p := policy(1)
-	p.ledger.SetSlowdown(testNow, list[19].Life, 3)
-	p.ledger.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Life), 2}}) // another entry's word
+	p.ledger.SetSlowdown(testNow, list[19].Incarnation, 3)
+	p.ledger.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Incarnation), 2}}) // another entry's word
 	for _, tokens := range []int{60_000, 150_000, 300_000} {
 		parts := enginesOf(p.Place(testNow, prompt(tokens), list))
-		is.True(!parts[list[19].Life] && !parts[list[18].Life])
+		is.True(!parts[list[19].Incarnation] && !parts[list[18].Incarnation])
 	}
 	later := testNow.Add(paceValid + time.Second)
-	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Life]) // nobody told of it again
+	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Incarnation]) // nobody told of it again
 	for _, e := range list {
-		p.ledger.SetSlowdown(testNow, e.Life, 2)
+		p.ledger.SetSlowdown(testNow, e.Incarnation, 2)
 	}
 	is.True(p.Place(testNow, prompt(150_000), list) != nil) // slow ones are better than none
 }
@@ -46,12 +46,12 @@
 	is := is.New(t)
 	list := endpoints(4)
 	p := ranked(0, 1)
-	p.ledger.SetSlowdown(testNow, list[0].Life, 5)
+	p.ledger.SetSlowdown(testNow, list[0].Incarnation, 5)
 	for range 3 {
 		p.AddLongPrompt(testNow, service(), len(list), 150_000)
 		plan := p.Place(testNow, prompt(150_000), list)
 		is.True(plan.PartPrefill > longestPart(service()) || len(plan.Helpers) < 3)
-		is.True(!enginesOf(plan)[list[0].Life])
+		is.True(!enginesOf(plan)[list[0].Incarnation])
 	}
 }
 
@@ -60,17 +60,17 @@
 	is := is.New(t)
 	list := endpoints(3) // two of them for short prompts
 	p := policy(2)
-	p.ledger.SetSlowdown(testNow, list[0].Life, 3)
-	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Life, list[1].Life)
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200}}, []EndpointLoad{{Endpoint: HashEndpoint(list[1].Life), InFlight: 16, PendingPrefill: time.Second}, {Endpoint: HashEndpoint(list[2].Life), InFlight: 16, PendingPrefill: time.Second}})
-	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Life, list[0].Life)
+	p.ledger.SetSlowdown(testNow, list[0].Incarnation, 3)
+	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Incarnation, list[1].Incarnation)
+	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200}}, []EndpointLoad{{Endpoint: HashEndpoint(list[1].Incarnation), InFlight: 16, PendingPrefill: time.Second}, {Endpoint: HashEndpoint(list[2].Incarnation), InFlight: 16, PendingPrefill: time.Second}})
+	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Incarnation, list[0].Incarnation)
 }
 
 // What an endpoint said before it was restarted is not believed of its next life.
 func TestANewLifeIsNotSlow(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
-	before, after := directory.Life{ID: "a", Born: 1}, directory.Life{ID: "a", Born: 2}
+	before, after := directory.Incarnation{ID: "a", StartUnixMilli: 1}, directory.Incarnation{ID: "a", StartUnixMilli: 2}
 	slow, changed := l.SetSlowdown(testNow, before, 4)
 	is.True(slow && changed)
 	l.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(before), 4}})
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -19,14 +19,14 @@
 	// MaxPause is the longest pause between events that its route allows; 0: any.
 	MaxPause time.Duration
 	// Tried holds the endpoints that it was sent to already.
-	Tried map[directory.Life]bool
+	Tried map[directory.Incarnation]bool
 }
 
 // Plan says where a request goes.
 type Plan struct {
-	Endpoint *directory.Listed
+	Endpoint *directory.EndpointState
 	// Helpers prefill parts of the prompt.
-	Helpers []*directory.Listed
+	Helpers []*directory.EndpointState
 	// PartPrefill is the estimated time of each part.
 	PartPrefill time.Duration
 	// Long is set when the whole prompt's prefill is long.
@@ -105,7 +105,7 @@
 )
 
 // Place picks where a request goes; nil when no endpoint may be sent it.
-func (p *Policy) Place(now time.Time, r *Request, endpoints []*directory.Listed) *Plan {
+func (p *Policy) Place(now time.Time, r *Request, endpoints []*directory.EndpointState) *Plan {
 	p.ledger.mu.Lock()
 	defer p.ledger.mu.Unlock()
 	p.ledger.advance(now)
@@ -120,13 +120,13 @@
 }
 
 // placePlain picks the endpoint of a plain service with the least to do.
-func (p *Policy) placePlain(now time.Time, r *Request, kept []*directory.Listed) *Plan {
+func (p *Policy) placePlain(now time.Time, r *Request, kept []*directory.EndpointState) *Plan {
 	best := pick(p.rand, p.score(now, r, kept, nil))
 	return &Plan{Endpoint: best.endpoint, Cost: best.cost, Candidates: len(kept)}
 }
 
 // placeEngine picks an engine, and helpers where the prompt is prefilled in parts.
-func (p *Policy) placeEngine(now time.Time, r *Request, kept []*directory.Listed) *Plan {
+func (p *Policy) placeEngine(now time.Time, r *Request, kept []*directory.EndpointState) *Plan {
 	engine := r.Service.Engine
 	prefill := PrefillTime(engine, r.PromptTokens)
 	plan := &Plan{Long: isLong(r.Service, prefill), MemoryTokens: r.PromptTokens + r.OutputTokens, Candidates: len(kept), pauseClass: PauseClass(r.MaxPause)}
@@ -163,13 +163,13 @@
 
 // partPause is the pause that a part means for those who decode on its engine.
 func partPause(engine *directory.Engine, part time.Duration) time.Duration {
-	return DecodeTime(engine, engine.Slots/2, engine.MemoryTokens/2) + part
+	return DecodeTime(engine, engine.Slots/2, engine.KVCacheTokens/2) + part
 }
 
 // countHarmed notes how many of the requests that are open on each engine would be late by a pause.
 func (p *Policy) countHarmed(list []scored, pause time.Duration) {
 	for i := range list {
-		list[i].harmed = p.ledger.streams(list[i].endpoint.Life).under(pause)
+		list[i].harmed = p.ledger.streams(list[i].endpoint.Incarnation).under(pause)
 	}
 }
 
@@ -196,7 +196,7 @@
 // One in parts is held by an engine for short ones and prefilled on those for long ones: on
 // its own kind's three or four such parts meet in one pass, over the pause that short streams
 // allow.
-func (p *Policy) shortEngines(now time.Time, r *Request, kept []*directory.Listed, prefill time.Duration) ([]scored, int) {
+func (p *Policy) shortEngines(now time.Time, r *Request, kept []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	target := partTarget(r.Service)
 	boundary := min(p.boundary(now, r.Service, len(kept)), len(kept))
 	if prefill < 2*target {
@@ -224,7 +224,7 @@
 
 // longEngines gives the engines that a long prompt may be prefilled on, and in how many
 // parts: those at the end of the list, and others where these are too few.
-func (p *Policy) longEngines(now time.Time, r *Request, kept []*directory.Listed, prefill time.Duration) ([]scored, int) {
+func (p *Policy) longEngines(now time.Time, r *Request, kept []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	engine := r.Service.Engine
 	boundary := min(p.boundary(now, r.Service, len(kept)), len(kept)-1)
 	others := kept[:boundary]
@@ -258,7 +258,7 @@
 // widen adds to the engines for long prompts as many of the others, those with the
 // least open, as make a prompt's parts short enough, or as short as they can be; none if
 // too much is open there.
-func (p *Policy) widen(now time.Time, r *Request, others []*directory.Listed, list []scored, prefill time.Duration) ([]scored, int) {
+func (p *Policy) widen(now time.Time, r *Request, others []*directory.EndpointState, list []scored, prefill time.Duration) ([]scored, int) {
 	parts := min(maxParts, len(list))
 	longest := longestPart(r.Service)
 	more := steadyOnly(p.score(now, r, others, r.Service.Engine))
--- a/routing/direct/scorer.go
+++ b/routing/direct/scorer.go
@@ -7,7 +7,7 @@
 )
 
 type scored struct {
-	endpoint *directory.Listed
+	endpoint *directory.EndpointState
 	cost     time.Duration
 	// open is how many requests the engine has, reading what it has to prefill.
 	open    int
@@ -39,19 +39,19 @@
 }
 
 // score estimates what each endpoint would cost the request.
-func (p *Policy) score(now time.Time, r *Request, kept []*directory.Listed, engine *directory.Engine) []scored {
+func (p *Policy) score(now time.Time, r *Request, kept []*directory.EndpointState, engine *directory.Engine) []scored {
 	list := make([]scored, 0, len(kept))
 	openCost := openCostFor(r.Service, r.PromptTokens)
 	pass := float64(PassTime(engine))
 	for _, e := range kept {
-		there := p.ledger.estimate(now, e.Life)
+		there := p.ledger.estimate(now, e.Incarnation)
 		s := scored{endpoint: e, open: there.open, reading: there.reading, pace: there.pace}
 		reading := time.Duration(s.pace*float64(there.reading)) + time.Duration(slowPassShare*(s.pace-1)*pass)
 		s.cost = reading + time.Duration(there.open)*openCost + time.Duration(max(there.open+1-e.Slots, 0))*slotCost
-		if engine != nil && engine.MemoryTokens > 0 {
+		if engine != nil && engine.KVCacheTokens > 0 {
 			s.memory = there.memory
-			s.cost += time.Duration(float64(memoryCost) * float64(s.memory) / float64(engine.MemoryTokens))
-			s.full = s.memory+firstMemory(engine, r.PromptTokens+r.OutputTokens) > engine.MemoryTokens
+			s.cost += time.Duration(float64(memoryCost) * float64(s.memory) / float64(engine.KVCacheTokens))
+			s.full = s.memory+firstMemory(engine, r.PromptTokens+r.OutputTokens) > engine.KVCacheTokens
 		}
 		if e.DataCentre != r.DataCentre {
 			s.cost += distanceCost
--- a/routing/direct/streams_test.go
+++ b/routing/direct/streams_test.go
@@ -17,7 +17,7 @@
 		p := ranked(0, 2)
 		open := make([]EndpointLoad, 0, len(list))
 		for _, e := range list {
-			open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, Streams: streams(pause, 1)})
+			open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streams(pause, 1)})
 		}
 		p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
 		return p.Place(testNow, prompt(380_000), list).Overloaded // parts of 0.83 s
@@ -35,9 +35,9 @@
 	p := ranked(0, 2)
 	open := make([]EndpointLoad, 0, len(list))
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Life), PendingPrefill: 150 * time.Millisecond}
+		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 150 * time.Millisecond}
 		if i%2 == 0 {
-			o = EndpointLoad{Endpoint: HashEndpoint(e.Life), InFlight: 1, Streams: streams(250*time.Millisecond, 1)}
+			o = EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streams(250*time.Millisecond, 1)}
 		}
 		open = append(open, o)
 	}
--- a/routing/scorer_interference.go
+++ b/routing/scorer_interference.go
@@ -15,10 +15,10 @@
 
 // Cost implements Scorer.
 func (s Interference) Cost(r *Request, e *Endpoint) float64 {
-	behind := e.Backlog.Total() - e.Backlog.Before(r.Level())
+	behind := e.Backlog.Total() - e.Backlog.UpTo(r.Level())
 	if s.Sent != nil {
 		sent := s.Sent.BacklogSince(e.Name, e.Reported)
-		behind += sent.Total() - sent.Before(r.Level())
+		behind += sent.Total() - sent.UpTo(r.Level())
 	}
 	if behind < admission.MediumTokens {
 		return 0
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -17,9 +17,9 @@
 
 // Cost implements Scorer.
 func (s QueueDelay) Cost(r *Request, e *Endpoint) float64 {
-	tokens := e.Backlog.Before(r.Level())
+	tokens := e.Backlog.UpTo(r.Level())
 	if s.Sent != nil {
-		tokens += s.Sent.BacklogSince(e.Name, e.Reported).Before(r.Level())
+		tokens += s.Sent.BacklogSince(e.Name, e.Reported).UpTo(r.Level())
 	}
 	return float64(tokens) / rate(e)
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -72,9 +72,9 @@
 }
 
 // Check returns every fault of the fields.
-func (g *Gateway) Check() Faults {
+func (g *Gateway) Check() FieldErrors {
 	g.SetDefaults()
-	var faults Faults
+	var faults FieldErrors
 	faults.CheckName("name", g.Name)
 	faults.CheckName("data_centre", g.DataCentre)
 	faults.CheckAddr("callers_listen", g.CallersListen)
--- a/settings/node.go
+++ b/settings/node.go
@@ -58,9 +58,9 @@
 }
 
 // Check returns every fault of the fields.
-func (n *Node) Check() Faults {
+func (n *Node) Check() FieldErrors {
 	n.SetDefaults()
-	var faults Faults
+	var faults FieldErrors
 	faults.CheckName("name", n.Name)
 	faults.CheckName("data_centre", n.DataCentre)
 	faults.CheckAddr("listen", n.Listen)
@@ -107,7 +107,7 @@
 )
 
 // Check returns every fault of the fields.
-func (e *Entry) Check() Faults {
+func (e *Entry) Check() FieldErrors {
 	if e.BodyLimit == 0 {
 		e.BodyLimit = defaultBodyLimit
 	}
@@ -147,7 +147,7 @@
 }
 
 // Check returns every fault of the fields.
-func (a *Agent) Check() Faults {
+func (a *Agent) Check() FieldErrors {
 	setDuration(&a.ReservationLease, 2*time.Second)
 	if a.ServiceSlots == 0 {
 		a.ServiceSlots = 64
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 )
 
-// Fault is one thing wrong in a file.
-type Fault struct {
+// FieldError is one thing wrong in a file.
+type FieldError struct {
 	// Field is the path of the field, such as "seeds[1]"; empty: the whole file.
 	Field string
 	// Value is what the file has, as JSON.
@@ -30,15 +30,15 @@
 }
 
 // String gives the fault on one line.
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	return fmt.Sprintf("field %q: value %s: allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
-// Faults is an error made of all faults of one file.
-type Faults []Fault
+// FieldErrors is an error made of all faults of one file.
+type FieldErrors []FieldError
 
 // Error lists the faults, one a line.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
 		lines = append(lines, fault.String())
@@ -47,16 +47,16 @@
 }
 
 // Add notes a fault.
-func (f *Faults) Add(field string, value any, allowed string) {
+func (f *FieldErrors) Add(field string, value any, allowed string) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		text = []byte(fmt.Sprint(value))
 	}
-	*f = append(*f, Fault{Field: field, Value: string(text), Allowed: allowed})
+	*f = append(*f, FieldError{Field: field, Value: string(text), Allowed: allowed})
 }
 
 // Err gives nil when there are no faults.
-func (f Faults) Err() error {
+func (f FieldErrors) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
@@ -84,7 +84,7 @@
 // UnmarshalJSON takes a string with a unit; a bare number is refused because
 // its unit would be a guess.
 func (d *Duration) UnmarshalJSON(data []byte) error {
-	fault := Faults{{Value: string(data), Allowed: `a duration with its unit, such as "250ms"`}}
+	fault := FieldErrors{{Value: string(data), Allowed: `a duration with its unit, such as "250ms"`}}
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return fault
@@ -142,7 +142,7 @@
 
 // UnmarshalJSON takes a number followed by a unit.
 func (s *Size) UnmarshalJSON(data []byte) error {
-	fault := Faults{{Value: string(data), Allowed: `a size with its unit, such as "8MB"`}}
+	fault := FieldErrors{{Value: string(data), Allowed: `a size with its unit, such as "8MB"`}}
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return fault
@@ -158,7 +158,7 @@
 // Checker is a settings type that can check its own fields.
 type Checker interface {
 	// Check returns every fault of the fields.
-	Check() Faults
+	Check() FieldErrors
 }
 
 // Load reads a file into into, refusing unknown fields, and checks it.
@@ -175,16 +175,16 @@
 func Decode(data []byte, into Checker) error {
 	var given map[string]json.RawMessage
 	if err := json.Unmarshal(data, &given); err != nil || given == nil {
-		return Faults{{Value: "the file", Allowed: "one JSON object"}}
+		return FieldErrors{{Value: "the file", Allowed: "one JSON object"}}
 	}
 	fields := map[string]reflect.Value{}
 	collectFields(reflect.ValueOf(into).Elem(), fields)
-	var faults Faults
+	var faults FieldErrors
 	faulty := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(given)) {
 		field, known := fields[name]
 		if !known {
-			faults = append(faults, Fault{Field: name, Value: "unknown", Allowed: "only the fields of docs/SETTINGS.md"})
+			faults = append(faults, FieldError{Field: name, Value: "unknown", Allowed: "only the fields of docs/SETTINGS.md"})
 			continue
 		}
 		if fault := decodeField(name, given[name], field); fault != nil {
@@ -214,15 +214,15 @@
 	}
 }
 
-func decodeField(name string, raw json.RawMessage, field reflect.Value) *Fault {
+func decodeField(name string, raw json.RawMessage, field reflect.Value) *FieldError {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(field.Addr().Interface())
 	if err == nil {
 		return nil
 	}
-	fault := &Fault{Field: name, Value: string(raw), Allowed: allowedType(field.Type())}
-	var found Faults
+	fault := &FieldError{Field: name, Value: string(raw), Allowed: allowedType(field.Type())}
+	var found FieldErrors
 	if errors.As(err, &found) {
 		fault.Allowed = found[0].Allowed
 	}
@@ -246,28 +246,28 @@
 }
 
 // CheckAddr notes a fault unless addr is an IP number and a port.
-func (f *Faults) CheckAddr(field, addr string) {
+func (f *FieldErrors) CheckAddr(field, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		f.Add(field, addr, "an IP number and port, such as 127.0.0.1:9000")
 	}
 }
 
 // CheckRange notes a fault unless low <= value <= high.
-func (f *Faults) CheckRange(field string, value, low, high time.Duration) {
+func (f *FieldErrors) CheckRange(field string, value, low, high time.Duration) {
 	if value < low || value > high {
 		f.Add(field, Duration(value), fmt.Sprintf("%s to %s", low, high))
 	}
 }
 
 // CheckInt notes a fault unless low <= value <= high.
-func (f *Faults) CheckInt(field string, value, low, high int64) {
+func (f *FieldErrors) CheckInt(field string, value, low, high int64) {
 	if value < low || value > high {
 		f.Add(field, value, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
 // CheckNumber notes a fault unless low <= value <= high.
-func (f *Faults) CheckNumber(field string, value, low, high float64) {
+func (f *FieldErrors) CheckNumber(field string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		f.Add(field, value, fmt.Sprintf("%g to %g", low, high))
 	}
@@ -275,7 +275,7 @@
 
 // CheckName notes a fault unless name is a non-empty word of at most 64
 // characters out of a-z, 0-9, '-', '_' and '.'.
-func (f *Faults) CheckName(field, name string) {
+func (f *FieldErrors) CheckName(field, name string) {
 	if !ValidName(name) {
 		f.Add(field, name, "1 to 64 characters out of a-z 0-9 - _ .")
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,7 @@
 	is.Equal(agent.ReservationLease.D().String(), "2s")
 }
 
-func TestFaultsNameFieldAndWhatIsAllowed(t *testing.T) {
+func TestFieldErrorsNameFieldAndAllowedValues(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"unknown field", `"kind"`, `"colour":1,"kind"`, `"colour"`},
 		{"bare number", `"kind"`, `"suspect_after":3,"kind"`, `"suspect_after"`},
@@ -43,7 +43,7 @@
 }
 
 // An operator mends a file in one go: every fault is named, whatever its kind.
-func TestAllFaultsAreNamedAtOnce(t *testing.T) {
+func TestAllFieldErrorsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var g Gateway
 	err := Decode([]byte(`{"name":"g","data_centre":7,"colour":1,"callers_listen":"here","retry_ratio":3,"drain_timeout":"8 moons","shade":2}`), &g)
@@ -77,7 +77,7 @@
 // Sequence: the platform fills in the settings' template with figures scaled to the size of a
 // deployment. Cause: a field took whole numbers only, where the platform writes a whole number,
 // a fraction or one with an exponent.
-func TestNumbersAreTakenAsThePlatformWritesThem(t *testing.T) {
+func TestNumbersAreAcceptedInAllFormsOfThePlatform(t *testing.T) {
 	cases := []struct {
 		field, whole string
 		others       []string
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestAFractionOfTheRetryAllowanceIsKept(t *testing.T) {
+func TestRetryAllowanceMayBeFractional(t *testing.T) {
 	is := is.New(t)
 	var g Gateway
 	is.NoErr(Decode([]byte(strings.Replace(goodGateway, `:206`, `:44.78`, 1)), &g))
