--- a/routing/asking.go
+++ b/routing/asking.go
@@ -10,17 +10,17 @@
 // value has asked nobody.
 type RetryState struct {
 	refusals  int
-	askHome   bool // the home is asked next
-	homeAsked bool // it was: nobody is asked after it
+	tryHome   bool // the home is asked next
+	homeTried bool // it was: nobody is asked after it
 }
 
 // Pick chooses the endpoint to ask next; nil when none holds the request alone. The
 // home gets the key by which it knows a request that it told to come back; key is
 // called for nothing else.
-func (a *RetryState) Pick(now time.Time, p *Policy, r *Request, key func() uint64, endpoints []Endpoint) *Endpoint {
+func (s *RetryState) Pick(now time.Time, p *Policy, r *Request, key func() uint64, endpoints []Endpoint) *Endpoint {
 	r.Key = 0
-	if a.askHome {
-		a.askHome, a.homeAsked = false, true
+	if s.tryHome {
+		s.tryHome, s.homeTried = false, true
 		r.Key = key()
 		if home := HomeEndpoint(r, endpoints); home != nil {
 			return home
@@ -32,19 +32,19 @@
 
 // RecordRefusal tells after a refusal whether another endpoint is asked. busy is set when
 // endpoints refused because they have too much work, so that coming back may help.
-func (a *RetryState) RecordRefusal(r *Request, endpoints []Endpoint, busy bool) bool {
-	a.refusals++
+func (s *RetryState) RecordRefusal(r *Request, endpoints []Endpoint, busy bool) bool {
+	s.refusals++
 	untried := anyUntried(r, endpoints)
 	switch {
-	case a.homeAsked:
+	case s.homeTried:
 		return false
-	case a.refusals < MaxAttempts-1 && untried:
+	case s.refusals < MaxAttempts-1 && untried:
 		return true
 	case busy:
-		a.askHome = true
+		s.tryHome = true
 		return true
 	}
-	return a.refusals < MaxAttempts && untried
+	return s.refusals < MaxAttempts && untried
 }
 
 // anyUntried tells whether an endpoint that could serve has not been tried.
--- a/routing/direct/affinity.go
+++ b/routing/direct/affinity.go
@@ -14,58 +14,58 @@
 // drawn at random, as long as that is cheaper by awayCost. It gains short prompts that are on
 // time, beside a few engines drawn anew for each of them.
 const (
-	// awayCost is what another entry's engine costs a short prompt more: about what two
+	// otherEntryCost is what another entry's engine costs a short prompt more: about what two
 	// prompts take that meet in a pass. More keeps an entry that gets many times as many
 	// callers as another from engines that are free.
-	awayCost = 60 * time.Millisecond
-	// awayDrawn is how many of other entries' engines are weighed.
-	awayDrawn = 1
-	// otherDrawn is how many of the engines for long prompts are weighed: with one, short
+	otherEntryCost = 60 * time.Millisecond
+	// otherEntrySample is how many of other entries' engines are weighed.
+	otherEntrySample = 1
+	// longEngineSample is how many of the engines for long prompts are weighed: with one, short
 	// prompts would miss those that are idle in a rush of them.
-	otherDrawn = 4
-	// leastDrawn are weighed by an entry that has fewer engines of its own.
-	leastDrawn = 2
+	longEngineSample = 4
+	// minSample are weighed by an entry that has fewer engines of its own.
+	minSample = 2
 )
 
 // rank says which part of the engines an entry prefers: its number among the entries in the
 // order of their names. Entries that disagree about it for a moment prefer the same engines
 // and nothing else. One that does not know yet, as many do that start at once, prefers none.
-type rank struct{ number, of int }
+type rank struct{ index, count int }
 
 // prefers tells whether an engine, by its position among so many, is one of the entry's own.
 // Engines are dealt out in turn: by hashes one entry of four might have a single engine of
 // twelve and another one five. Where there are fewer engines than entries several have one.
 func (r rank) prefers(position, engines int) bool {
 	switch {
-	case r.of == 0:
+	case r.count == 0:
 		return false
-	case engines < r.of:
-		return position == r.number%engines
+	case engines < r.count:
+		return position == r.index%engines
 	}
-	return position%r.of == r.number
+	return position%r.count == r.index
 }
 
-// drawn are the engines that a short prompt is weighed against.
-type drawn struct {
-	// own are engines for short prompts that this entry prefers, away others for short
-	// prompts, other those for long ones.
-	own, away, other []*directory.EndpointState
+// engineSample are the engines that a short prompt is weighed against.
+type engineSample struct {
+	// own are engines for short prompts that this entry prefers, otherEntries others for short
+	// prompts, longEngines those for long ones.
+	own, otherEntries, longEngines []*directory.EndpointState
 }
 
-// draw takes of the engines for short prompts this entry's own and a few of the others', and
+// sampleEngines takes of the engines for short prompts this entry's own and a few of the others', and
 // a few of those for long ones. What is not drawn need not be scored.
-func (p *Policy) draw(short, long []*directory.EndpointState) drawn {
-	var d drawn
+func (p *Policy) sampleEngines(short, long []*directory.EndpointState) engineSample {
+	var sample engineSample
 	for _, e := range short {
-		if p.ledger.rank.prefers(e.Position, len(short)) {
-			d.own = append(d.own, e)
+		if p.tracker.rank.prefers(e.Position, len(short)) {
+			sample.own = append(sample.own, e)
 		} else {
-			d.away = append(d.away, e)
+			sample.otherEntries = append(sample.otherEntries, e)
 		}
 	}
-	d.away = p.sample(d.away, max(awayDrawn, leastDrawn-len(d.own)))
-	d.other = p.sample(slices.Clone(long), otherDrawn)
-	return d
+	sample.otherEntries = p.sample(sample.otherEntries, max(otherEntrySample, minSample-len(sample.own)))
+	sample.longEngines = p.sample(slices.Clone(long), longEngineSample)
+	return sample
 }
 
 // sample brings n at random to the front of a list and gives them.
--- a/routing/direct/affinity_test.go
+++ b/routing/direct/affinity_test.go
@@ -9,11 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// ranked is an entry's policy that knows its rank.
-func ranked(number, of int) *Policy {
-	p := policy(uint64(number))
-	p.ledger.SetEntryCount(of)
-	p.ledger.SetRank(number, of)
+// policyWithRank is an entry's policy that knows its rank.
+func policyWithRank(index, count int) *Policy {
+	p := newPolicy(uint64(index))
+	p.tracker.SetEntryCount(count)
+	p.tracker.SetRank(index, count)
 	return p
 }
 
@@ -25,10 +25,10 @@
 	for _, c := range []struct{ entries, engines int }{{1, 5}, {4, 12}, {7, 60}, {24, 24}, {24, 7}} {
 		own := make([]int, c.entries)
 		preferring := make([]int, c.engines)
-		for number := range c.entries {
+		for index := range c.entries {
 			for position := range c.engines {
-				if (rank{number, c.entries}).prefers(position, c.engines) {
-					own[number]++
+				if (rank{index, c.entries}).prefers(position, c.engines) {
+					own[index]++
 					preferring[position]++
 				}
 			}
@@ -45,17 +45,17 @@
 // several send to the engine that has the least to do by the view that they share; three
 // prompts meet in one pass. Cause: they weighed all engines, or some drawn anew for each
 // prompt.
-func TestPromptsOfSeveralEntriesDoNotMeetOnAnEngine(t *testing.T) {
+func TestPromptsOfSeveralEntriesDoNotShareAnEngine(t *testing.T) {
 	is := is.New(t)
 	const entries, engines, each = 4, 60, 5
 	list := endpoints(engines)
 	placed := map[string]int{}
-	for number := range entries {
-		p := ranked(number, entries)
-		p.ledger.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
+	for index := range entries {
+		p := policyWithRank(index, entries)
+		p.tracker.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
 		for range each {
 			plan := p.Place(testNow, prompt(3000), list)
-			p.ledger.Begin(testNow, plan)
+			p.tracker.Begin(testNow, plan)
 			placed[plan.Endpoint.ID]++
 		}
 	}
@@ -64,24 +64,24 @@
 
 // Symptom, were it there: an entry that gets most of the callers lets prompts wait while the
 // engines of others are idle. Cause: a part of the engines for each entry, whatever comes.
-func TestAnEntryWithMuchToSendUsesTheEnginesOfOthers(t *testing.T) {
+func TestABusyEntryUsesTheEnginesOfOthers(t *testing.T) {
 	is := is.New(t)
 	const entries, engines = 4, 24
 	list := endpoints(engines)
-	p := ranked(1, entries)
-	p.ledger.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
-	own, away := 0, 0
+	p := policyWithRank(1, entries)
+	p.tracker.ReplacePeerLoad(testNow, "x", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
+	own, others := 0, 0
 	for range 200 {
 		plan := p.Place(testNow, prompt(3000), list)
-		p.ledger.Begin(testNow, plan)
-		if p.ledger.rank.prefers(plan.Endpoint.Position, engines) {
+		p.tracker.Begin(testNow, plan)
+		if p.tracker.rank.prefers(plan.Endpoint.Position, engines) {
 			own++
 			continue
 		}
 		is.True(own > 0) // its own come first
-		away++
+		others++
 	}
-	is.True(away > 100) // three quarters of the engines are others'
+	is.True(others > 100) // three quarters of the engines are others'
 }
 
 // Entries that do not know each other yet, as after a start of all at once, spread what they
@@ -90,9 +90,9 @@
 	is := is.New(t)
 	placed := map[string]bool{}
 	for n := range 40 {
-		p := policy(uint64(n))
+		p := newPolicy(uint64(n))
 		plan := p.Place(testNow, prompt(3000), endpoints(60))
-		is.True(plan.Cost < awayCost)
+		is.True(plan.Cost < otherEntryCost)
 		placed[plan.Endpoint.ID] = true
 	}
 	is.True(len(placed) > 15)
@@ -101,7 +101,7 @@
 func BenchmarkPlaceShortPrompt(b *testing.B) {
 	for _, engines := range []int{21, 69, 400} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			p, list := ranked(3, 24), endpoints(engines)
+			p, list := policyWithRank(3, 24), endpoints(engines)
 			r := prompt(3000)
 			for b.Loop() {
 				p.Place(testNow.Add(time.Second), r, list)
--- a/routing/direct/demand.go
+++ b/routing/direct/demand.go
@@ -10,13 +10,13 @@
 // demand is how much of the engines' time one entry's requests ask for, by whether
 // their prefill is long. Engines are divided between the two kinds by it.
 type demand struct {
-	// longs holds the prefill that was asked for by long prompts in the last
+	// arrivals holds the prefill that was asked for by long prompts in the last
 	// demandWindow.
-	longs []asked
-	sum   time.Duration
+	arrivals []arrival
+	total    time.Duration
 }
 
-type asked struct {
+type arrival struct {
 	at      time.Time
 	prefill time.Duration
 }
@@ -29,35 +29,35 @@
 
 func (d *demand) add(now time.Time, prefill time.Duration) {
 	d.expire(now)
-	d.longs = append(d.longs, asked{now, prefill})
-	d.sum += prefill
+	d.arrivals = append(d.arrivals, arrival{now, prefill})
+	d.total += prefill
 }
 
 func (d *demand) expire(now time.Time) {
-	for len(d.longs) > 0 && now.Sub(d.longs[0].at) > demandWindow {
-		d.sum -= d.longs[0].prefill
-		d.longs = d.longs[1:]
+	for len(d.arrivals) > 0 && now.Sub(d.arrivals[0].at) > demandWindow {
+		d.total -= d.arrivals[0].prefill
+		d.arrivals = d.arrivals[1:]
 	}
 }
 
 const (
-	// fullUse is the part of an engine's time that long prompts may take.
-	fullUse = 0.85
-	// openUse is the part of an engine's slots that short requests take where both kinds ask
+	// maxLongUtilization is the part of an engine's time that long prompts may take.
+	maxLongUtilization = 0.85
+	// contendedSlotShare is the part of an engine's slots that short requests take where both kinds ask
 	// for all engines: more of them meet in one pass and lengthen it.
-	openUse = 0.5
-	// fillUse is the part of an engine's slots that short requests fill before they take
+	contendedSlotShare = 0.5
+	// fillSlotShare is the part of an engine's slots that short requests fill before they take
 	// another engine: one more lengthens a pass by little, and an engine on which nobody
 	// decodes reads parts of long prompts without making anybody late.
-	fillUse = 0.67
-	// spareShort is how many engines short requests have beyond those that they fill: more
+	fillSlotShare = 0.67
+	// spareShortEngines is how many engines short requests have beyond those that they fill: more
 	// of them begin before the other entries hear of it.
-	spareShort = 1
-	// ownShare is the part of the engines that short requests take, however few are open, for
+	spareShortEngines = 1
+	// perEntryShare is the part of the engines that short requests take, however few are open, for
 	// each entry to have one of its own.
-	ownShare = 0.125
-	// leastLong and leastShort are the parts of the engines that each kind may always take.
-	leastLong, leastShort = 0.35, 0.1
+	perEntryShare = 0.125
+	// minLongShare and minShortShare are the parts of the engines that each kind may always take.
+	minLongShare, minShortShare = 0.35, 0.1
 )
 
 // Demand is what the requests of one entry, or of several, ask of a service's engines.
@@ -74,16 +74,16 @@
 
 // shortShare is the part of a service's engines that short prompts may take.
 func shortShare(d Demand, engine *directory.Engine) float64 {
-	long := d.LongPrefill.Seconds() / demandWindow.Seconds() / fullUse
-	short := float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * openUse)
+	long := d.LongPrefill.Seconds() / demandWindow.Seconds() / maxLongUtilization
+	short := float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * contendedSlotShare)
 	if long+short == 0 {
-		return 1 - leastLong
+		return 1 - minLongShare
 	}
-	return min(max(short/(long+short), leastShort), 1-leastLong)
+	return min(max(short/(long+short), minShortShare), 1-minLongShare)
 }
 
-// mostShort is how many of a service's engines short prompts may take.
-func mostShort(d Demand, engine *directory.Engine, engines int) int {
+// maxShortEngines is how many of a service's engines short prompts may take.
+func maxShortEngines(d Demand, engine *directory.Engine, engines int) int {
 	return int(shortShare(d, engine)*float64(engines) + 0.5)
 }
 
@@ -91,8 +91,8 @@
 // as those that are open fill, or one for each entry where engines abound, on which its prompts
 // meet no others; within their share.
 func enginesForShort(d Demand, engine *directory.Engine, engines, entries int) int {
-	share := mostShort(d, engine, engines)
-	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillUse))
-	own := min(entries, int(ownShare*float64(engines)))
-	return max(min(max(int(filled)+spareShort, own), share), 1)
+	share := maxShortEngines(d, engine, engines)
+	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillSlotShare))
+	own := min(entries, int(perEntryShare*float64(engines)))
+	return max(min(max(int(filled)+spareShortEngines, own), share), 1)
 }
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -30,7 +30,9 @@
 
 func service() *directory.Service { return &directory.Service{Name: "m", Engine: siteEngine()} }
 
-func policy(seed uint64) *Policy { return NewPolicy(NewLoadTracker(), rand.New(rand.NewPCG(seed, 1))) }
+func newPolicy(seed uint64) *Policy {
+	return NewPolicy(NewLoadTracker(), rand.New(rand.NewPCG(seed, 1)))
+}
 
 func prompt(tokens int) *Request {
 	return &Request{Service: service(), PromptTokens: tokens, OutputTokens: 1000, Tried: map[directory.Incarnation]bool{}}
@@ -39,7 +41,7 @@
 // The model against what engines were seen to take: a pause between events is the 45 ms
 // of a pass and the prefill in it (571, 789 and 820 ms of parts; pauses of 617, 834 and
 // 866 ms).
-func TestPrefillIsAsSeen(t *testing.T) {
+func TestPrefillTimeMatchesMeasurements(t *testing.T) {
 	is := is.New(t)
 	near := func(got time.Duration, want float64) bool {
 		return got.Seconds() > want*0.99 && got.Seconds() < want*1.01
@@ -53,12 +55,12 @@
 
 // Symptom: short streams are late by a pause. Sequence: long prompts come beside many
 // short ones. Cause: their parts are prefilled where short ones decode.
-func TestShortAndLongPromptsKeepApart(t *testing.T) {
+func TestShortAndLongPromptsUseDifferentEngines(t *testing.T) {
 	is := is.New(t)
-	p := policy(1)
+	p := newPolicy(1)
 	list := endpoints(20)
 	for range 40 {
-		p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), list))
+		p.tracker.Begin(testNow, p.Place(testNow, prompt(3000), list))
 	}
 	together := 0
 	for i := range 6 {
@@ -66,22 +68,22 @@
 		long := p.Place(testNow.Add(time.Duration(i)*time.Millisecond), prompt(150_000), list)
 		is.True(long.Long)
 		for _, e := range append(long.Helpers, long.Endpoint) {
-			if short := p.ledger.loads[e.Incarnation]; short != nil && short.open > 0 {
+			if short := p.tracker.endpoints[e.Incarnation]; short != nil && short.inFlight > 0 {
 				together++
 			}
 		}
-		p.ledger.Begin(testNow, long).FinishPrefill()
+		p.tracker.Begin(testNow, long).FinishPrefill()
 	}
 	before := map[directory.Incarnation]int{}
-	for id, l := range p.ledger.loads {
-		before[id] = l.open
+	for id, l := range p.tracker.endpoints {
+		before[id] = l.inFlight
 	}
 	for range 20 {
-		p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), list))
+		p.tracker.Begin(testNow, p.Place(testNow, prompt(3000), list))
 	}
 	onLong := 0
 	for _, e := range list[10:] {
-		onLong += p.ledger.loads[e.Incarnation].open - before[e.Incarnation]
+		onLong += p.tracker.endpoints[e.Incarnation].inFlight - before[e.Incarnation]
 	}
 	is.True(onLong <= 4) // of 20 that came after the long ones
 }
@@ -91,10 +93,10 @@
 func TestTheBoundaryFollowsTheDemand(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
-	is.Equal(shortShare(Demand{}, e), 1-leastLong)
-	is.Equal(shortShare(Demand{LongPrefill: time.Minute}, e), leastShort)
-	is.Equal(shortShare(Demand{ShortInFlight: 100}, e), 1-leastLong)
-	half := shortShare(Demand{ShortInFlight: 80, LongPrefill: time.Duration(10 * 3 * fullUse * float64(time.Second))}, e)
+	is.Equal(shortShare(Demand{}, e), 1-minLongShare)
+	is.Equal(shortShare(Demand{LongPrefill: time.Minute}, e), minShortShare)
+	is.Equal(shortShare(Demand{ShortInFlight: 100}, e), 1-minLongShare)
+	half := shortShare(Demand{ShortInFlight: 80, LongPrefill: time.Duration(10 * 3 * maxLongUtilization * float64(time.Second))}, e)
 	is.True(half > 0.45 && half < 0.55)
 }
 
@@ -128,77 +130,77 @@
 	l := NewLoadTracker()
 	l.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second, ShortInFlight: 4, PendingPrefill: time.Second, QueuedPrefill: 2 * time.Second}}, nil)
 	l.ReplacePeerLoad(testNow, "c", []Demand{{Service: "m", LongPrefill: time.Second}, {Service: "other", ShortInFlight: 50}}, nil)
-	sum := l.total(testNow, "m")
+	sum := l.totalDemand(testNow, "m")
 	is.Equal(sum.LongPrefill, 10*time.Second)
 	is.Equal(sum.ShortInFlight, 4)
 	is.Equal(sum.PendingPrefill+sum.QueuedPrefill, 3*time.Second)
-	is.Equal(l.total(testNow.Add(2*peerValid), "m").LongPrefill, time.Duration(0)) // silent entries are forgotten
+	is.Equal(l.totalDemand(testNow.Add(2*peerLoadTTL), "m").LongPrefill, time.Duration(0)) // silent entries are forgotten
 	is.Equal(len(l.peerLoads), 0)
 }
 
 // Symptom: other entries do not know of a long prompt that is being prefilled. Sequence: it is
 // the first request of an entry. Cause: an entry told only of services for which it had had a
 // short one.
-func TestAnEntryTellsOfALongPromptThatIsItsFirst(t *testing.T) {
+func TestFirstLongPromptOfAnEntryIsReported(t *testing.T) {
 	is := is.New(t)
-	p := policy(1)
-	p.ledger.Begin(testNow, p.Place(testNow, prompt(150_000), endpoints(20)))
-	told := p.ledger.Demands(testNow)
-	is.Equal(len(told), 1)
-	is.True(told[0].PendingPrefill > time.Second)
+	p := newPolicy(1)
+	p.tracker.Begin(testNow, p.Place(testNow, prompt(150_000), endpoints(20)))
+	demands := p.tracker.Demands(testNow)
+	is.Equal(len(demands), 1)
+	is.True(demands[0].PendingPrefill > time.Second)
 }
 
 // An operator sees how much of the others is known, and how old it is.
-func TestKnowledgeOfOtherEntriesIsTold(t *testing.T) {
+func TestPeerStatusReportsCoverageAndAge(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
 	is.Equal(l.PeerStatus(testNow), PeerStatus{})
 	l.SetEntryCount(5)
-	l.ReplacePeerLoad(testNow.Add(-2*peerValid), "a", nil, nil)
+	l.ReplacePeerLoad(testNow.Add(-2*peerLoadTTL), "a", nil, nil)
 	l.ReplacePeerLoad(testNow.Add(-300*time.Millisecond), "b", nil, nil)
 	l.UpdatePeerLoad(testNow.Add(-100*time.Millisecond), "c", nil, nil)
 	is.Equal(l.PeerStatus(testNow), PeerStatus{Peers: 4, Heard: 2, OldestAge: 300 * time.Millisecond, MeanAge: 200 * time.Millisecond})
 }
 
-func TestAnEndpointThatOthersUseIsPassedOver(t *testing.T) {
+func TestEndpointsUsedByOtherEntriesAreAvoided(t *testing.T) {
 	is := is.New(t)
-	p := policy(3)
+	p := newPolicy(3)
 	list := endpoints(4)
-	var open []EndpointLoad
+	var loads []EndpointLoad
 	for _, e := range list[:3] {
-		open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 8})
+		loads = append(loads, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 8})
 	}
-	p.ledger.SetEntryCount(3)
-	p.ledger.ReplacePeerLoad(testNow, "b", nil, open) // one of two others is heard of
+	p.tracker.SetEntryCount(3)
+	p.tracker.ReplacePeerLoad(testNow, "b", nil, loads) // one of two others is heard of
 	for range 20 {
 		is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.ID, list[3].ID)
 	}
-	there := p.ledger.estimate(testNow, list[0].Incarnation).open
-	is.Equal(there, 16)
+	inFlight := p.tracker.estimate(testNow, list[0].Incarnation).inFlight
+	is.Equal(inFlight, 16)
 }
 
 // Changes that another entry tells of add up to the same as all of it told at once, and
 // leave nothing behind when it falls silent.
-func TestChangesOfAnEntrysLoadAddUp(t *testing.T) {
+func TestPartialUpdatesAddUpToAFullUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, whole := NewLoadTracker(), NewLoadTracker()
+		l, full := NewLoadTracker(), NewLoadTracker()
 		state := map[EndpointHash]EndpointLoad{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
-			o := EndpointLoad{EndpointHash(rapid.IntRange(0, 5).Draw(t, "endpoint")), rapid.IntRange(0, 3).Draw(t, "open"), time.Duration(rapid.IntRange(0, 2).Draw(t, "reading")), rapid.IntRange(0, 2).Draw(t, "memory"), StreamCounts{3: int16(rapid.IntRange(0, 2).Draw(t, "streams"))}}
-			state[o.Endpoint] = o
-			l.UpdatePeerLoad(testNow, "b", nil, []EndpointLoad{o})
+			load := EndpointLoad{EndpointHash(rapid.IntRange(0, 5).Draw(t, "endpoint")), rapid.IntRange(0, 3).Draw(t, "in flight"), time.Duration(rapid.IntRange(0, 2).Draw(t, "pending prefill")), rapid.IntRange(0, 2).Draw(t, "memory"), StreamCounts{3: int16(rapid.IntRange(0, 2).Draw(t, "streams"))}}
+			state[load.Endpoint] = load
+			l.UpdatePeerLoad(testNow, "b", nil, []EndpointLoad{load})
 		}
 		var all []EndpointLoad
-		for _, o := range state {
-			all = append(all, o)
+		for _, load := range state {
+			all = append(all, load)
 		}
-		whole.ReplacePeerLoad(testNow, "b", nil, all)
-		if fmt.Sprint(l.peerLoads) != fmt.Sprint(whole.peerLoads) {
-			t.Fatalf("%v, told at once %v", l.peerLoads, whole.peerLoads)
+		full.ReplacePeerLoad(testNow, "b", nil, all)
+		if fmt.Sprint(l.peerLoads) != fmt.Sprint(full.peerLoads) {
+			t.Fatalf("partial updates %v, full update %v", l.peerLoads, full.peerLoads)
 		}
-		l.total(testNow.Add(2*peerValid), "m")
+		l.totalDemand(testNow.Add(2*peerLoadTTL), "m")
 		if len(l.peerLoads) != 0 {
-			t.Fatalf("%v left behind", l.peerLoads)
+			t.Fatalf("%v remain after the last report expired", l.peerLoads)
 		}
 	})
 }
@@ -212,13 +214,13 @@
 	busiest := func(entries int) int {
 		placed := map[string]int{}
 		for entry := range entries {
-			p := policy(uint64(entry))
-			p.ledger.SetEntryCount(entries)
-			var open []EndpointLoad
+			p := newPolicy(uint64(entry))
+			p.tracker.SetEntryCount(entries)
+			var loads []EndpointLoad
 			for n, e := range list {
-				open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, PendingPrefill: time.Duration(n) * time.Millisecond})
+				loads = append(loads, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, PendingPrefill: time.Duration(n) * time.Millisecond})
 			}
-			p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, open)
+			p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, loads)
 			placed[p.Place(testNow, prompt(3000), list).Endpoint.ID]++
 		}
 		most := 0
@@ -234,34 +236,34 @@
 // prefilled there.
 func TestPartsOfLongPromptsKeepOffEnginesInUse(t *testing.T) {
 	is := is.New(t)
-	p := policy(1)
+	p := newPolicy(1)
 	list := endpoints(40)
-	p.ledger.SetEntryCount(2)
-	var open []EndpointLoad
+	p.tracker.SetEntryCount(2)
+	var loads []EndpointLoad
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 40 * time.Millisecond}
+		load := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 40 * time.Millisecond}
 		if i%2 == 0 {
-			o.InFlight, o.PendingPrefill = 1, 0
+			load.InFlight, load.PendingPrefill = 1, 0
 		}
-		open = append(open, o)
+		loads = append(loads, load)
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 100 * time.Second}}, open)
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 100 * time.Second}}, loads)
 	plan := p.Place(testNow, prompt(250_000), list)
 	used := 0
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		there := p.ledger.estimate(testNow, e.Incarnation).open
-		used += there
+		inFlight := p.tracker.estimate(testNow, e.Incarnation).inFlight
+		used += inFlight
 	}
 	is.Equal(used, 0)
 }
 
-func TestPlacingKeepsOffEndpointsThatCannotServe(t *testing.T) {
+func TestPlaceSkipsEndpointsThatCannotServe(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(5)
 	list[0].MissingSince = testNow
-	p := policy(4)
-	p.ledger.SetUnreachable(list[1].Incarnation, true)
-	p.ledger.Avoid(list[2].Incarnation, testNow.Add(time.Second))
+	p := newPolicy(4)
+	p.tracker.SetUnreachable(list[1].Incarnation, true)
+	p.tracker.Avoid(list[2].Incarnation, testNow.Add(time.Second))
 	r := prompt(1000)
 	r.Tried[list[3].Incarnation] = true
 	for range 20 {
@@ -278,64 +280,64 @@
 
 func TestAPromptOverOneEnginesMemoryIsSpread(t *testing.T) {
 	is := is.New(t)
-	p := policy(5)
+	p := newPolicy(5)
 	plan := p.Place(testNow, prompt(500_000), endpoints(23))
 	is.Equal(len(plan.Helpers), 16)
 	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
 	is.True(plan.EndpointMemoryTokens+(plan.ReservingHelpers-1)*plan.HelperMemoryTokens >= plan.MemoryTokens) // also when one refuses
-	is.True(plan.EndpointMemoryTokens <= aloneMemory(siteEngine()))
-	p.ledger.ReplacePeerLoad(testNow, "b", nil, opens(endpoints(23), 2))
+	is.True(plan.EndpointMemoryTokens <= maxSingleEngineMemory(siteEngine()))
+	p.tracker.ReplacePeerLoad(testNow, "b", nil, loadsOf(endpoints(23), 2))
 	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // engines in use
 }
 
-// streams are so many requests that allow a pause.
-func streams(pause time.Duration, count int) StreamCounts {
+// streamsAllowing are so many requests that allow a pause.
+func streamsAllowing(pause time.Duration, count int) StreamCounts {
 	var s StreamCounts
 	s[PauseClass(pause)] = int16(count)
 	return s
 }
 
-// opens gives each endpoint so many requests.
-func opens(list []*directory.EndpointState, count int) []EndpointLoad {
-	return eachOf(list, EndpointLoad{InFlight: count, Streams: streams(250*time.Millisecond, count)})
+// loadsOf gives each endpoint so many requests.
+func loadsOf(list []*directory.EndpointState, count int) []EndpointLoad {
+	return sameLoad(list, EndpointLoad{InFlight: count, Streams: streamsAllowing(250*time.Millisecond, count)})
 }
 
 // Symptom: a quarter of the long prompts are refused while engines have room. Sequence:
 // the mix leaves long prompts a third of the engines, on which the longer ones of them
 // would have parts of over 0.7 s. Cause: no engine beyond the boundary for them.
-func TestALongPromptTakesMoreEnginesWhereLittleIsOpen(t *testing.T) {
+func TestALongPromptTakesMoreEnginesUnderLowLoad(t *testing.T) {
 	is := is.New(t)
-	p := policy(6)
+	p := newPolicy(6)
 	list := endpoints(23)
 	for range 3 {
-		p.ledger.Begin(testNow, p.Place(testNow, prompt(3000), list))
+		p.tracker.Begin(testNow, p.Place(testNow, prompt(3000), list))
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, opens(list[:4], 9))
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, loadsOf(list[:4], 9))
 	plan := p.Place(testNow, prompt(250_000), list)
 	is.True(!plan.Overloaded)
 	is.True(plan.PartPrefill <= longestPart(service()))
 	is.True(len(plan.Helpers) >= 8)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		is.True(p.ledger.peerLoads[HashEndpoint(e.Incarnation)].InFlight == 0) // those with the least open
+		is.True(p.tracker.peerLoads[HashEndpoint(e.Incarnation)].InFlight == 0) // those with the least open
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, opens(list, 9))
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, loadsOf(list, 9))
 	is.True(p.Place(testNow, prompt(250_000), list).Overloaded)
 }
 
 // Whatever is placed and ended in whatever order, a ledger ends empty.
-func TestALedgerEndsEmpty(t *testing.T) {
+func TestTrackerEndsWithoutLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := policy(rapid.Uint64().Draw(t, "seed"))
+		p := newPolicy(rapid.Uint64().Draw(t, "seed"))
 		list := endpoints(rapid.IntRange(1, 25).Draw(t, "engines"))
-		var open []*RequestLoad
+		var requests []*RequestLoad
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			if len(open) > 0 && rapid.Bool().Draw(t, "end") {
-				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+			if len(requests) > 0 && rapid.Bool().Draw(t, "end") {
+				i := rapid.IntRange(0, len(requests)-1).Draw(t, "which")
 				if rapid.Bool().Draw(t, "prefilled") {
-					open[i].FinishPrefill()
+					requests[i].FinishPrefill()
 				}
-				open[i].End()
-				open = append(open[:i], open[i+1:]...)
+				requests[i].End()
+				requests = append(requests[:i], requests[i+1:]...)
 				continue
 			}
 			plan := p.Place(testNow, prompt(rapid.IntRange(1, 900_000).Draw(t, "tokens")), list)
@@ -345,22 +347,22 @@
 			seen := map[string]bool{plan.Endpoint.ID: true}
 			for _, h := range plan.Helpers {
 				if seen[h.ID] {
-					t.Fatal("an engine twice in a plan")
+					t.Fatal("a plan uses an engine twice")
 				}
 				seen[h.ID] = true
 			}
-			open = append(open, p.ledger.Begin(testNow, plan))
+			requests = append(requests, p.tracker.Begin(testNow, plan))
 		}
-		for _, c := range open {
+		for _, c := range requests {
 			c.End()
 		}
-		for id, l := range p.ledger.loads {
-			if l.open != 0 || l.prefill != 0 || l.memory != 0 || l.streams != (StreamCounts{}) {
+		for id, l := range p.tracker.endpoints {
+			if l.inFlight != 0 || l.pendingPrefill != 0 || l.memoryTokens != 0 || l.streams != (StreamCounts{}) {
 				t.Fatalf("%s: %+v", id, *l)
 			}
 		}
-		if p.ledger.shorts["m"] != 0 || p.ledger.reading["m"] != 0 {
-			t.Fatal("something is left")
+		if p.tracker.shortInFlight["m"] != 0 || p.tracker.pendingPrefill["m"] != 0 {
+			t.Fatal("short requests in flight or pending prefill of long prompts remain")
 		}
 	})
 }
@@ -371,7 +373,7 @@
 	is.True(EnginePriority(20_000, 1) < EnginePriority(80_000, 1))
 	is.True(EnginePriority(80_000, 1) < EnginePriority(200_000, 1))
 	is.True(EnginePriority(1000, 1) < EnginePriority(1000, 2))
-	is.True(EnginePriority(900_000, 9) <= lowestLevel)
+	is.True(EnginePriority(900_000, 9) <= lowestPriority)
 }
 
 // Symptom: a prompt that takes 0.4 s to read begins after 3 to 5 s. Sequence: an engine
@@ -381,20 +383,20 @@
 func TestALongPromptGoesWhereMemoryHasRoom(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(12)
-	p := policy(1)
-	p.ledger.SetEntryCount(2)
-	var open []EndpointLoad
+	p := newPolicy(1)
+	p.tracker.SetEntryCount(2)
+	var loads []EndpointLoad
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, MemoryTokens: 210_000}
+		load := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, MemoryTokens: 210_000}
 		if i == 11 {
-			o.PendingPrefill, o.MemoryTokens = 200*time.Millisecond, 20_000 // room, and the most to do
+			load.PendingPrefill, load.MemoryTokens = 200*time.Millisecond, 20_000 // room, and the most to do
 		}
-		open = append(open, o)
+		loads = append(loads, load)
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second}}, open)
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: 9 * time.Second}}, loads)
 	plan := p.Place(testNow, prompt(200_000), list)
 	is.Equal(plan.Endpoint.Incarnation, list[11].Incarnation)
-	p.ledger.Begin(testNow, plan)
+	p.tracker.Begin(testNow, plan)
 	is.True(p.Place(testNow, prompt(190_000), list).Endpoint.Incarnation != list[11].Incarnation) // its own is counted too
 }
 
@@ -402,11 +404,11 @@
 // prompt that needs more memory than one engine has. Sequence: such prompts come beside
 // short ones. Cause: they were prefilled on 17 engines of all, short prompts' own among
 // them. With 21 engines short streams earned 0.85 of their worth in place of 0.72.
-func TestAPromptOverOneEnginesMemoryKeepsToEnginesForLongOnes(t *testing.T) {
+func TestAPromptOverOneEnginesMemoryUsesEnginesForLongPrompts(t *testing.T) {
 	is := is.New(t)
-	p := policy(2)
+	p := newPolicy(2)
 	list := endpoints(21)
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 15 * time.Second}}, opens(list[:9], 7))
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 15 * time.Second}}, loadsOf(list[:9], 7))
 	boundary := p.boundary(testNow, service(), len(list))
 	own := map[directory.Incarnation]bool{}
 	for _, e := range list[:boundary] {
@@ -424,13 +426,13 @@
 func TestAPromptHasAsManyEnginesAsItsMemoryNeeds(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
-	is.Equal(holders(e, 200_000), 1)
-	is.Equal(holders(e, 300_000), 2)
-	is.Equal(holders(e, 400_000), 3)
-	is.Equal(holders(e, 900_000), 5)
-	p := policy(2)
+	is.Equal(enginesForMemory(e, 200_000), 1)
+	is.Equal(enginesForMemory(e, 300_000), 2)
+	is.Equal(enginesForMemory(e, 400_000), 3)
+	is.Equal(enginesForMemory(e, 900_000), 5)
+	p := newPolicy(2)
 	list := endpoints(6) // two of them for long prompts
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 400}}, nil)
 	plan := p.Place(testNow, prompt(500_000), list)
 	is.Equal(len(plan.Helpers), 5)
 }
@@ -440,13 +442,13 @@
 // that is an engine for long prompts, which is about to be given the next part of one.
 func TestAShortPromptInPartsDecodesOnAnEngineForShortOnes(t *testing.T) {
 	is := is.New(t)
-	p := policy(3)
+	p := newPolicy(3)
 	list := endpoints(21)
-	open := opens(list[:4], 6)
-	for i := range open {
-		open[i].MemoryTokens = 40_000
+	loads := loadsOf(list[:4], 6)
+	for i := range loads {
+		loads[i].MemoryTokens = 40_000
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 20, LongPrefill: 40 * time.Second}}, open)
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 20, LongPrefill: 40 * time.Second}}, loads)
 	boundary := p.boundary(testNow, service(), len(list))
 	plan := p.Place(testNow, prompt(60_000), list)
 	is.True(!plan.Long && len(plan.Helpers) > boundary)
@@ -459,9 +461,9 @@
 // those for long ones have decoders that allow a second.
 func TestPartsOfShortPromptsKeepOffEnginesForShortOnes(t *testing.T) {
 	is := is.New(t)
-	p := policy(3)
+	p := newPolicy(3)
 	list := endpoints(21)
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 20 * time.Second}}, opens(list[:8], 6))
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 60, LongPrefill: 20 * time.Second}}, loadsOf(list[:8], 6))
 	boundary := p.boundary(testNow, service(), len(list))
 	plan := p.Place(testNow, prompt(60_000), list)
 	is.True(!plan.Long && len(plan.Helpers) > 0 && len(plan.Helpers) <= len(list)-boundary)
@@ -476,28 +478,28 @@
 // ones come. Cause: they were sent there while engines for short ones had slots free.
 func TestShortPromptsFillTheirOwnEnginesFirst(t *testing.T) {
 	is := is.New(t)
-	p := policy(4)
+	p := newPolicy(4)
 	list := endpoints(21)
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200, LongPrefill: 4 * time.Second}}, opens(list[:14], 14))
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200, LongPrefill: 4 * time.Second}}, loadsOf(list[:14], 14))
 	for range 14 {
 		plan := p.Place(testNow, prompt(3000), list)
 		is.True(slices.Contains(list[:14], plan.Endpoint))
-		p.ledger.Begin(testNow, plan)
+		p.tracker.Begin(testNow, plan)
 	}
 }
 
 // A short prompt passes over an engine whose memory is full, however little it has to do,
 // whether it is read there alone or in parts on all engines.
-func TestAShortPromptPassesOverFullMemory(t *testing.T) {
+func TestAShortPromptAvoidsFullMemory(t *testing.T) {
 	is := is.New(t)
-	p := policy(5)
+	p := newPolicy(5)
 	list := endpoints(4)
-	open := opens(list, 9)
-	for i := range open {
-		open[i].PendingPrefill = 400 * time.Millisecond
+	loads := loadsOf(list, 9)
+	for i := range loads {
+		loads[i].PendingPrefill = 400 * time.Millisecond
 	}
-	open[0] = EndpointLoad{Endpoint: open[0].Endpoint, InFlight: 1, MemoryTokens: 404_000}
-	p.ledger.ReplacePeerLoad(testNow, "b", nil, open)
+	loads[0] = EndpointLoad{Endpoint: loads[0].Endpoint, InFlight: 1, MemoryTokens: 404_000}
+	p.tracker.ReplacePeerLoad(testNow, "b", nil, loads)
 	for range 10 {
 		is.True(p.Place(testNow, prompt(3000), list).Endpoint.Incarnation != list[0].Incarnation)
 		parts := p.Place(testNow, prompt(60_000), list)
@@ -516,11 +518,11 @@
 	is.Equal(partTarget(s), 120*time.Millisecond)
 	is.Equal(longestPart(s), 1400*time.Millisecond)
 	r := prompt(60_000)
-	narrow := atRest(r)
+	narrow := placeIdle(r)
 	r.Service = s
-	is.True(len(atRest(r).Helpers) < len(narrow.Helpers))
+	is.True(len(placeIdle(r).Helpers) < len(narrow.Helpers))
 	is.True(IsLongPrompt(service(), 100_000) && !IsLongPrompt(s, 100_000))
 }
 
-// atRest places a request at rest.
-func atRest(r *Request) *Plan { return policy(1).Place(testNow, r, endpoints(20)) }
+// placeIdle places a request at rest.
+func placeIdle(r *Request) *Plan { return newPolicy(1).Place(testNow, r, endpoints(20)) }
--- a/routing/direct/filter.go
+++ b/routing/direct/filter.go
@@ -9,20 +9,20 @@
 // eligible drops endpoints that were tried, and, as long as there are others, those
 // that accept no connections, refused work lately or whose registration has lapsed.
 func (p *Policy) eligible(now time.Time, r *Request, endpoints []*directory.EndpointState) []*directory.EndpointState {
-	untried := make([]*directory.EndpointState, 0, len(endpoints))
-	var doubtful []*directory.EndpointState
+	preferred := make([]*directory.EndpointState, 0, len(endpoints))
+	var avoided []*directory.EndpointState
 	for _, e := range endpoints {
-		known := p.ledger.loads[e.Incarnation]
+		tracked := p.tracker.endpoints[e.Incarnation]
 		switch {
 		case r.Tried[e.Incarnation]:
-		case !e.MissingSince.IsZero() || known != nil && known.doubtful(now):
-			doubtful = append(doubtful, e)
+		case !e.MissingSince.IsZero() || tracked != nil && tracked.avoided(now):
+			avoided = append(avoided, e)
 		default:
-			untried = append(untried, e)
+			preferred = append(preferred, e)
 		}
 	}
-	if len(untried) > 0 {
-		return untried
+	if len(preferred) > 0 {
+		return preferred
 	}
-	return doubtful
+	return avoided
 }
--- a/routing/direct/ledger.go
+++ b/routing/direct/ledger.go
@@ -12,22 +12,22 @@
 
 // LoadTracker holds what this entry has given each endpoint to do. Safe for concurrent use.
 type LoadTracker struct {
-	mu    sync.Mutex
-	loads map[directory.Incarnation]*load
+	mu        sync.Mutex
+	endpoints map[directory.Incarnation]*trackedEndpoint
 	// demands and shorts are by service: what its long prompts ask for, and how many
 	// requests with short ones are open.
-	demands map[string]*demand
-	shorts  map[string]int
-	// reading is the prefill of long prompts under way, waiting that of those that are
+	demands       map[string]*demand
+	shortInFlight map[string]int
+	// pendingPrefill is the prefill of long prompts under way, queuedPrefill that of those that are
 	// held back, by service.
-	reading, waiting map[string]time.Duration
-	// entries is how many entries there are, peerLoads the sum of what peers tell of each
+	pendingPrefill, queuedPrefill map[string]time.Duration
+	// entryCount is how many entryCount there are, peerLoads the sum of what peers tell of each
 	// endpoint.
-	entries   int
-	rank      rank
-	peerLoads map[EndpointHash]EndpointLoad
-	// peerPaces holds which endpoints other entries know to be slow.
-	peerPaces map[EndpointHash]peerPace
+	entryCount int
+	rank       rank
+	peerLoads  map[EndpointHash]EndpointLoad
+	// peerSlowdowns holds which endpoints other entries know to be slow.
+	peerSlowdowns map[EndpointHash]peerSlowdown
 	// peers holds what other entries last told, by their names.
 	peers map[string]*peer
 	// prefilling holds the charges of this entry's long prompts whose first token has not come.
@@ -52,19 +52,19 @@
 type EndpointHash uint32
 
 // HashEndpoint gives the hash of an endpoint's life.
-func HashEndpoint(life directory.Incarnation) EndpointHash {
-	return EndpointHash(xxhash.Sum64String(life.String()))
+func HashEndpoint(incarnation directory.Incarnation) EndpointHash {
+	return EndpointHash(xxhash.Sum64String(incarnation.String()))
 }
 
 // Loads gives what this entry has given each endpoint to do.
 func (l *LoadTracker) Loads(now time.Time) []EndpointLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.advance(now)
-	list := make([]EndpointLoad, 0, len(l.loads))
-	for life, known := range l.loads {
-		if known.open > 0 || known.prefill > 0 || known.memory > 0 {
-			list = append(list, EndpointLoad{HashEndpoint(life), known.open, known.prefill, known.memory, known.streams})
+	l.updatePendingPrefill(now)
+	list := make([]EndpointLoad, 0, len(l.endpoints))
+	for incarnation, tracked := range l.endpoints {
+		if tracked.inFlight > 0 || tracked.pendingPrefill > 0 || tracked.memoryTokens > 0 {
+			list = append(list, EndpointLoad{HashEndpoint(incarnation), tracked.inFlight, tracked.pendingPrefill, tracked.memoryTokens, tracked.streams})
 		}
 	}
 	return list
@@ -74,26 +74,26 @@
 func (l *LoadTracker) Demands(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.advance(now)
+	l.updatePendingPrefill(now)
 	list := make([]Demand, 0, len(l.demands))
 	for service := range l.demands {
-		list = append(list, l.own(now, service))
+		list = append(list, l.ownDemand(now, service))
 	}
 	return list
 }
 
-func (l *LoadTracker) own(now time.Time, service string) Demand {
+func (l *LoadTracker) ownDemand(now time.Time, service string) Demand {
 	d := l.demand(service)
 	d.expire(now)
-	return Demand{Service: service, LongPrefill: d.sum, ShortInFlight: l.shorts[service], PendingPrefill: l.reading[service], QueuedPrefill: l.waiting[service]}
+	return Demand{Service: service, LongPrefill: d.total, ShortInFlight: l.shortInFlight[service], PendingPrefill: l.pendingPrefill[service], QueuedPrefill: l.queuedPrefill[service]}
 }
 
-// total sums a service's demand over this entry and those heard of lately.
-func (l *LoadTracker) total(now time.Time, service string) Demand {
-	sum := l.own(now, service)
+// totalDemand sums a service's demand over this entry and those heard of lately.
+func (l *LoadTracker) totalDemand(now time.Time, service string) Demand {
+	sum := l.ownDemand(now, service)
 	for name, peer := range l.peers {
-		if now.Sub(peer.at) > peerValid {
-			l.forget(name)
+		if now.Sub(peer.receivedAt) > peerLoadTTL {
+			l.removePeer(name)
 			continue
 		}
 		for _, d := range peer.demands {
@@ -108,40 +108,42 @@
 	return sum
 }
 
-type load struct {
-	open    int
-	streams StreamCounts
-	prefill time.Duration
-	// memory is the KV cache that one's own requests need, in tokens.
-	memory int
-	// toldOpen is the endpoint's own word of all callers' requests, told when ownOpen of
+type trackedEndpoint struct {
+	inFlight       int
+	streams        StreamCounts
+	pendingPrefill time.Duration
+	// memoryTokens is the KV cache that one's own requests need, in tokens.
+	memoryTokens int
+	// reportedInFlight is the endpoint's own word of all callers' requests, told when ownAtReport of
 	// them were this entry's.
-	toldOpen, ownOpen int
-	told              time.Time
-	// pace is how many times as long as described its work takes, as told at paceAt.
-	pace   float64
-	paceAt time.Time
+	reportedInFlight, ownAtReport int
+	reportedAt                    time.Time
+	// slowdown is how many times as long as described its work takes, as told at paceAt.
+	slowdown   float64
+	slowdownAt time.Time
 	// unreachable is set while the endpoint accepts no connections.
 	unreachable bool
 	// avoidUntil is until when the endpoint is passed over because it refused work.
 	avoidUntil time.Time
 }
 
-// doubtful tells whether other endpoints are to be preferred.
-func (l *load) doubtful(now time.Time) bool { return l.unreachable || now.Before(l.avoidUntil) }
+// avoided tells whether other endpoints are to be preferred.
+func (t *trackedEndpoint) avoided(now time.Time) bool {
+	return t.unreachable || now.Before(t.avoidUntil)
+}
 
 // NewLoadTracker makes an empty ledger.
 func NewLoadTracker() *LoadTracker {
-	return &LoadTracker{loads: map[directory.Incarnation]*load{}, demands: map[string]*demand{}, shorts: map[string]int{}, peers: map[string]*peer{}, reading: map[string]time.Duration{}, waiting: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerPaces: map[EndpointHash]peerPace{}, prefilling: map[*RequestLoad]struct{}{}}
+	return &LoadTracker{endpoints: map[directory.Incarnation]*trackedEndpoint{}, demands: map[string]*demand{}, shortInFlight: map[string]int{}, peers: map[string]*peer{}, pendingPrefill: map[string]time.Duration{}, queuedPrefill: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerSlowdowns: map[EndpointHash]peerSlowdown{}, prefilling: map[*RequestLoad]struct{}{}}
 }
 
 // RequestLoad is what one request weighs on its endpoints, until it ends. Safe for use by
 // one goroutine.
 type RequestLoad struct {
-	ledger *LoadTracker
-	parts  []part
-	open   directory.Incarnation
-	memory []memoryPart
+	tracker  *LoadTracker
+	parts    []part
+	endpoint directory.Incarnation
+	memory   []memoryPart
 	// service is what the request is for, and long tells whether its prompt is.
 	service string
 	long    bool
@@ -164,19 +166,19 @@
 
 // Begin charges a plan that is carried out from now on.
 func (l *LoadTracker) Begin(now time.Time, p *Plan) *RequestLoad {
-	c := &RequestLoad{ledger: l, open: p.Endpoint.Incarnation, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
-	c.progress = progress{began: now, expected: p.ExpectedFirstToken, part: p.PartPrefill}
+	c := &RequestLoad{tracker: l, endpoint: p.Endpoint.Incarnation, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
+	c.progress = progress{startedAt: now, expected: p.ExpectedFirstToken, partPrefill: p.PartPrefill}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.load(c.open).open++
-	l.load(c.open).streams[c.pauseClass]++
+	l.endpoint(c.endpoint).inFlight++
+	l.endpoint(c.endpoint).streams[c.pauseClass]++
 	if c.long {
 		l.prefilling[c] = struct{}{}
 	} else {
-		l.shorts[c.service]++
+		l.shortInFlight[c.service]++
 	}
-	c.parts = append(c.parts, part{c.open, p.PartPrefill})
-	c.memory = append(c.memory, memoryPart{c.open, p.EndpointMemoryTokens})
+	c.parts = append(c.parts, part{c.endpoint, p.PartPrefill})
+	c.memory = append(c.memory, memoryPart{c.endpoint, p.EndpointMemoryTokens})
 	for i, h := range p.Helpers {
 		c.parts = append(c.parts, part{h.Incarnation, p.PartPrefill})
 		if i < p.ReservingHelpers {
@@ -184,12 +186,12 @@
 		}
 	}
 	for _, m := range c.memory {
-		l.load(m.endpoint).memory += m.tokens
+		l.endpoint(m.endpoint).memoryTokens += m.tokens
 	}
 	for _, p := range c.parts {
-		l.load(p.endpoint).prefill += p.prefill
+		l.endpoint(p.endpoint).pendingPrefill += p.prefill
 		if c.long {
-			l.reading[c.service] += p.prefill
+			l.pendingPrefill[c.service] += p.prefill
 		}
 	}
 	return c
@@ -200,15 +202,15 @@
 	if c.parts == nil {
 		return
 	}
-	c.ledger.mu.Lock()
-	defer c.ledger.mu.Unlock()
-	delete(c.ledger.prefilling, c)
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
+	delete(c.tracker.prefilling, c)
 	for _, p := range c.parts {
-		if known := c.ledger.loads[p.endpoint]; known != nil {
-			known.prefill = max(known.prefill-p.prefill, 0)
+		if tracked := c.tracker.endpoints[p.endpoint]; tracked != nil {
+			tracked.pendingPrefill = max(tracked.pendingPrefill-p.prefill, 0)
 		}
 		if c.long {
-			c.ledger.reading[c.service] -= p.prefill
+			c.tracker.pendingPrefill[c.service] -= p.prefill
 		}
 	}
 	c.parts = nil
@@ -217,18 +219,18 @@
 // End ends the charge.
 func (c *RequestLoad) End() {
 	c.FinishPrefill()
-	c.ledger.mu.Lock()
-	defer c.ledger.mu.Unlock()
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
 	if !c.long {
-		c.ledger.shorts[c.service]--
+		c.tracker.shortInFlight[c.service]--
 	}
-	if known := c.ledger.loads[c.open]; known != nil && known.open > 0 {
-		known.open--
-		known.streams[c.pauseClass]--
+	if tracked := c.tracker.endpoints[c.endpoint]; tracked != nil && tracked.inFlight > 0 {
+		tracked.inFlight--
+		tracked.streams[c.pauseClass]--
 	}
 	for _, m := range c.memory {
-		if known := c.ledger.loads[m.endpoint]; known != nil {
-			known.memory = max(known.memory-m.tokens, 0)
+		if tracked := c.tracker.endpoints[m.endpoint]; tracked != nil {
+			tracked.memoryTokens = max(tracked.memoryTokens-m.tokens, 0)
 		}
 	}
 	c.memory = nil
@@ -238,53 +240,53 @@
 func (l *LoadTracker) RecordLoadReport(now time.Time, endpoint directory.Incarnation, running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.load(endpoint)
-	known.toldOpen, known.ownOpen, known.told = running+waiting, known.open, now
+	tracked := l.endpoint(endpoint)
+	tracked.reportedInFlight, tracked.ownAtReport, tracked.reportedAt = running+waiting, tracked.inFlight, now
 }
 
-// toldValid is how long an endpoint's word of its load is used; requests last for
+// loadReportTTL is how long an endpoint's word of its load is used; requests last for
 // seconds.
-const toldValid = 3 * time.Second
+const loadReportTTL = 3 * time.Second
 
-// estimate is what is thought of an endpoint's life.
-type estimate struct {
-	// open is how many requests it has, reading what it has to prefill, and memory the KV
+// loadEstimate is what is thought of an endpoint's life.
+type loadEstimate struct {
+	// inFlight is how many requests it has, reading what it has to prefill, and memory the KV
 	// cache that they need, in tokens: those of all entries.
-	open    int
-	reading time.Duration
-	memory  int
-	// pace is how many times as long as described its work takes.
-	pace float64
+	inFlight       int
+	pendingPrefill time.Duration
+	memoryTokens   int
+	// slowdown is how many times as long as described its work takes.
+	slowdown float64
 }
 
 // estimate gives what is thought of an endpoint's life. How many requests are open is the
 // endpoint's last word, corrected by what this entry has begun and ended since, or what the
 // other entries tell, for as many as there are, whichever is more.
-func (l *LoadTracker) estimate(now time.Time, life directory.Incarnation) estimate {
-	hash := HashEndpoint(life)
-	peers, scale := l.peerLoads[hash], l.peerScale()
-	known := l.loads[life]
-	if known == nil {
-		known = &load{}
+func (l *LoadTracker) estimate(now time.Time, incarnation directory.Incarnation) loadEstimate {
+	hash := HashEndpoint(incarnation)
+	peerLoad, scale := l.peerLoads[hash], l.peerScale()
+	tracked := l.endpoints[incarnation]
+	if tracked == nil {
+		tracked = &trackedEndpoint{}
 	}
-	e := estimate{
-		open:    known.open + int(float64(peers.InFlight)*scale+0.5),
-		reading: known.prefill + time.Duration(float64(peers.PendingPrefill)*scale),
-		memory:  known.memory + int(float64(peers.MemoryTokens)*scale),
-		pace:    l.pace(now, known, hash),
+	e := loadEstimate{
+		inFlight:       tracked.inFlight + int(float64(peerLoad.InFlight)*scale+0.5),
+		pendingPrefill: tracked.pendingPrefill + time.Duration(float64(peerLoad.PendingPrefill)*scale),
+		memoryTokens:   tracked.memoryTokens + int(float64(peerLoad.MemoryTokens)*scale),
+		slowdown:       l.slowdown(now, tracked, hash),
 	}
-	if !known.told.IsZero() && now.Sub(known.told) <= toldValid {
-		e.open = max(e.open, known.toldOpen+known.open-known.ownOpen)
+	if !tracked.reportedAt.IsZero() && now.Sub(tracked.reportedAt) <= loadReportTTL {
+		e.inFlight = max(e.inFlight, tracked.reportedInFlight+tracked.inFlight-tracked.ownAtReport)
 	}
 	return e
 }
 
-// streams gives what is thought of the requests that are open at an endpoint's life, by the
+// streamCounts gives what is thought of the requests that are open at an endpoint's life, by the
 // pause that they allow: those of all entries.
-func (l *LoadTracker) streams(life directory.Incarnation) StreamCounts {
-	others := l.peerLoads[HashEndpoint(life)].Streams.times(l.peerScale())
-	if known := l.loads[life]; known != nil {
-		return known.streams.plus(others)
+func (l *LoadTracker) streamCounts(incarnation directory.Incarnation) StreamCounts {
+	others := l.peerLoads[HashEndpoint(incarnation)].Streams.times(l.peerScale())
+	if tracked := l.endpoints[incarnation]; tracked != nil {
+		return tracked.streams.plus(others)
 	}
 	return others
 }
@@ -293,9 +295,9 @@
 func (l *LoadTracker) SetUnreachable(endpoint directory.Incarnation, unreachable bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.load(endpoint)
-	changed := known.unreachable != unreachable
-	known.unreachable = unreachable
+	tracked := l.endpoint(endpoint)
+	changed := tracked.unreachable != unreachable
+	tracked.unreachable = unreachable
 	return changed
 }
 
@@ -303,36 +305,36 @@
 func (l *LoadTracker) Avoid(endpoint directory.Incarnation, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.load(endpoint).avoidUntil = until
+	l.endpoint(endpoint).avoidUntil = until
 }
 
-func (l *LoadTracker) load(endpoint directory.Incarnation) *load {
-	known := l.loads[endpoint]
-	if known == nil {
-		known = &load{}
-		l.loads[endpoint] = known
+func (l *LoadTracker) endpoint(endpoint directory.Incarnation) *trackedEndpoint {
+	tracked := l.endpoints[endpoint]
+	if tracked == nil {
+		tracked = &trackedEndpoint{}
+		l.endpoints[endpoint] = tracked
 	}
-	return known
+	return tracked
 }
 
-func (l *LoadTracker) hold(service string, prefill time.Duration) {
+func (l *LoadTracker) addQueuedPrefill(service string, prefill time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting[service] += prefill
+	l.queuedPrefill[service] += prefill
 }
 
 func (l *LoadTracker) demand(service string) *demand {
-	known := l.demands[service]
-	if known == nil {
-		known = &demand{}
-		l.demands[service] = known
+	d := l.demands[service]
+	if d == nil {
+		d = &demand{}
+		l.demands[service] = d
 	}
-	return known
+	return d
 }
 
 // Prune forgets endpoints that are not known any more, ended lives among them.
-func (l *LoadTracker) Prune(known func(life directory.Incarnation) bool) {
+func (l *LoadTracker) Prune(known func(incarnation directory.Incarnation) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.loads, func(life directory.Incarnation, _ *load) bool { return !known(life) })
+	maps.DeleteFunc(l.endpoints, func(incarnation directory.Incarnation, _ *trackedEndpoint) bool { return !known(incarnation) })
 }
--- a/routing/direct/level.go
+++ b/routing/direct/level.go
@@ -7,8 +7,8 @@
 	longPrompt   = 110_000
 )
 
-// lowestLevel is the last of the engines' priorities.
-const lowestLevel = 9
+// lowestPriority is the last of the engines' priorities.
+const lowestPriority = 9
 
 // EnginePriority is the engines' priority of a request, 0 first: shorter prompts go first,
 // since they cost a longer one milliseconds and a long one costs them seconds; among
@@ -26,5 +26,5 @@
 	if priority > 1 {
 		level++
 	}
-	return min(level, lowestLevel)
+	return min(level, lowestPriority)
 }
--- a/routing/direct/limits.go
+++ b/routing/direct/limits.go
@@ -18,27 +18,27 @@
 	// as long as the most patient callers allow; a lower limit refuses prompts that would
 	// hold up few.
 	longestPartShare = 0.7
-	// usualGap and patientGap stand in where no route says what it allows: those of the
+	// defaultMinPause and patientGap stand in where no route says what it allows: those of the
 	// users' sites.
-	usualGap   = 250 * time.Millisecond
-	patientGap = time.Second
+	defaultMinPause = 250 * time.Millisecond
+	defaultMaxPause = time.Second
 )
 
 // partTarget is the prefill of one part of a prompt.
 func partTarget(s *directory.Service) time.Duration {
-	return share(partShare, s.MinTargetPause, usualGap)
+	return fractionOf(partShare, s.MinTargetPause, defaultMinPause)
 }
 
 // longestPart is the prefill of a part that may be placed on engines in use.
 func longestPart(s *directory.Service) time.Duration {
-	return share(longestPartShare, s.MaxTargetPause, patientGap)
+	return fractionOf(longestPartShare, s.MaxTargetPause, defaultMaxPause)
 }
 
-func share(part float64, of, otherwise time.Duration) time.Duration {
-	if of == 0 {
-		of = otherwise
+func fractionOf(fraction float64, pause, fallback time.Duration) time.Duration {
+	if pause == 0 {
+		pause = fallback
 	}
-	return time.Duration(part * float64(of))
+	return time.Duration(fraction * float64(pause))
 }
 
 // isLong tells whether a prompt's prefill is long: even in as many parts as there may be,
--- a/routing/direct/pace.go
+++ b/routing/direct/pace.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// slowPace is from which pace on an engine counts as slow: how many times as long as
+	// slowThreshold is from which pace on an engine counts as slow: how many times as long as
 	// described its work takes. Engines that are only loaded differ by less.
-	slowPace = 1.3
-	// paceValid is how long a pace is believed that is not told again.
-	paceValid = 3 * time.Second
-	// peerPaceValid is how long another entry's word of a pace is used: entries tell it with
+	slowThreshold = 1.3
+	// slowdownTTL is how long a pace is believed that is not told again.
+	slowdownTTL = 3 * time.Second
+	// peerSlowdownTTL is how long another entry's word of a pace is used: entries tell it with
 	// each heartbeat, and a few of these may be lost.
-	peerPaceValid = 500 * time.Millisecond
-	// slowPassShare is how many passes longer a short prompt on a slow engine is expected to
+	peerSlowdownTTL = 500 * time.Millisecond
+	// passesPerSlowdown is how many passes longer a short prompt on a slow engine is expected to
 	// take for each time as long: it waits for the rest of one and has one of its own.
-	slowPassShare = 2
+	passesPerSlowdown = 2
 )
 
 // SetSlowdown notes how many times as long as described an endpoint's work takes. It tells
 // whether the endpoint has turned slow or has recovered.
-func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Incarnation, pace float64) (slow, changed bool) {
+func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Incarnation, slowdown float64) (slow, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.load(endpoint)
-	before := known.slow(now)
-	known.pace, known.paceAt = pace, now
-	slow = known.slow(now)
+	tracked := l.endpoint(endpoint)
+	before := tracked.isSlow(now)
+	tracked.slowdown, tracked.slowdownAt = slowdown, now
+	slow = tracked.isSlow(now)
 	return slow, slow != before
 }
 
@@ -44,18 +44,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []SlowEndpoint
-	for life, known := range l.loads {
-		if known.slow(now) {
-			list = append(list, SlowEndpoint{HashEndpoint(life), known.pace})
+	for incarnation, tracked := range l.endpoints {
+		if tracked.isSlow(now) {
+			list = append(list, SlowEndpoint{HashEndpoint(incarnation), tracked.slowdown})
 		}
 	}
 	return list
 }
 
-// peerPace is what another entry told of an endpoint, and when.
-type peerPace struct {
-	pace float64
-	at   time.Time
+// peerSlowdown is what another entry told of an endpoint, and when.
+type peerSlowdown struct {
+	slowdown   float64
+	receivedAt time.Time
 }
 
 // RecordPeerSlowEndpoints notes which endpoints told another entry that they are slow.
@@ -63,28 +63,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range list {
-		l.peerPaces[s.Endpoint] = peerPace{s.Slowdown, now}
+		l.peerSlowdowns[s.Endpoint] = peerSlowdown{s.Slowdown, now}
 	}
-	for endpoint, told := range l.peerPaces {
-		if now.Sub(told.at) > peerPaceValid {
-			delete(l.peerPaces, endpoint)
+	for endpoint, reported := range l.peerSlowdowns {
+		if now.Sub(reported.receivedAt) > peerSlowdownTTL {
+			delete(l.peerSlowdowns, endpoint)
 		}
 	}
 }
 
-// slow tells whether the endpoint's work takes longer than described.
-func (l *load) slow(now time.Time) bool {
-	return l.pace >= slowPace && now.Sub(l.paceAt) <= paceValid
+// isSlow tells whether the endpoint's work takes longer than described.
+func (t *trackedEndpoint) isSlow(now time.Time) bool {
+	return t.slowdown >= slowThreshold && now.Sub(t.slowdownAt) <= slowdownTTL
 }
 
-// pace is how many times as long as described the work of an endpoint takes of which this
+// slowdown is how many times as long as described the work of an endpoint takes of which this
 // entry knows a load: its own word, or what another entry was told.
-func (l *LoadTracker) pace(now time.Time, known *load, hash EndpointHash) float64 {
-	if known.slow(now) {
-		return known.pace
+func (l *LoadTracker) slowdown(now time.Time, tracked *trackedEndpoint, hash EndpointHash) float64 {
+	if tracked.isSlow(now) {
+		return tracked.slowdown
 	}
-	if told, found := l.peerPaces[hash]; found && now.Sub(told.at) <= peerPaceValid {
-		return told.pace
+	if reported, found := l.peerSlowdowns[hash]; found && now.Sub(reported.receivedAt) <= peerSlowdownTTL {
+		return reported.slowdown
 	}
 	return 1
 }
@@ -93,7 +93,7 @@
 func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Incarnation) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.estimate(now, endpoint).reading
+	return l.estimate(now, endpoint).pendingPrefill
 }
 
 // PassTime is the time of a pass on an engine that is full and prefills nothing: the
@@ -108,29 +108,29 @@
 // DecodeTime is that of the steps of one pass in which so many requests decode, with so many
 // tokens of context.
 func DecodeTime(e *directory.Engine, requests, tokens int) time.Duration {
-	step := e.StepTime + time.Duration(requests)*e.StepTimePerRequest + time.Duration(tokens/thousand)*e.StepTimePerContext
+	step := e.StepTime + time.Duration(requests)*e.StepTimePerRequest + time.Duration(tokens/contextUnit)*e.StepTimePerContext
 	return time.Duration(e.Stride) * step
 }
 
-// thousand is the number of tokens of context that directory.Engine.StepPerContext speaks
+// contextUnit is the number of tokens of context that directory.Engine.StepPerContext speaks
 // of.
-const thousand = 1000
+const contextUnit = 1000
 
-// steady drops slow engines, as long as there are others: the first token of a prompt that
+// dropSlowUnlessAll drops slow engines, as long as there are others: the first token of a prompt that
 // is prefilled in parts comes with the slowest of them, so that a few slow engines would make every such prompt
 // late.
-func steady(list []scored) []scored {
-	if kept := steadyOnly(list); len(kept) > 0 {
+func dropSlowUnlessAll(list []scored) []scored {
+	if kept := dropSlow(list); len(kept) > 0 {
 		return kept
 	}
 	return list
 }
 
-// steadyOnly drops slow engines.
-func steadyOnly(list []scored) []scored {
+// dropSlow drops slow engines.
+func dropSlow(list []scored) []scored {
 	kept := make([]scored, 0, len(list))
 	for _, s := range list {
-		if s.pace < slowPace {
+		if s.slowdown < slowThreshold {
 			kept = append(kept, s)
 		}
 	}
--- a/routing/direct/pace_test.go
+++ b/routing/direct/pace_test.go
@@ -21,20 +21,20 @@
 // Symptom: every long prompt is late for as long as one engine of twenty is slow. Sequence:
 // an engine turns slow, prompts are prefilled in parts on it and on others. Cause: the
 // first token waits for the slowest part, and nobody knew which engine that was.
-func TestPartsKeepOffSlowEngines(t *testing.T) {
+func TestPartsAvoidSlowEngines(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(20)
-	p := policy(1)
-	p.ledger.SetSlowdown(testNow, list[19].Incarnation, 3)
-	p.ledger.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Incarnation), 2}}) // another entry's word
+	p := newPolicy(1)
+	p.tracker.SetSlowdown(testNow, list[19].Incarnation, 3)
+	p.tracker.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Incarnation), 2}}) // another entry's word
 	for _, tokens := range []int{60_000, 150_000, 300_000} {
 		parts := enginesOf(p.Place(testNow, prompt(tokens), list))
 		is.True(!parts[list[19].Incarnation] && !parts[list[18].Incarnation])
 	}
-	later := testNow.Add(paceValid + time.Second)
+	later := testNow.Add(slowdownTTL + time.Second)
 	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Incarnation]) // nobody told of it again
 	for _, e := range list {
-		p.ledger.SetSlowdown(testNow, e.Incarnation, 2)
+		p.tracker.SetSlowdown(testNow, e.Incarnation, 2)
 	}
 	is.True(p.Place(testNow, prompt(150_000), list) != nil) // slow ones are better than none
 }
@@ -45,8 +45,8 @@
 func TestALongPromptIsNotWidenedToSlowEngines(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(4)
-	p := ranked(0, 1)
-	p.ledger.SetSlowdown(testNow, list[0].Incarnation, 5)
+	p := policyWithRank(0, 1)
+	p.tracker.SetSlowdown(testNow, list[0].Incarnation, 5)
 	for range 3 {
 		p.AddLongPrompt(testNow, service(), len(list), 150_000)
 		plan := p.Place(testNow, prompt(150_000), list)
@@ -59,26 +59,26 @@
 func TestAShortPromptGoesToASlowEngineOnlyWhenOthersAreBusy(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(3) // two of them for short prompts
-	p := policy(2)
-	p.ledger.SetSlowdown(testNow, list[0].Incarnation, 3)
+	p := newPolicy(2)
+	p.tracker.SetSlowdown(testNow, list[0].Incarnation, 3)
 	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Incarnation, list[1].Incarnation)
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200}}, []EndpointLoad{{Endpoint: HashEndpoint(list[1].Incarnation), InFlight: 16, PendingPrefill: time.Second}, {Endpoint: HashEndpoint(list[2].Incarnation), InFlight: 16, PendingPrefill: time.Second}})
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 200}}, []EndpointLoad{{Endpoint: HashEndpoint(list[1].Incarnation), InFlight: 16, PendingPrefill: time.Second}, {Endpoint: HashEndpoint(list[2].Incarnation), InFlight: 16, PendingPrefill: time.Second}})
 	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Incarnation, list[0].Incarnation)
 }
 
 // What an endpoint said before it was restarted is not believed of its next life.
-func TestANewLifeIsNotSlow(t *testing.T) {
+func TestNewIncarnationIsNotSlow(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
 	before, after := directory.Incarnation{ID: "a", StartUnixMilli: 1}, directory.Incarnation{ID: "a", StartUnixMilli: 2}
 	slow, changed := l.SetSlowdown(testNow, before, 4)
 	is.True(slow && changed)
 	l.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(before), 4}})
-	is.Equal(l.estimate(testNow, before).pace, 4.0)
-	is.Equal(l.estimate(testNow, after).pace, 1.0)
+	is.Equal(l.estimate(testNow, before).slowdown, 4.0)
+	is.Equal(l.estimate(testNow, after).slowdown, 1.0)
 	is.Equal(len(l.SlowEndpoints(testNow)), 1)
 	slow, changed = l.SetSlowdown(testNow, before, 1)
 	is.True(!slow && changed)
 	l.RecordPeerSlowEndpoints(testNow.Add(time.Minute), nil)
-	is.Equal(len(l.peerPaces), 0)
+	is.Equal(len(l.peerSlowdowns), 0)
 }
--- a/routing/direct/peers.go
+++ b/routing/direct/peers.go
@@ -4,54 +4,54 @@
 
 // peer is what another entry last told.
 type peer struct {
-	at      time.Time
-	demands []Demand
-	open    map[EndpointHash]EndpointLoad
+	receivedAt time.Time
+	demands    []Demand
+	loads      map[EndpointHash]EndpointLoad
 }
 
-// peerValid is how long another entry's word is used; several times the interval at
+// peerLoadTTL is how long another entry's word is used; several times the interval at
 // which entries tell each other.
-const peerValid = time.Second
+const peerLoadTTL = time.Second
 
 // ReplacePeerLoad notes what another entry's requests ask of the engines, in place of what it
 // told before.
-func (l *LoadTracker) ReplacePeerLoad(now time.Time, name string, demands []Demand, open []EndpointLoad) {
+func (l *LoadTracker) ReplacePeerLoad(now time.Time, name string, demands []Demand, loads []EndpointLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(name)
-	l.peers[name] = &peer{now, demands, make(map[EndpointHash]EndpointLoad, len(open))}
-	l.takeOpen(l.peers[name], open)
+	l.removePeer(name)
+	l.peers[name] = &peer{now, demands, make(map[EndpointHash]EndpointLoad, len(loads))}
+	l.applyPeerLoads(l.peers[name], loads)
 }
 
 // UpdatePeerLoad notes what has changed since another entry last told; an entry that
 // is not known begins with it.
-func (l *LoadTracker) UpdatePeerLoad(now time.Time, name string, demands []Demand, open []EndpointLoad) {
+func (l *LoadTracker) UpdatePeerLoad(now time.Time, name string, demands []Demand, loads []EndpointLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.peers[name]
-	if known == nil {
-		known = &peer{open: map[EndpointHash]EndpointLoad{}}
-		l.peers[name] = known
+	p := l.peers[name]
+	if p == nil {
+		p = &peer{loads: map[EndpointHash]EndpointLoad{}}
+		l.peers[name] = p
 	}
-	known.at, known.demands = now, demands
-	l.takeOpen(known, open)
+	p.receivedAt, p.demands = now, demands
+	l.applyPeerLoads(p, loads)
 }
 
-// takeOpen replaces what a peer told of some endpoints, in its record and in the sums.
-func (l *LoadTracker) takeOpen(p *peer, open []EndpointLoad) {
-	for _, o := range open {
-		old := p.open[o.Endpoint]
-		l.addPeerLoad(o.Endpoint, EndpointLoad{InFlight: o.InFlight - old.InFlight, PendingPrefill: o.PendingPrefill - old.PendingPrefill, MemoryTokens: o.MemoryTokens - old.MemoryTokens, Streams: o.Streams.minus(old.Streams)})
-		if o.nothing() {
-			delete(p.open, o.Endpoint)
+// applyPeerLoads replaces what a peer told of some endpoints, in its record and in the sums.
+func (l *LoadTracker) applyPeerLoads(p *peer, loads []EndpointLoad) {
+	for _, load := range loads {
+		old := p.loads[load.Endpoint]
+		l.addPeerLoad(load.Endpoint, EndpointLoad{InFlight: load.InFlight - old.InFlight, PendingPrefill: load.PendingPrefill - old.PendingPrefill, MemoryTokens: load.MemoryTokens - old.MemoryTokens, Streams: load.Streams.minus(old.Streams)})
+		if load.isZero() {
+			delete(p.loads, load.Endpoint)
 			continue
 		}
-		p.open[o.Endpoint] = o
+		p.loads[load.Endpoint] = load
 	}
 }
 
-// nothing tells whether there is nothing to do.
-func (o EndpointLoad) nothing() bool { return o == EndpointLoad{Endpoint: o.Endpoint} }
+// isZero tells whether there is isZero to do.
+func (load EndpointLoad) isZero() bool { return load == EndpointLoad{Endpoint: load.Endpoint} }
 
 // addPeerLoad adds a difference to the sum of what other entries tell of an endpoint.
 func (l *LoadTracker) addPeerLoad(endpoint EndpointHash, more EndpointLoad) {
@@ -60,21 +60,21 @@
 	sum.PendingPrefill += more.PendingPrefill
 	sum.MemoryTokens += more.MemoryTokens
 	sum.Streams = sum.Streams.plus(more.Streams)
-	if sum.nothing() {
+	if sum.isZero() {
 		delete(l.peerLoads, endpoint)
 		return
 	}
 	l.peerLoads[endpoint] = sum
 }
 
-// forget takes another entry's word back.
-func (l *LoadTracker) forget(name string) {
-	known := l.peers[name]
-	if known == nil {
+// removePeer takes another entry's word back.
+func (l *LoadTracker) removePeer(name string) {
+	p := l.peers[name]
+	if p == nil {
 		return
 	}
-	for endpoint, o := range known.open {
-		l.addPeerLoad(endpoint, EndpointLoad{InFlight: -o.InFlight, PendingPrefill: -o.PendingPrefill, MemoryTokens: -o.MemoryTokens, Streams: StreamCounts{}.minus(o.Streams)})
+	for endpoint, load := range p.loads {
+		l.addPeerLoad(endpoint, EndpointLoad{InFlight: -load.InFlight, PendingPrefill: -load.PendingPrefill, MemoryTokens: -load.MemoryTokens, Streams: StreamCounts{}.minus(load.Streams)})
 	}
 	delete(l.peers, name)
 }
@@ -91,36 +91,36 @@
 func (l *LoadTracker) PeerStatus(now time.Time) PeerStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := PeerStatus{Peers: max(l.entries-1, 0)}
+	status := PeerStatus{Peers: max(l.entryCount-1, 0)}
 	for _, p := range l.peers {
-		age := now.Sub(p.at)
-		if age > peerValid {
+		age := now.Sub(p.receivedAt)
+		if age > peerLoadTTL {
 			continue
 		}
-		k.Heard++
-		k.OldestAge = max(k.OldestAge, age)
-		k.MeanAge += age
+		status.Heard++
+		status.OldestAge = max(status.OldestAge, age)
+		status.MeanAge += age
 	}
-	k.MeanAge /= time.Duration(max(k.Heard, 1))
-	return k
+	status.MeanAge /= time.Duration(max(status.Heard, 1))
+	return status
 }
 
-// heardOfOthers tells whether this entry knows of another one's work, or that it is alone.
-func (l *LoadTracker) heardOfOthers() bool { return l.rank.of > 0 || len(l.peers) > 0 }
+// knowsOtherEntries tells whether this entry knows of another one's work, or that it is alone.
+func (l *LoadTracker) knowsOtherEntries() bool { return l.rank.count > 0 || len(l.peers) > 0 }
 
 // SetEntryCount tells how many entries there are; not all of them need to be heard of.
 func (l *LoadTracker) SetEntryCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entries = n
+	l.entryCount = n
 }
 
 // SetRank tells this entry's number among the entries that are heard of and itself, in the
 // order of their names, and how many these are.
-func (l *LoadTracker) SetRank(number, of int) {
+func (l *LoadTracker) SetRank(index, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rank = rank{number, of}
+	l.rank = rank{index, count}
 }
 
 // peerScale is how many other entries there are for each one that is heard of; 0 while
@@ -129,5 +129,5 @@
 	if len(l.peers) == 0 {
 		return 0
 	}
-	return float64(max(l.entries-1, len(l.peers))) / float64(len(l.peers))
+	return float64(max(l.entryCount-1, len(l.peers))) / float64(len(l.peers))
 }
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// choose takes the engines with the least cost. The one that a long prompt is sent to is
+// chooseEngines takes the engines with the least cost. The one that a long prompt is sent to is
 // that, of them, whose memory is least used; a short one is sent to the engine for short
 // prompts that is preferred, where its events come sooner and its memory is in nobody's way,
 // and its other parts to engines for long ones. Where none of them has room, another one is
@@ -14,7 +14,7 @@
 // are prefilled in less than a second would begin after several. The helpers of a request that
 // needs more memory than alone come in the order of what is free there, as the first of them
 // are to hold it. It gives the most that any of the engines has to prefill before.
-func (p *Policy) choose(plan *Plan, list []scored, parts, alone int) (before time.Duration) {
+func (p *Policy) chooseEngines(plan *Plan, list []scored, parts, singleEngineMemory int) (maxPending time.Duration) {
 	for i := range list { // random among equals
 		j := i + p.rand.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
@@ -22,27 +22,27 @@
 	slices.SortStableFunc(list, byPreference)
 	first := 0
 	for i := 1; i < parts; i++ {
-		if plan.Long && list[i].memory < list[first].memory || list[first].full && !list[i].full {
+		if plan.Long && list[i].memoryTokens < list[first].memoryTokens || list[first].full && !list[i].full {
 			first = i
 		}
 	}
 	if list[first].full {
-		first = withRoom(list, parts, first)
+		first = replaceLastWithRoom(list, parts, first)
 	}
 	plan.Endpoint, plan.Cost = list[first].endpoint, list[first].cost
 	helpers := append(list[:first:first], list[first+1:parts]...)
-	if plan.MemoryTokens > alone {
-		slices.SortStableFunc(helpers, func(a, b scored) int { return cmp.Compare(a.memory, b.memory) })
+	if plan.MemoryTokens > singleEngineMemory {
+		slices.SortStableFunc(helpers, func(a, b scored) int { return cmp.Compare(a.memoryTokens, b.memoryTokens) })
 	}
 	for _, s := range helpers {
 		plan.Helpers = append(plan.Helpers, s.endpoint)
 	}
 	for _, s := range list[:parts] {
-		plan.InFlight += s.open
-		plan.Delayed += s.harmed
-		before = max(before, s.reading)
+		plan.InFlight += s.inFlight
+		plan.Delayed += s.delayed
+		maxPending = max(maxPending, s.pendingPrefill)
 	}
-	return before
+	return maxPending
 }
 
 // byPreference orders engines for the parts of a prompt.
@@ -56,9 +56,9 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// withRoom brings the cheapest engine that has room among the first of a list, in place
+// replaceLastWithRoom brings the cheapest engine that has room among the first of a list, in place
 // of the last of them, and gives its index; first where none has.
-func withRoom(list []scored, parts, first int) int {
+func replaceLastWithRoom(list []scored, parts, first int) int {
 	for i := parts; i < len(list); i++ {
 		if !list[i].full {
 			list[parts-1], list[i] = list[i], list[parts-1]
@@ -68,9 +68,9 @@
 	return first
 }
 
-// pick takes the lowest cost, one at random among equals, so that entries with the
+// pickCheapest takes the lowest cost, one at random among equals, so that entries with the
 // same view do not all take the same.
-func pick(rand Rand, list []scored) scored {
+func pickCheapest(rand Rand, list []scored) scored {
 	best, equal := list[0], 1
 	for _, s := range list[1:] {
 		switch {
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -67,22 +67,22 @@
 
 // Policy places requests.
 type Policy struct {
-	ledger *LoadTracker
-	rand   Rand
+	tracker *LoadTracker
+	rand    Rand
 }
 
 // NewPolicy makes a policy over a ledger.
-func NewPolicy(ledger *LoadTracker, rand Rand) *Policy {
-	return &Policy{ledger: ledger, rand: rand}
+func NewPolicy(tracker *LoadTracker, rand Rand) *Policy {
+	return &Policy{tracker: tracker, rand: rand}
 }
 
 const (
-	// openCost is what each open request at an endpoint adds to the estimated delay: it
+	// inFlightCost is what each open request at an endpoint adds to the estimated delay: it
 	// decodes there and lengthens every pass, or others like it follow.
-	openCost = 5 * time.Millisecond
-	// slotCost is what each request adds that is open beyond the endpoint's slots: one
+	inFlightCost = 5 * time.Millisecond
+	// overSlotsCost is what each request adds that is open beyond the endpoint's slots: one
 	// of them must end first.
-	slotCost = 150 * time.Millisecond
+	overSlotsCost = 150 * time.Millisecond
 	// distanceCost is the way to another data centre and back.
 	distanceCost = 2 * time.Millisecond
 	// otherPoolCost is what an engine of the other kind costs a short prompt, which a part of
@@ -90,12 +90,12 @@
 	// of a short prompt, which makes those late that decode there. It is worth 40 open requests, so that
 	// those for short ones fill their slots first.
 	otherPoolCost = 200 * time.Millisecond
-	// harmCost is what each request that a part over longestPart would make late adds to its
+	// delayCost is what each request that a part over longestPart would make late adds to its
 	// engine's cost: more than most engines have to read.
-	harmCost = time.Second
-	// leastRead is what an engine has to read at least for a part to harm the prompt that is read
+	delayCost = time.Second
+	// minInterruptedPrefill is what an engine has to read at least for a part to harm the prompt that is read
 	// there, which it stops.
-	leastRead = 200 * time.Millisecond
+	minInterruptedPrefill = 200 * time.Millisecond
 	// maxParts is on how many engines a prompt is prefilled: the one that it is sent to
 	// and the helpers that it may name.
 	maxParts = 17
@@ -106,59 +106,59 @@
 
 // Place picks where a request goes; nil when no endpoint may be sent it.
 func (p *Policy) Place(now time.Time, r *Request, endpoints []*directory.EndpointState) *Plan {
-	p.ledger.mu.Lock()
-	defer p.ledger.mu.Unlock()
-	p.ledger.advance(now)
-	kept := p.eligible(now, r, endpoints)
-	if len(kept) == 0 {
+	p.tracker.mu.Lock()
+	defer p.tracker.mu.Unlock()
+	p.tracker.updatePendingPrefill(now)
+	candidates := p.eligible(now, r, endpoints)
+	if len(candidates) == 0 {
 		return nil
 	}
 	if r.Service.Engine == nil {
-		return p.placePlain(now, r, kept)
+		return p.placePlain(now, r, candidates)
 	}
-	return p.placeEngine(now, r, kept)
+	return p.placeEngine(now, r, candidates)
 }
 
 // placePlain picks the endpoint of a plain service with the least to do.
-func (p *Policy) placePlain(now time.Time, r *Request, kept []*directory.EndpointState) *Plan {
-	best := pick(p.rand, p.score(now, r, kept, nil))
-	return &Plan{Endpoint: best.endpoint, Cost: best.cost, Candidates: len(kept)}
+func (p *Policy) placePlain(now time.Time, r *Request, candidates []*directory.EndpointState) *Plan {
+	best := pickCheapest(p.rand, p.score(now, r, candidates, nil))
+	return &Plan{Endpoint: best.endpoint, Cost: best.cost, Candidates: len(candidates)}
 }
 
 // placeEngine picks an engine, and helpers where the prompt is prefilled in parts.
-func (p *Policy) placeEngine(now time.Time, r *Request, kept []*directory.EndpointState) *Plan {
+func (p *Policy) placeEngine(now time.Time, r *Request, candidates []*directory.EndpointState) *Plan {
 	engine := r.Service.Engine
 	prefill := PrefillTime(engine, r.PromptTokens)
-	plan := &Plan{Long: isLong(r.Service, prefill), MemoryTokens: r.PromptTokens + r.OutputTokens, Candidates: len(kept), pauseClass: PauseClass(r.MaxPause)}
+	plan := &Plan{Long: isLong(r.Service, prefill), MemoryTokens: r.PromptTokens + r.OutputTokens, Candidates: len(candidates), pauseClass: PauseClass(r.MaxPause)}
 	var list []scored
 	var parts int
 	if plan.Long {
-		list, parts = p.longEngines(now, r, kept, prefill)
+		list, parts = p.longEngines(now, r, candidates, prefill)
 	} else {
-		list, parts = p.shortEngines(now, r, kept, prefill)
+		list, parts = p.shortEngines(now, r, candidates, prefill)
 	}
 	plan.PartPrefill = prefill / time.Duration(parts)
 	if plan.PartPrefill <= longestPart(r.Service) {
 		p.assign(plan, list, parts, engine)
 		return plan
 	}
-	p.countHarmed(list, partPause(engine, plan.PartPrefill))
-	sparing, stopping := *plan, *plan
-	p.assign(&sparing, weighHarm(list, true), parts, engine)
-	if sparing.Delayed <= quietHarmed {
+	p.countDelayed(list, partPause(engine, plan.PartPrefill))
+	sparing, interrupting := *plan, *plan
+	p.assign(&sparing, addDelayCost(list, true), parts, engine)
+	if sparing.Delayed <= maxDelayed {
 		return &sparing
 	}
 	// Rather than be refused, the prompt stops others that are read.
-	p.assign(&stopping, weighHarm(list, false), parts, engine)
-	stopping.Overloaded = stopping.Delayed > quietHarmed
-	return &stopping
+	p.assign(&interrupting, addDelayCost(list, false), parts, engine)
+	interrupting.Overloaded = interrupting.Delayed > maxDelayed
+	return &interrupting
 }
 
 // assign gives a plan so many parts of a list of engines.
 func (p *Policy) assign(plan *Plan, list []scored, parts int, engine *directory.Engine) {
-	before := p.choose(plan, list, parts, aloneMemory(engine))
-	plan.ExpectedFirstToken = before + plan.PartPrefill + 2*PassTime(engine)
-	plan.divideMemory(engine)
+	pending := p.chooseEngines(plan, list, parts, maxSingleEngineMemory(engine))
+	plan.ExpectedFirstToken = pending + plan.PartPrefill + 2*PassTime(engine)
+	plan.splitMemory(engine)
 }
 
 // partPause is the pause that a part means for those who decode on its engine.
@@ -166,26 +166,26 @@
 	return DecodeTime(engine, engine.Slots/2, engine.KVCacheTokens/2) + part
 }
 
-// countHarmed notes how many of the requests that are open on each engine would be late by a pause.
-func (p *Policy) countHarmed(list []scored, pause time.Duration) {
+// countDelayed notes how many of the requests that are open on each engine would be late by a pause.
+func (p *Policy) countDelayed(list []scored, pause time.Duration) {
 	for i := range list {
-		list[i].harmed = p.ledger.streams(list[i].endpoint.Incarnation).under(pause)
+		list[i].delayed = p.tracker.streamCounts(list[i].endpoint.Incarnation).delayedBy(pause)
 	}
 }
 
-// weighHarm gives a list of engines with the cost of whom a part harms there: streams that would be
+// addDelayCost gives a list of engines with the cost of whom a part harms there: streams that would be
 // late by the pause and, with spareRead, the prompt that is read. A plan that went by what engines
 // have to read alone would be refused for the streams on engines that have little to read, while
 // others have none.
-func weighHarm(list []scored, spareRead bool) []scored {
+func addDelayCost(list []scored, sparePrefill bool) []scored {
 	list = slices.Clone(list)
 	for i := range list {
 		s := &list[i]
-		harm := s.harmed
-		if spareRead && s.reading > leastRead {
-			harm++
+		delayed := s.delayed
+		if sparePrefill && s.pendingPrefill > minInterruptedPrefill {
+			delayed++
 		}
-		s.cost += time.Duration(harm) * harmCost
+		s.cost += time.Duration(delayed) * delayCost
 	}
 	return list
 }
@@ -196,64 +196,64 @@
 // One in parts is held by an engine for short ones and prefilled on those for long ones: on
 // its own kind's three or four such parts meet in one pass, over the pause that short streams
 // allow.
-func (p *Policy) shortEngines(now time.Time, r *Request, kept []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
+func (p *Policy) shortEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	target := partTarget(r.Service)
-	boundary := min(p.boundary(now, r.Service, len(kept)), len(kept))
+	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates))
 	if prefill < 2*target {
-		return p.weighDrawn(now, r, p.draw(kept[:boundary], kept[boundary:])), 1
+		return p.scoreSample(now, r, p.sampleEngines(candidates[:boundary], candidates[boundary:])), 1
 	}
-	list := p.score(now, r, kept, r.Service.Engine)
+	list := p.score(now, r, candidates, r.Service.Engine)
 	short := list[:boundary]
-	preferHolder(short)
-	discourage(short, otherPoolCost)
-	list = steady(list)
-	return list, partsOf(prefill, target, len(list))
+	markPreferred(short)
+	addCost(short, otherPoolCost)
+	list = dropSlowUnlessAll(list)
+	return list, partCount(prefill, target, len(list))
 }
 
-// weighDrawn scores the engines drawn for a short prompt.
-func (p *Policy) weighDrawn(now time.Time, r *Request, d drawn) []scored {
-	list := p.score(now, r, d.own, r.Service.Engine)
-	away := p.score(now, r, d.away, r.Service.Engine)
-	if p.ledger.rank.of > 0 {
-		discourage(away, awayCost)
+// scoreSample scores the engines drawn for a short prompt.
+func (p *Policy) scoreSample(now time.Time, r *Request, sample engineSample) []scored {
+	list := p.score(now, r, sample.own, r.Service.Engine)
+	otherEntries := p.score(now, r, sample.otherEntries, r.Service.Engine)
+	if p.tracker.rank.count > 0 {
+		addCost(otherEntries, otherEntryCost)
 	}
-	other := p.score(now, r, d.other, r.Service.Engine)
-	discourage(other, otherPoolCost)
-	return slices.Concat(list, away, other)
+	longEngines := p.score(now, r, sample.longEngines, r.Service.Engine)
+	addCost(longEngines, otherPoolCost)
+	return slices.Concat(list, otherEntries, longEngines)
 }
 
 // longEngines gives the engines that a long prompt may be prefilled on, and in how many
 // parts: those at the end of the list, and others where these are too few.
-func (p *Policy) longEngines(now time.Time, r *Request, kept []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
+func (p *Policy) longEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	engine := r.Service.Engine
-	boundary := min(p.boundary(now, r.Service, len(kept)), len(kept)-1)
-	others := kept[:boundary]
-	list := steady(p.score(now, r, kept[boundary:], engine))
-	if needed := holders(engine, r.PromptTokens+r.OutputTokens); len(list) < needed {
-		all := p.score(now, r, kept, engine)
-		if list = steady(all); len(list) < needed {
+	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates)-1)
+	others := candidates[:boundary]
+	list := dropSlowUnlessAll(p.score(now, r, candidates[boundary:], engine))
+	if needed := enginesForMemory(engine, r.PromptTokens+r.OutputTokens); len(list) < needed {
+		all := p.score(now, r, candidates, engine)
+		if list = dropSlowUnlessAll(all); len(list) < needed {
 			list = all
 		}
 		return list, min(maxParts, len(list))
 	}
-	parts := partsOf(prefill, partTarget(r.Service), len(list))
+	parts := partCount(prefill, partTarget(r.Service), len(list))
 	if prefill/time.Duration(parts) > longestPart(r.Service) {
 		return p.widen(now, r, others, list, prefill)
 	}
 	return list, parts
 }
 
-// partsOf is in how many parts a prompt is prefilled on so many engines.
-func partsOf(prefill, target time.Duration, engines int) int {
+// partCount is in how many parts a prompt is prefilled on so many engines.
+func partCount(prefill, target time.Duration, engines int) int {
 	return max(1, min(int((prefill+target-1)/target), maxParts, engines))
 }
 
-// quietHarmed is how many streams a plan with parts over longestPart may make late.
-const quietHarmed = 4
+// maxDelayed is how many streams a plan with parts over longestPart may make late.
+const maxDelayed = 4
 
-// widenOpen is how many short requests may be held up by a long prompt that needs more
+// maxWidenInFlight is how many short requests may be held up by a long prompt that needs more
 // engines than those for long prompts.
-const widenOpen = 12
+const maxWidenInFlight = 12
 
 // widen adds to the engines for long prompts as many of the others, those with the
 // least open, as make a prompt's parts short enough, or as short as they can be; none if
@@ -261,18 +261,18 @@
 func (p *Policy) widen(now time.Time, r *Request, others []*directory.EndpointState, list []scored, prefill time.Duration) ([]scored, int) {
 	parts := min(maxParts, len(list))
 	longest := longestPart(r.Service)
-	more := steadyOnly(p.score(now, r, others, r.Service.Engine))
+	more := dropSlow(p.score(now, r, others, r.Service.Engine))
 	needed := min(int((prefill+longest-1)/longest), maxParts, len(list)+len(more))
 	extra := needed - len(list)
 	if extra <= 0 {
 		return list, parts
 	}
 	slices.SortStableFunc(more, func(a, b scored) int { return cmp.Compare(a.cost, b.cost) })
-	open := 0
+	inFlight := 0
 	for _, s := range more[:extra] {
-		open += s.open
+		inFlight += s.inFlight
 	}
-	if open > widenOpen {
+	if inFlight > maxWidenInFlight {
 		return list, parts
 	}
 	return append(list, more[:extra]...), needed
@@ -280,15 +280,15 @@
 
 // boundary is how many of a service's engines short prompts have to themselves.
 func (p *Policy) boundary(now time.Time, service *directory.Service, engines int) int {
-	return p.boundaryFor(p.ledger.total(now, service.Name), service, engines)
+	return p.boundaryFor(p.tracker.totalDemand(now, service.Name), service, engines)
 }
 
 // boundaryFor is the same at a demand that is known.
 func (p *Policy) boundaryFor(demand Demand, service *directory.Service, engines int) int {
-	if !p.ledger.heardOfOthers() {
+	if !p.tracker.knowsOtherEntries() {
 		// Entries that have all just started would each send their first requests to the
 		// same few engines.
-		return mostShort(demand, service.Engine, engines)
+		return maxShortEngines(demand, service.Engine, engines)
 	}
-	return enginesForShort(demand, service.Engine, engines, p.ledger.rank.of)
+	return enginesForShort(demand, service.Engine, engines, p.tracker.rank.count)
 }
--- a/routing/direct/streams.go
+++ b/routing/direct/streams.go
@@ -60,8 +60,8 @@
 	return s
 }
 
-// under is how many of them allow no pause of such a length.
-func (s StreamCounts) under(pause time.Duration) int {
+// delayedBy is how many of them allow no pause of such a length.
+func (s StreamCounts) delayedBy(pause time.Duration) int {
 	sum := 0
 	for i, n := range s {
 		if pauseLimits[i] < pause {
--- a/routing/direct/streams_test.go
+++ b/routing/direct/streams_test.go
@@ -10,16 +10,16 @@
 
 // Symptom: a prompt is refused though only patient streams decode on the engines. Cause: the
 // open requests were counted, whatever pause their routes allow.
-func TestALongPartGoesWhereOnlyPatientStreamsDecode(t *testing.T) {
+func TestALongPartGoesWhereStreamsAllowLongPauses(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(18)
 	crowded := func(pause time.Duration) bool {
-		p := ranked(0, 2)
-		open := make([]EndpointLoad, 0, len(list))
+		p := policyWithRank(0, 2)
+		loads := make([]EndpointLoad, 0, len(list))
 		for _, e := range list {
-			open = append(open, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streams(pause, 1)})
+			loads = append(loads, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streamsAllowing(pause, 1)})
 		}
-		p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
+		p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, loads)
 		return p.Place(testNow, prompt(380_000), list).Overloaded // parts of 0.83 s
 	}
 	is.True(crowded(250 * time.Millisecond))
@@ -29,26 +29,26 @@
 }
 
 // Guards against refusing a prompt for the streams on engines with nothing to read while others have no streams.
-func TestALongPartGoesWhereNobodyIsMadeLate(t *testing.T) {
+func TestALongPartGoesWhereNoStreamIsDelayed(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(40)
-	p := ranked(0, 2)
-	open := make([]EndpointLoad, 0, len(list))
+	p := policyWithRank(0, 2)
+	loads := make([]EndpointLoad, 0, len(list))
 	for i, e := range list {
-		o := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 150 * time.Millisecond}
+		load := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), PendingPrefill: 150 * time.Millisecond}
 		if i%2 == 0 {
-			o = EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streams(250*time.Millisecond, 1)}
+			load = EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, Streams: streamsAllowing(250*time.Millisecond, 1)}
 		}
-		open = append(open, o)
+		loads = append(loads, load)
 	}
-	p.ledger.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, open)
+	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, loads)
 	plan := p.Place(testNow, prompt(380_000), list) // parts of 0.83 s
 	is.True(!plan.Overloaded)
 	is.Equal(plan.Delayed, 0)
 }
 
 // Guards against holding a prompt back until it can only be late.
-func TestAPromptIsHeldBackOnlyWhileItCanBeInTime(t *testing.T) {
+func TestAPromptIsQueuedOnlyWhileItCanMeetItsTarget(t *testing.T) {
 	is := is.New(t)
 	e := FirstTokenEstimate{Wait: time.Second, Prefill: 2 * time.Second}
 	is.True(e.LatestStart(4*time.Second) < 2*time.Second)
@@ -59,18 +59,18 @@
 }
 
 // Every pause counts under one that is no longer.
-func TestPausesCountUnderNoLongerOnes(t *testing.T) {
+func TestPausesCountInClassesOfNoLongerPauses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pause := time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "pause"))
 		class := PauseClass(pause)
 		if pauseLimits[class] > pause || pauseLimits[class+1] <= pause {
-			t.Fatalf("%v counts under %v", pause, pauseLimits[class])
+			t.Fatalf("%v counts in the class of %v", pause, pauseLimits[class])
 		}
-		if got := streams(pause, 3).under(pauseLimits[class] + 1); got != 3 {
-			t.Fatalf("%d of 3 allow no longer pause", got)
+		if got := streamsAllowing(pause, 3).delayedBy(pauseLimits[class] + 1); got != 3 {
+			t.Fatalf("%d of 3 are delayed by a pause just over that of their class", got)
 		}
-		if got := streams(pause, 3).under(pauseLimits[class]); got != 0 {
-			t.Fatalf("%d of 3 do not allow their own", got)
+		if got := streamsAllowing(pause, 3).delayedBy(pauseLimits[class]); got != 0 {
+			t.Fatalf("%d of 3 are delayed by the pause of their class", got)
 		}
 	})
 	is := is.New(t)
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -10,21 +10,21 @@
 // RecentDispatches counts what this entry has recently sent to each endpoint, to
 // correct reports that were made before it.
 type RecentDispatches struct {
-	mu   sync.Mutex
-	keep time.Duration
-	sent map[string][]dispatch
+	mu        sync.Mutex
+	retention time.Duration
+	sent      map[string][]dispatch
 }
 
 type dispatch struct {
-	at             time.Time
-	level          admission.Level
-	prompt, memory int
+	sentAt                     time.Time
+	level                      admission.Level
+	promptTokens, memoryTokens int
 }
 
 // NewRecentDispatches remembers dispatches for the duration keep, which should exceed
 // the reports' lag.
-func NewRecentDispatches(keep time.Duration) *RecentDispatches {
-	return &RecentDispatches{keep: keep, sent: map[string][]dispatch{}}
+func NewRecentDispatches(retention time.Duration) *RecentDispatches {
+	return &RecentDispatches{retention: retention, sent: map[string][]dispatch{}}
 }
 
 // Record remembers a dispatch.
@@ -32,12 +32,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := d.sent[endpoint]
-	old := 0
-	for old < len(list) && now.Sub(list[old].at) > d.keep {
-		old++
+	expired := 0
+	for expired < len(list) && now.Sub(list[expired].sentAt) > d.retention {
+		expired++
 	}
-	d.sent[endpoint] = append(list[old:], dispatch{
-		at: now, level: r.Level(), prompt: r.PromptTokens, memory: r.PromptTokens + r.OutputTokens,
+	d.sent[endpoint] = append(list[expired:], dispatch{
+		sentAt: now, level: r.Level(), promptTokens: r.PromptTokens, memoryTokens: r.PromptTokens + r.OutputTokens,
 	})
 }
 
@@ -47,8 +47,8 @@
 	defer d.mu.Unlock()
 	var backlog admission.Backlog
 	for _, sent := range d.sent[endpoint] {
-		if sent.at.After(reported) {
-			backlog[sent.level] += sent.prompt
+		if sent.sentAt.After(reported) {
+			backlog[sent.level] += sent.promptTokens
 		}
 	}
 	return &backlog
@@ -60,9 +60,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, sent := range d.sent[endpoint] {
-		if sent.at.After(reported) {
+		if sent.sentAt.After(reported) {
 			count++
-			memory += sent.memory
+			memory += sent.memoryTokens
 		}
 	}
 	return count, memory
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -21,17 +21,17 @@
 }
 
 const (
-	// dispatchMemory outlasts the lag of load reports.
-	dispatchMemory = 10 * time.Second
-	// prefixMemory bounds the prefix index: 64 bytes a beginning.
-	prefixMemory = 16_384
+	// dispatchRetention outlasts the lag of load reports.
+	dispatchRetention = 10 * time.Second
+	// maxPrefixes bounds the prefix index: 64 bytes a beginning.
+	maxPrefixes = 16_384
 	// pickSlack is how much worse than the best a pick may be, in seconds.
 	pickSlack = 0.002
 	// interferenceWeight: less lets long prompts start later, more slows short
 	// ones.
 	interferenceWeight = 3
-	// dataCentreTrip is the round trip between data centres, in seconds.
-	dataCentreTrip = 0.002
+	// dataCentreRoundTrip is the round trip between data centres, in seconds.
+	dataCentreRoundTrip = 0.002
 )
 
 // Outstanding counts an entry's own requests in flight by endpoint.
@@ -42,16 +42,16 @@
 
 // New makes a policy by name. outstanding is needed by least-outstanding only.
 func New(name string, random Rand, outstanding Outstanding) (*Policy, error) {
-	basic := []Filter{CanServe{}, FitsMemory{}}
+	filters := []Filter{CanServe{}, FitsMemory{}}
 	switch name {
 	case PolicyRandom:
-		return &Policy{Name: name, Filters: basic, Picker: Random{random}}, nil
+		return &Policy{Name: name, Filters: filters, Picker: Random{random}}, nil
 	case PolicyRoundRobin:
-		return &Policy{Name: name, Filters: basic, Picker: &RoundRobin{}}, nil
+		return &Policy{Name: name, Filters: filters, Picker: &RoundRobin{}}, nil
 	case PolicyLeastOutstanding:
-		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{InFlight{outstanding}}, Picker: LowestCost{Rand: random}}, nil
+		return &Policy{Name: name, Filters: filters, Scorers: []Scorer{InFlight{outstanding}}, Picker: LowestCost{Rand: random}}, nil
 	case PolicyTwoChoices:
-		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{ReportedLoad{}}, Picker: TwoChoices{random}}, nil
+		return &Policy{Name: name, Filters: filters, Scorers: []Scorer{ReportedLoad{}}, Picker: TwoChoices{random}}, nil
 	case PolicyAspenyard:
 		return aspenyard(random), nil
 	}
@@ -59,18 +59,18 @@
 }
 
 func aspenyard(random Rand) *Policy {
-	sent := NewRecentDispatches(dispatchMemory)
-	prefixes := NewPrefixIndex(prefixMemory)
+	dispatches := NewRecentDispatches(dispatchRetention)
+	prefixes := NewPrefixIndex(maxPrefixes)
 	return &Policy{
 		Name:       PolicyAspenyard,
 		Filters:    []Filter{CanServe{}, FitsMemory{}},
 		Sample:     Sample{Count: sampleCount, MaxTokens: sampleMaxTokens, Rand: random},
-		Scorers:    []Scorer{QueueDelay{sent}, CapacityWait{sent}, Interference{sent, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreTrip}},
+		Scorers:    []Scorer{QueueDelay{dispatches}, CapacityWait{dispatches}, Interference{dispatches, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreRoundTrip}},
 		Picker:     LowestCost{Slack: pickSlack, Rand: random},
 		Priorities: true,
 		Admission:  true,
 		OnPick: func(now time.Time, r *Request, e *Endpoint) {
-			sent.Record(now, r, e.Name)
+			dispatches.Record(now, r, e.Name)
 			prefixes.Record(r, e.Name)
 		},
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -30,13 +30,13 @@
 	return policy
 }
 
-func TestUnknownPolicyIsNamed(t *testing.T) {
+func TestUnknownPolicyIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := New("best", nil, nil)
 	is.True(err != nil)
 }
 
-func TestNothingServes(t *testing.T) {
+func TestRouteWithoutEndpoints(t *testing.T) {
 	is := is.New(t)
 	is.True(newPolicy(t).Route(testNow, request(1000), nil) == nil)
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBaselinesPickAmongTheServing(t *testing.T) {
+func TestPoliciesPickOnlyServingEndpoints(t *testing.T) {
 	for _, name := range PolicyNames() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/routing/scorer_interference.go
+++ b/routing/scorer_interference.go
@@ -15,13 +15,13 @@
 
 // Cost implements Scorer.
 func (s Interference) Cost(r *Request, e *Endpoint) float64 {
-	behind := e.Backlog.Total() - e.Backlog.UpTo(r.Level())
+	overtaken := e.Backlog.Total() - e.Backlog.UpTo(r.Level())
 	if s.Sent != nil {
 		sent := s.Sent.BacklogSince(e.Name, e.Reported)
-		behind += sent.Total() - sent.UpTo(r.Level())
+		overtaken += sent.Total() - sent.UpTo(r.Level())
 	}
-	if behind < admission.MediumTokens {
+	if overtaken < admission.MediumTokens {
 		return 0
 	}
-	return s.Weight * float64(r.PromptTokens) / rate(e)
+	return s.Weight * float64(r.PromptTokens) / prefillRate(e)
 }
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -40,11 +40,11 @@
 
 type prefixEntry struct {
 	hash      uint64
-	endpoints [prefixHolders]string
+	endpoints [endpointsPerPrefix]string
 }
 
-// prefixHolders is how many endpoints are remembered for one beginning.
-const prefixHolders = 3
+// endpointsPerPrefix is how many endpoints are remembered for one beginning.
+const endpointsPerPrefix = 3
 
 // NewPrefixIndex makes an index of at most size beginnings.
 func NewPrefixIndex(size int) *PrefixIndex {
@@ -56,11 +56,11 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, hash := range r.Prefix {
-		x.note(hash, endpoint)
+		x.record(hash, endpoint)
 	}
 }
 
-func (x *PrefixIndex) note(hash uint64, endpoint string) {
+func (x *PrefixIndex) record(hash uint64, endpoint string) {
 	element := x.entries[hash]
 	if element == nil {
 		element = x.recent.PushFront(&prefixEntry{hash: hash})
@@ -73,7 +73,7 @@
 	x.recent.MoveToFront(element)
 	entry := element.Value.(*prefixEntry)
 	for i, name := range entry.endpoints {
-		if name == endpoint || i == prefixHolders-1 {
+		if name == endpoint || i == endpointsPerPrefix-1 {
 			copy(entry.endpoints[1:i+1], entry.endpoints[:i])
 			entry.endpoints[0] = endpoint
 			return
@@ -109,5 +109,5 @@
 	if len(r.Prefix) == 0 {
 		return 0
 	}
-	return -float64(s.Index.CachedTokens(r, e.Name)) / rate(e)
+	return -float64(s.Index.CachedTokens(r, e.Name)) / prefillRate(e)
 }
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -12,8 +12,8 @@
 	Sent *RecentDispatches
 }
 
-// unknownRate stands for an endpoint that has not told its prefill rate.
-const unknownRate = 10_000
+// defaultPrefillRate stands for an endpoint that has not told its prefill rate.
+const defaultPrefillRate = 10_000
 
 // Cost implements Scorer.
 func (s QueueDelay) Cost(r *Request, e *Endpoint) float64 {
@@ -21,12 +21,12 @@
 	if s.Sent != nil {
 		tokens += s.Sent.BacklogSince(e.Name, e.Reported).UpTo(r.Level())
 	}
-	return float64(tokens) / rate(e)
+	return float64(tokens) / prefillRate(e)
 }
 
-func rate(e *Endpoint) float64 {
+func prefillRate(e *Endpoint) float64 {
 	if e.PrefillRate == 0 {
-		return unknownRate
+		return defaultPrefillRate
 	}
 	return float64(e.PrefillRate)
 }
@@ -36,8 +36,8 @@
 	Sent *RecentDispatches
 }
 
-// slotTurnover is how long a full batch takes to free a place, in seconds.
-const slotTurnover = 0.25
+// slotFreeTime is how long a full batch takes to free a place, in seconds.
+const slotFreeTime = 0.25
 
 // Cost implements Scorer.
 func (s CapacityWait) Cost(r *Request, e *Endpoint) float64 {
@@ -50,11 +50,11 @@
 	}
 	cost := 0.0
 	if over := running + 1 - e.MaxRunning; over > 0 {
-		cost += slotTurnover * float64(over)
+		cost += slotFreeTime * float64(over)
 	}
 	if e.MemoryTokens > 0 {
 		missing := r.PromptTokens + r.OutputTokens - memory
-		cost += math.Max(0, float64(missing)) / rate(e)
+		cost += math.Max(0, float64(missing)) / prefillRate(e)
 	}
 	return cost
 }
--- a/routing/scorer_test.go
+++ b/routing/scorer_test.go
@@ -46,7 +46,7 @@
 	is.Equal(Distance{0.002}.Cost(request(1), &e), 0.002)
 }
 
-func TestPrefixIndexFindsTheLongestSharedBeginning(t *testing.T) {
+func TestPrefixIndexFindsTheLongestSharedPrefix(t *testing.T) {
 	is := is.New(t)
 	shared := strings.Repeat("tie ", 2048)
 	one := &Request{Prefix: PrefixHashes(shared+strings.Repeat("one ", 2048), 4)}
