--- a/routing/direct/ledger.go
+++ b/routing/direct/ledger.go
@@ -10,33 +10,35 @@
 	"aspenyard.example/directory"
 )
 
-// LoadTracker holds what this entry has given each endpoint to do. Safe for concurrent use.
+// LoadTracker tracks what this entry has sent to each endpoint, and what it knows of the
+// load from other entries and from load reports. It is safe for concurrent use.
 type LoadTracker struct {
 	mu        sync.Mutex
 	endpoints map[directory.Incarnation]*trackedEndpoint
-	// demands and shorts are by service: what its long prompts ask for, and how many
-	// requests with short ones are open.
+	// demands holds the arrivals of long prompts, and shortInFlight the number of requests
+	// with short prompts in flight, by service.
 	demands       map[string]*demand
 	shortInFlight map[string]int
-	// pendingPrefill is the prefill of long prompts under way, queuedPrefill that of those that are
-	// held back, by service.
+	// pendingPrefill is the prefill time of this entry's long prompts that engines have not
+	// done yet, and queuedPrefill that of its queued ones, by service.
 	pendingPrefill, queuedPrefill map[string]time.Duration
-	// entryCount is how many entryCount there are, peerLoads the sum of what peers tell of each
-	// endpoint.
+	// entryCount is the number of entries with this one, rank this entry's place among
+	// them, and peerLoads the sum of the loads that other entries report of each endpoint.
 	entryCount int
 	rank       rank
 	peerLoads  map[EndpointHash]EndpointLoad
-	// peerSlowdowns holds which endpoints other entries know to be slow.
+	// peerSlowdowns holds the slow endpoints that other entries reported.
 	peerSlowdowns map[EndpointHash]peerSlowdown
-	// peers holds what other entries last told, by their names.
+	// peers holds the last state of the other entries, by name.
 	peers map[string]*peer
-	// prefilling holds the charges of this entry's long prompts whose first token has not come.
+	// prefilling holds the loads of this entry's long prompts whose first token has not
+	// arrived.
 	prefilling map[*RequestLoad]struct{}
 }
 
-// EndpointLoad is what an entry has given an endpoint to do: how many requests are open there, by
-// the pause that they allow too, the prefill that is not done, and the KV cache that they
-// need, in tokens.
+// EndpointLoad is the load that an entry's requests put on an endpoint: the number in
+// flight, also by the pause that their routes allow, the pending prefill time, and the KV
+// cache that they need, in tokens.
 type EndpointLoad struct {
 	Endpoint       EndpointHash
 	InFlight       int
@@ -45,18 +47,19 @@
 	Streams        StreamCounts
 }
 
-// EndpointHash names a life of an endpoint in messages between entries: what an entry
-// that has not heard of a restart tells of the life before is not taken for load on the
-// new one. Two endpoints with one hash would each seem to have the other's load, which
-// costs a little time.
+// EndpointHash identifies an incarnation of an endpoint in messages between entries. The
+// load that an entry reports before it has learned of a restart thus does not count for the
+// new incarnation. Two endpoints with the same hash would each seem to have the other's
+// load too, which only costs a little time.
 type EndpointHash uint32
 
-// HashEndpoint gives the hash of an endpoint's life.
+// HashEndpoint returns the hash of an endpoint's incarnation.
 func HashEndpoint(incarnation directory.Incarnation) EndpointHash {
 	return EndpointHash(xxhash.Sum64String(incarnation.String()))
 }
 
-// Loads gives what this entry has given each endpoint to do.
+// Loads returns the load that this entry's requests put on each endpoint, without endpoints
+// that have none.
 func (l *LoadTracker) Loads(now time.Time) []EndpointLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +73,7 @@
 	return list
 }
 
-// Demands gives what this entry's own requests ask of engines, by service.
+// Demands returns what this entry's own requests ask of engines, by service.
 func (l *LoadTracker) Demands(now time.Time) []Demand {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +91,8 @@
 	return Demand{Service: service, LongPrefill: d.total, ShortInFlight: l.shortInFlight[service], PendingPrefill: l.pendingPrefill[service], QueuedPrefill: l.queuedPrefill[service]}
 }
 
-// totalDemand sums a service's demand over this entry and those heard of lately.
+// totalDemand sums a service's demand over this entry and those that reported within
+// peerLoadTTL. It removes the other entries.
 func (l *LoadTracker) totalDemand(now time.Time, service string) Demand {
 	sum := l.ownDemand(now, service)
 	for name, peer := range l.peers {
@@ -108,135 +112,143 @@
 	return sum
 }
 
+// trackedEndpoint is what the tracker knows of one incarnation of an endpoint, apart from
+// what other entries report.
 type trackedEndpoint struct {
 	inFlight       int
 	streams        StreamCounts
 	pendingPrefill time.Duration
-	// memoryTokens is the KV cache that one's own requests need, in tokens.
+	// memoryTokens is the KV cache that this entry's requests need, in tokens.
 	memoryTokens int
-	// reportedInFlight is the endpoint's own word of all callers' requests, told when ownAtReport of
-	// them were this entry's.
+	// reportedInFlight is the number of all callers' requests by the endpoint's last load
+	// report, received at reportedAt when ownAtReport of this entry's requests were in
+	// flight.
 	reportedInFlight, ownAtReport int
 	reportedAt                    time.Time
-	// slowdown is how many times as long as described its work takes, as told at paceAt.
+	// slowdown is the last measured ratio of the time its work takes to the time that the
+	// service's configuration describes, as of slowdownAt.
 	slowdown   float64
 	slowdownAt time.Time
 	// unreachable is set while the endpoint accepts no connections.
 	unreachable bool
-	// avoidUntil is until when the endpoint is passed over because it refused work.
+	// avoidUntil is the end of the time in which the endpoint is avoided because it refused
+	// work.
 	avoidUntil time.Time
 }
 
-// avoided tells whether other endpoints are to be preferred.
+// avoided reports whether other endpoints are preferred.
 func (t *trackedEndpoint) avoided(now time.Time) bool {
 	return t.unreachable || now.Before(t.avoidUntil)
 }
 
-// NewLoadTracker makes an empty ledger.
+// NewLoadTracker returns an empty tracker.
 func NewLoadTracker() *LoadTracker {
 	return &LoadTracker{endpoints: map[directory.Incarnation]*trackedEndpoint{}, demands: map[string]*demand{}, shortInFlight: map[string]int{}, peers: map[string]*peer{}, pendingPrefill: map[string]time.Duration{}, queuedPrefill: map[string]time.Duration{}, peerLoads: map[EndpointHash]EndpointLoad{}, peerSlowdowns: map[EndpointHash]peerSlowdown{}, prefilling: map[*RequestLoad]struct{}{}}
 }
 
-// RequestLoad is what one request weighs on its endpoints, until it ends. Safe for use by
-// one goroutine.
+// RequestLoad is the load that one request puts on its endpoints until it ends. It must be
+// used by one goroutine only.
 type RequestLoad struct {
 	tracker  *LoadTracker
 	parts    []part
 	endpoint directory.Incarnation
 	memory   []memoryPart
-	// service is what the request is for, and long tells whether its prompt is.
+	// service is the service that the request is for, and long reports whether its prompt
+	// is long.
 	service string
 	long    bool
-	// pauseClass is that of the pause which its route allows.
+	// pauseClass is the class of the pause that its route allows, see PauseClass.
 	pauseClass int
 	progress   progress
 }
 
-// part is what is left to prefill of a prompt at one endpoint.
+// part is the pending prefill time of a prompt at one endpoint.
 type part struct {
 	endpoint directory.Incarnation
 	prefill  time.Duration
 }
 
-// memoryPart is the KV cache that a request needs at one endpoint, until it ends.
+// memoryPart is the KV cache, in tokens, that a request needs at one endpoint until it
+// ends.
 type memoryPart struct {
 	endpoint directory.Incarnation
 	tokens   int
 }
 
-// Begin charges a plan that is carried out from now on.
+// Begin adds the load of a plan that is carried out from now on.
 func (l *LoadTracker) Begin(now time.Time, p *Plan) *RequestLoad {
-	c := &RequestLoad{tracker: l, endpoint: p.Endpoint.Incarnation, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
-	c.progress = progress{startedAt: now, expected: p.ExpectedFirstToken, partPrefill: p.PartPrefill}
+	r := &RequestLoad{tracker: l, endpoint: p.Endpoint.Incarnation, service: p.Endpoint.Service, long: p.Long, pauseClass: p.pauseClass}
+	r.progress = progress{startedAt: now, expected: p.ExpectedFirstToken, partPrefill: p.PartPrefill}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.endpoint(c.endpoint).inFlight++
-	l.endpoint(c.endpoint).streams[c.pauseClass]++
-	if c.long {
-		l.prefilling[c] = struct{}{}
+	l.endpoint(r.endpoint).inFlight++
+	l.endpoint(r.endpoint).streams[r.pauseClass]++
+	if r.long {
+		l.prefilling[r] = struct{}{}
 	} else {
-		l.shortInFlight[c.service]++
+		l.shortInFlight[r.service]++
 	}
-	c.parts = append(c.parts, part{c.endpoint, p.PartPrefill})
-	c.memory = append(c.memory, memoryPart{c.endpoint, p.EndpointMemoryTokens})
+	r.parts = append(r.parts, part{r.endpoint, p.PartPrefill})
+	r.memory = append(r.memory, memoryPart{r.endpoint, p.EndpointMemoryTokens})
 	for i, h := range p.Helpers {
-		c.parts = append(c.parts, part{h.Incarnation, p.PartPrefill})
+		r.parts = append(r.parts, part{h.Incarnation, p.PartPrefill})
 		if i < p.ReservingHelpers {
-			c.memory = append(c.memory, memoryPart{h.Incarnation, p.HelperMemoryTokens})
+			r.memory = append(r.memory, memoryPart{h.Incarnation, p.HelperMemoryTokens})
 		}
 	}
-	for _, m := range c.memory {
+	for _, m := range r.memory {
 		l.endpoint(m.endpoint).memoryTokens += m.tokens
 	}
-	for _, p := range c.parts {
+	for _, p := range r.parts {
 		l.endpoint(p.endpoint).pendingPrefill += p.prefill
-		if c.long {
-			l.pendingPrefill[c.service] += p.prefill
+		if r.long {
+			l.pendingPrefill[r.service] += p.prefill
 		}
 	}
-	return c
+	return r
 }
 
-// FinishPrefill ends the charge for the prompt: its first token has come.
-func (c *RequestLoad) FinishPrefill() {
-	if c.parts == nil {
+// FinishPrefill removes the pending prefill when the first token has arrived. Further calls
+// do nothing.
+func (r *RequestLoad) FinishPrefill() {
+	if r.parts == nil {
 		return
 	}
-	c.tracker.mu.Lock()
-	defer c.tracker.mu.Unlock()
-	delete(c.tracker.prefilling, c)
-	for _, p := range c.parts {
-		if tracked := c.tracker.endpoints[p.endpoint]; tracked != nil {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	delete(r.tracker.prefilling, r)
+	for _, p := range r.parts {
+		if tracked := r.tracker.endpoints[p.endpoint]; tracked != nil {
 			tracked.pendingPrefill = max(tracked.pendingPrefill-p.prefill, 0)
 		}
-		if c.long {
-			c.tracker.pendingPrefill[c.service] -= p.prefill
+		if r.long {
+			r.tracker.pendingPrefill[r.service] -= p.prefill
 		}
 	}
-	c.parts = nil
+	r.parts = nil
 }
 
-// End ends the charge.
-func (c *RequestLoad) End() {
-	c.FinishPrefill()
-	c.tracker.mu.Lock()
-	defer c.tracker.mu.Unlock()
-	if !c.long {
-		c.tracker.shortInFlight[c.service]--
+// End removes the load of the request. It must be called once.
+func (r *RequestLoad) End() {
+	r.FinishPrefill()
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if !r.long {
+		r.tracker.shortInFlight[r.service]--
 	}
-	if tracked := c.tracker.endpoints[c.endpoint]; tracked != nil && tracked.inFlight > 0 {
+	if tracked := r.tracker.endpoints[r.endpoint]; tracked != nil && tracked.inFlight > 0 {
 		tracked.inFlight--
-		tracked.streams[c.pauseClass]--
+		tracked.streams[r.pauseClass]--
 	}
-	for _, m := range c.memory {
-		if tracked := c.tracker.endpoints[m.endpoint]; tracked != nil {
+	for _, m := range r.memory {
+		if tracked := r.tracker.endpoints[m.endpoint]; tracked != nil {
 			tracked.memoryTokens = max(tracked.memoryTokens-m.tokens, 0)
 		}
 	}
-	c.memory = nil
+	r.memory = nil
 }
 
-// RecordLoadReport notes an endpoint's own word of its load.
+// RecordLoadReport records an endpoint's report of its running and waiting requests.
 func (l *LoadTracker) RecordLoadReport(now time.Time, endpoint directory.Incarnation, running, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,24 +256,26 @@
 	tracked.reportedInFlight, tracked.ownAtReport, tracked.reportedAt = running+waiting, tracked.inFlight, now
 }
 
-// loadReportTTL is how long an endpoint's word of its load is used; requests last for
-// seconds.
+// loadReportTTL is how long a load report is used. Requests last for seconds.
 const loadReportTTL = 3 * time.Second
 
-// loadEstimate is what is thought of an endpoint's life.
+// loadEstimate is the estimated load of an endpoint's incarnation.
 type loadEstimate struct {
-	// inFlight is how many requests it has, reading what it has to prefill, and memory the KV
-	// cache that they need, in tokens: those of all entries.
+	// inFlight is the number of requests, pendingPrefill the prefill time to be done, and
+	// memoryTokens the KV cache that the requests need; all count the requests of all
+	// entries.
 	inFlight       int
 	pendingPrefill time.Duration
 	memoryTokens   int
-	// slowdown is how many times as long as described its work takes.
+	// slowdown is the ratio of the time its work takes to the time described; 1 unless it
+	// is slow.
 	slowdown float64
 }
 
-// estimate gives what is thought of an endpoint's life. How many requests are open is the
-// endpoint's last word, corrected by what this entry has begun and ended since, or what the
-// other entries tell, for as many as there are, whichever is more.
+// estimate returns the estimated load of an endpoint's incarnation. The number of requests
+// in flight is the higher of two: the last load report, corrected by what this entry has
+// begun and ended since, and the sum of this entry's requests and those that other entries
+// report, scaled up to all entries.
 func (l *LoadTracker) estimate(now time.Time, incarnation directory.Incarnation) loadEstimate {
 	hash := HashEndpoint(incarnation)
 	peerLoad, scale := l.peerLoads[hash], l.peerScale()
@@ -281,8 +295,8 @@
 	return e
 }
 
-// streamCounts gives what is thought of the requests that are open at an endpoint's life, by the
-// pause that they allow: those of all entries.
+// streamCounts estimates the number of all entries' requests in flight at an endpoint's
+// incarnation, by the pause that they allow.
 func (l *LoadTracker) streamCounts(incarnation directory.Incarnation) StreamCounts {
 	others := l.peerLoads[HashEndpoint(incarnation)].Streams.times(l.peerScale())
 	if tracked := l.endpoints[incarnation]; tracked != nil {
@@ -291,7 +305,8 @@
 	return others
 }
 
-// SetUnreachable notes whether an endpoint accepts connections; it tells whether that is new.
+// SetUnreachable records whether an endpoint accepts connections, and returns whether that
+// has changed.
 func (l *LoadTracker) SetUnreachable(endpoint directory.Incarnation, unreachable bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -301,7 +316,7 @@
 	return changed
 }
 
-// Avoid passes an endpoint over until a time, as long as there are others.
+// Avoid keeps requests off an endpoint until the given time, unless there are no others.
 func (l *LoadTracker) Avoid(endpoint directory.Incarnation, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -332,7 +347,7 @@
 	return d
 }
 
-// Prune forgets endpoints that are not known any more, ended lives among them.
+// Prune removes endpoints that are not known any more, including ended incarnations.
 func (l *LoadTracker) Prune(known func(incarnation directory.Incarnation) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/routing/direct/lives_test.go
+++ b/routing/direct/lives_test.go
@@ -9,10 +9,10 @@
 	"aspenyard.example/directory"
 )
 
-// Symptom: an endpoint that was restarted gets no requests, or too few. Sequence: it is
-// busy, refuses work and accepts no connections, and starts again under its ID; another
-// entry, which has not heard of that, still tells what it had given it. Cause: what is
-// remembered of an endpoint was kept by its ID.
+// Guards against a restarted endpoint getting no requests, or too few. The endpoint refuses
+// work and accepts no connections, then starts again under its ID, while another entry that
+// has not learned of the restart still reports the old load. This happened when the state
+// of an endpoint was kept by its ID.
 func TestNewIncarnationHasNoLoad(t *testing.T) {
 	is := is.New(t)
 	before := endpoints(1)[0]
@@ -40,8 +40,8 @@
 	is.True(p.tracker.endpoints[before.Incarnation] == nil)
 }
 
-// Where registrations do not say when a life began, entries of both kinds name endpoints
-// alike.
+// An endpoint whose registration does not say when its incarnation began is identified by
+// its ID alone, so that all entries identify it alike.
 func TestIncarnationWithoutStartTimeIsIdentifiedByID(t *testing.T) {
 	is := is.New(t)
 	is.Equal(directory.Incarnation{ID: "a"}.String(), "a")
--- a/routing/direct/pace.go
+++ b/routing/direct/pace.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// slowThreshold is from which pace on an engine counts as slow: how many times as long as
-	// described its work takes. Engines that are only loaded differ by less.
+	// slowThreshold is the slowdown from which an engine counts as slow. The slowdown is
+	// the ratio of the time its work takes to the time that the configuration describes.
+	// Engines that are only loaded stay below it.
 	slowThreshold = 1.3
-	// slowdownTTL is how long a pace is believed that is not told again.
+	// slowdownTTL is how long a slowdown is used when it is not reported again.
 	slowdownTTL = 3 * time.Second
-	// peerSlowdownTTL is how long another entry's word of a pace is used: entries tell it with
-	// each heartbeat, and a few of these may be lost.
+	// peerSlowdownTTL is how long a slowdown reported by another entry is used. Entries
+	// send it with each heartbeat, and a few of these may be lost.
 	peerSlowdownTTL = 500 * time.Millisecond
-	// passesPerSlowdown is how many passes longer a short prompt on a slow engine is expected to
-	// take for each time as long: it waits for the rest of one and has one of its own.
+	// passesPerSlowdown is the number of additional passes that a short prompt is expected
+	// to take on a slow engine for each unit of slowdown above 1: it waits for the rest of
+	// one pass and is prefilled in another.
 	passesPerSlowdown = 2
 )
 
-// SetSlowdown notes how many times as long as described an endpoint's work takes. It tells
-// whether the endpoint has turned slow or has recovered.
+// SetSlowdown records the ratio of the time an endpoint's work takes to the time described.
+// It returns whether the endpoint is slow, and whether that has changed.
 func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Incarnation, slowdown float64) (slow, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,14 +34,14 @@
 	return slow, slow != before
 }
 
-// SlowEndpoint is an endpoint that told an entry that its work takes Pace times as long as
-// described.
+// SlowEndpoint is an endpoint that reported its slowdown to an entry: the ratio of the time
+// its work takes to the time described.
 type SlowEndpoint struct {
 	Endpoint EndpointHash
 	Slowdown float64
 }
 
-// SlowEndpoints lists the endpoints that told this entry that they are slow.
+// SlowEndpoints returns the endpoints that reported to this entry that they are slow.
 func (l *LoadTracker) SlowEndpoints(now time.Time) []SlowEndpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,13 +54,14 @@
 	return list
 }
 
-// peerSlowdown is what another entry told of an endpoint, and when.
+// peerSlowdown is a slowdown that another entry reported, and when.
 type peerSlowdown struct {
 	slowdown   float64
 	receivedAt time.Time
 }
 
-// RecordPeerSlowEndpoints notes which endpoints told another entry that they are slow.
+// RecordPeerSlowEndpoints records the slow endpoints of another entry's heartbeat, and
+// removes records older than peerSlowdownTTL.
 func (l *LoadTracker) RecordPeerSlowEndpoints(now time.Time, list []SlowEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,13 +75,14 @@
 	}
 }
 
-// isSlow tells whether the endpoint's work takes longer than described.
+// isSlow reports whether the last slowdown of the endpoint is at least slowThreshold and no
+// older than slowdownTTL.
 func (t *trackedEndpoint) isSlow(now time.Time) bool {
 	return t.slowdown >= slowThreshold && now.Sub(t.slowdownAt) <= slowdownTTL
 }
 
-// slowdown is how many times as long as described the work of an endpoint takes of which this
-// entry knows a load: its own word, or what another entry was told.
+// slowdown returns the slowdown of an endpoint as reported to this entry or, failing that,
+// to another one; 1 where neither has a recent report.
 func (l *LoadTracker) slowdown(now time.Time, tracked *trackedEndpoint, hash EndpointHash) float64 {
 	if tracked.isSlow(now) {
 		return tracked.slowdown
@@ -89,7 +93,8 @@
 	return 1
 }
 
-// PendingPrefill estimates what all entries have given an endpoint to prefill.
+// PendingPrefill estimates the prefill time that all entries have sent to an endpoint and
+// that is not done.
 func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Incarnation) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +102,7 @@
 }
 
 // PassTime is the time of a pass on an engine that is full and prefills nothing: the
-// longest pause between two events of those who decode there.
+// longest pause between two events of the streams that decode there.
 func PassTime(e *directory.Engine) time.Duration {
 	if e == nil {
 		return 0
@@ -105,20 +110,20 @@
 	return DecodeTime(e, e.Slots, e.KVCacheTokens)
 }
 
-// DecodeTime is that of the steps of one pass in which so many requests decode, with so many
-// tokens of context.
+// DecodeTime is the time of the decode steps of one pass for so many requests with so many
+// tokens of context in total.
 func DecodeTime(e *directory.Engine, requests, tokens int) time.Duration {
 	step := e.StepTime + time.Duration(requests)*e.StepTimePerRequest + time.Duration(tokens/contextUnit)*e.StepTimePerContext
 	return time.Duration(e.Stride) * step
 }
 
-// contextUnit is the number of tokens of context that directory.Engine.StepPerContext speaks
-// of.
+// contextUnit is the number of context tokens to which directory.Engine.StepTimePerContext
+// refers.
 const contextUnit = 1000
 
-// dropSlowUnlessAll drops slow engines, as long as there are others: the first token of a prompt that
-// is prefilled in parts comes with the slowest of them, so that a few slow engines would make every such prompt
-// late.
+// dropSlowUnlessAll drops slow engines unless all are slow. The first token of a prompt
+// that is prefilled in parts arrives with the slowest of them, so that a few slow engines
+// would delay every such prompt.
 func dropSlowUnlessAll(list []scored) []scored {
 	if kept := dropSlow(list); len(kept) > 0 {
 		return kept
--- a/routing/direct/pace_test.go
+++ b/routing/direct/pace_test.go
@@ -9,7 +9,7 @@
 	"aspenyard.example/directory"
 )
 
-// enginesOf names the engines of a plan.
+// enginesOf returns the engines of a plan.
 func enginesOf(plan *Plan) map[directory.Incarnation]bool {
 	list := map[directory.Incarnation]bool{plan.Endpoint.Incarnation: true}
 	for _, h := range plan.Helpers {
@@ -18,30 +18,30 @@
 	return list
 }
 
-// Symptom: every long prompt is late for as long as one engine of twenty is slow. Sequence:
-// an engine turns slow, prompts are prefilled in parts on it and on others. Cause: the
-// first token waits for the slowest part, and nobody knew which engine that was.
+// Guards against one slow engine of twenty delaying every long prompt: prompts are
+// prefilled in parts on it and on others, the first token waits for the slowest part, and
+// no entry knew which engine was slow.
 func TestPartsAvoidSlowEngines(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(20)
 	p := newPolicy(1)
 	p.tracker.SetSlowdown(testNow, list[19].Incarnation, 3)
-	p.tracker.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Incarnation), 2}}) // another entry's word
+	p.tracker.RecordPeerSlowEndpoints(testNow, []SlowEndpoint{{HashEndpoint(list[18].Incarnation), 2}}) // reported by another entry
 	for _, tokens := range []int{60_000, 150_000, 300_000} {
 		parts := enginesOf(p.Place(testNow, prompt(tokens), list))
 		is.True(!parts[list[19].Incarnation] && !parts[list[18].Incarnation])
 	}
 	later := testNow.Add(slowdownTTL + time.Second)
-	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Incarnation]) // nobody told of it again
+	is.True(enginesOf(p.Place(later, prompt(300_000), list))[list[19].Incarnation]) // the slowdown was not reported again
 	for _, e := range list {
 		p.tracker.SetSlowdown(testNow, e.Incarnation, 2)
 	}
-	is.True(p.Place(testNow, prompt(150_000), list) != nil) // slow ones are better than none
+	is.True(p.Place(testNow, prompt(150_000), list) != nil) // slow engines are better than none
 }
 
-// Symptom: long prompts are prefilled on a slow engine, though they would be read as soon
-// without it. Sequence: the only engine for short prompts is slow; a long one takes it to have
-// shorter parts. Cause: of engines that are all slow none was dropped.
+// Guards against long prompts being prefilled on a slow engine that does not make them
+// faster. The only engine for short prompts is slow, and a long prompt was spread to it for
+// shorter parts, because no engine was dropped where all additional ones were slow.
 func TestALongPromptIsNotWidenedToSlowEngines(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(4)
@@ -55,7 +55,7 @@
 	}
 }
 
-// A slow engine still serves short prompts, when the others have much more to do.
+// A slow engine still gets short prompts when the other engines have much more to do.
 func TestAShortPromptGoesToASlowEngineOnlyWhenOthersAreBusy(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(3) // two of them for short prompts
@@ -66,7 +66,7 @@
 	is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.Incarnation, list[0].Incarnation)
 }
 
-// What an endpoint said before it was restarted is not believed of its next life.
+// A slowdown reported before an endpoint's restart does not count for its next incarnation.
 func TestNewIncarnationIsNotSlow(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
--- a/routing/direct/peers.go
+++ b/routing/direct/peers.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// peer is what another entry last told.
+// peer is the state that another entry last reported.
 type peer struct {
 	receivedAt time.Time
 	demands    []Demand
 	loads      map[EndpointHash]EndpointLoad
 }
 
-// peerLoadTTL is how long another entry's word is used; several times the interval at
-// which entries tell each other.
+// peerLoadTTL is how long another entry's report is used, several times the interval at
+// which entries send them.
 const peerLoadTTL = time.Second
 
-// ReplacePeerLoad notes what another entry's requests ask of the engines, in place of what it
-// told before.
+// ReplacePeerLoad records the full demand and loads of another entry in place of all that
+// it reported before.
 func (l *LoadTracker) ReplacePeerLoad(now time.Time, name string, demands []Demand, loads []EndpointLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -23,8 +23,8 @@
 	l.applyPeerLoads(l.peers[name], loads)
 }
 
-// UpdatePeerLoad notes what has changed since another entry last told; an entry that
-// is not known begins with it.
+// UpdatePeerLoad records the demand of another entry and those of its loads that have
+// changed since its last report. An entry that is not known yet is added.
 func (l *LoadTracker) UpdatePeerLoad(now time.Time, name string, demands []Demand, loads []EndpointLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 	l.applyPeerLoads(p, loads)
 }
 
-// applyPeerLoads replaces what a peer told of some endpoints, in its record and in the sums.
+// applyPeerLoads replaces a peer's loads of some endpoints, in its state and in the sums.
 func (l *LoadTracker) applyPeerLoads(p *peer, loads []EndpointLoad) {
 	for _, load := range loads {
 		old := p.loads[load.Endpoint]
@@ -50,10 +50,10 @@
 	}
 }
 
-// isZero tells whether there is isZero to do.
+// isZero reports whether there is no load.
 func (load EndpointLoad) isZero() bool { return load == EndpointLoad{Endpoint: load.Endpoint} }
 
-// addPeerLoad adds a difference to the sum of what other entries tell of an endpoint.
+// addPeerLoad adds a difference to the sum of the other entries' loads of an endpoint.
 func (l *LoadTracker) addPeerLoad(endpoint EndpointHash, more EndpointLoad) {
 	sum := l.peerLoads[endpoint]
 	sum.InFlight += more.InFlight
@@ -67,7 +67,7 @@
 	l.peerLoads[endpoint] = sum
 }
 
-// removePeer takes another entry's word back.
+// removePeer removes another entry's state and its share of the sums.
 func (l *LoadTracker) removePeer(name string) {
 	p := l.peers[name]
 	if p == nil {
@@ -79,15 +79,16 @@
 	delete(l.peers, name)
 }
 
-// PeerStatus is how much this entry knows of the work of the others.
+// PeerStatus tells how much this entry knows of the other entries' load.
 type PeerStatus struct {
-	// Peers is how many others there are, Heard of how many the word is in use.
+	// Peers is the number of other entries, Heard the number of those whose reports are in
+	// use.
 	Peers, Heard int
-	// OldestAge is the age of the oldest word in use, MeanAge that of all.
+	// OldestAge is the age of the oldest report in use, MeanAge the mean age of all.
 	OldestAge, MeanAge time.Duration
 }
 
-// PeerStatus tells how much is known of the other entries' work.
+// PeerStatus returns how much is known of the other entries' load.
 func (l *LoadTracker) PeerStatus(now time.Time) PeerStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,26 +106,27 @@
 	return status
 }
 
-// knowsOtherEntries tells whether this entry knows of another one's work, or that it is alone.
+// knowsOtherEntries reports whether this entry has a report from another one or knows its
+// own rank, as it also does when it is the only one.
 func (l *LoadTracker) knowsOtherEntries() bool { return l.rank.count > 0 || len(l.peers) > 0 }
 
-// SetEntryCount tells how many entries there are; not all of them need to be heard of.
+// SetEntryCount sets the number of entries including this one, whether or not all of them
+// report.
 func (l *LoadTracker) SetEntryCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entryCount = n
 }
 
-// SetRank tells this entry's number among the entries that are heard of and itself, in the
-// order of their names, and how many these are.
+// SetRank sets this entry's index, in the order of their names, among itself and the
+// entries whose heartbeats it receives, and the number of these.
 func (l *LoadTracker) SetRank(index, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rank = rank{index, count}
 }
 
-// peerScale is how many other entries there are for each one that is heard of; 0 while
-// none is.
+// peerScale is the number of other entries for each one that reports; 0 while none does.
 func (l *LoadTracker) peerScale() float64 {
 	if len(l.peers) == 0 {
 		return 0
--- a/routing/direct/progress.go
+++ b/routing/direct/progress.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// minRemaining is the part of a prompt's prefill that counts as left until its first token has come:
-// engines may take longer than estimated.
+// minRemaining is the fraction of a prompt's prefill that counts as pending until its first
+// token arrives, as engines may take longer than estimated.
 const minRemaining = 0.1
 
-// progress tells how much of a long prompt's prefill is left.
+// progress estimates how much of a long prompt's prefill is still pending.
 type progress struct {
 	startedAt time.Time
-	// expected is how long the prefill takes with what its engines had to do before, partPrefill what it
-	// takes at each of them.
+	// expected is the time until the first token, including the earlier work of its
+	// engines, and partPrefill the prefill time at each of them.
 	expected, partPrefill time.Duration
 }
 
-// remaining is what is remaining at each engine.
+// remaining is the pending prefill time at each engine.
 func (p *progress) remaining(now time.Time) time.Duration {
 	if p.expected <= 0 {
 		return p.partPrefill
@@ -23,19 +23,21 @@
 	return time.Duration(max(1-done, minRemaining) * float64(p.partPrefill))
 }
 
-// updatePendingPrefill counts down what this entry's long prompts have left to prefill. Counted in full until
-// their first tokens, engines that are nearly done would look as busy as those that have begun. Whoever
-// reads loads or demands calls it first, once under the lock.
+// updatePendingPrefill reduces the pending prefill of this entry's long prompts by their
+// estimated progress. If it counted in full until the first token, engines that are nearly
+// done would look as busy as those that have just begun. Every method that reads loads or
+// demands calls it first, once, with the lock held.
 func (l *LoadTracker) updatePendingPrefill(now time.Time) {
-	for c := range l.prefilling {
-		remaining := c.progress.remaining(now)
-		for i := range c.parts {
-			l.reducePendingPrefill(c.service, &c.parts[i], remaining)
+	for r := range l.prefilling {
+		remaining := r.progress.remaining(now)
+		for i := range r.parts {
+			l.reducePendingPrefill(r.service, &r.parts[i], remaining)
 		}
 	}
 }
 
-// reducePendingPrefill sets what a part of a long prompt has left, which never grows.
+// reducePendingPrefill sets the remaining prefill of a part of a long prompt, which never
+// grows.
 func (l *LoadTracker) reducePendingPrefill(service string, p *part, remaining time.Duration) {
 	done := p.prefill - remaining
 	if done <= 0 {
--- a/routing/direct/progress_test.go
+++ b/routing/direct/progress_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against engines that look busy until the first token of a prompt that they are nearly done with.
+// Guards against engines that look fully busy until the first token of a prompt whose
+// prefill is nearly done.
 func TestPendingPrefillDecreases(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
@@ -19,7 +20,7 @@
 	half := p.tracker.Demands(testNow.Add(plan.ExpectedFirstToken / 2))[0].PendingPrefill
 	is.True(half > full*4/10 && half < full*6/10)
 	late := testNow.Add(time.Minute)
-	is.True(p.tracker.Demands(late)[0].PendingPrefill > 0) // its first token has not come
+	is.True(p.tracker.Demands(late)[0].PendingPrefill > 0) // its first token has not arrived
 	for _, load := range p.tracker.Loads(late) {
 		is.True(load.PendingPrefill > 0 && load.PendingPrefill < plan.PartPrefill)
 	}
@@ -30,7 +31,8 @@
 	}
 }
 
-// Whatever begins and ends when, what is left is that of the parts, and nothing in the end.
+// Whatever requests start and end at what time, the pending prefill is the sum of the
+// parts, and zero in the end.
 func TestPendingPrefillIsThatOfTheParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, list, now := newPolicy(rapid.Uint64().Draw(t, "seed")), endpoints(20), testNow
@@ -55,7 +57,8 @@
 	})
 }
 
-// checkPending compares what a ledger says with the parts of what is requests.
+// checkPending compares the pending prefill of a tracker with the parts of the requests in
+// flight.
 func checkPending(t *rapid.T, l *LoadTracker, now time.Time, requests []*RequestLoad) {
 	var reported, parts, longPrefill time.Duration
 	for _, load := range l.Loads(now) {
--- a/routing/direct/streams.go
+++ b/routing/direct/streams.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// pauseLimits are the pauses between events by which open requests are counted: each counts
-// under the longest that its route allows at least. Under the first count those of which
-// nothing is known, under the last those whose routes allow any.
+// pauseLimits are the pauses between events by which requests in flight are counted. Each
+// counts in the class of the longest of them that its route allows. The first class holds
+// requests of which nothing is known, the last those whose routes allow any pause.
 var pauseLimits = [pauseClasses]time.Duration{
 	0, 100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 250 * time.Millisecond,
 	300 * time.Millisecond, 400 * time.Millisecond, 500 * time.Millisecond, 600 * time.Millisecond,
@@ -21,10 +21,12 @@
 	anyPause = time.Hour
 )
 
-// StreamCounts counts the requests that are open at an endpoint by the pause that they allow.
+// StreamCounts counts the requests in flight at an endpoint by the class of the pause that
+// they allow, see PauseClass.
 type StreamCounts [pauseClasses]int16
 
-// PauseClass is the class of a pause that a route allows between two events; 0: it allows any.
+// PauseClass returns the class of the longest pause that a route allows between two events;
+// 0: any pause.
 func PauseClass(allowed time.Duration) int {
 	if allowed <= 0 {
 		return pauseClasses - 1
@@ -36,7 +38,7 @@
 	return i - 1
 }
 
-// plus adds other counts.
+// plus returns the sum of two counts.
 func (s StreamCounts) plus(other StreamCounts) StreamCounts {
 	for i := range s {
 		s[i] += other[i]
@@ -44,7 +46,7 @@
 	return s
 }
 
-// minus takes other counts away.
+// minus returns the difference of two counts.
 func (s StreamCounts) minus(other StreamCounts) StreamCounts {
 	for i := range s {
 		s[i] -= other[i]
@@ -52,7 +54,7 @@
 	return s
 }
 
-// times scales the counts.
+// times returns the counts multiplied by a factor, each rounded.
 func (s StreamCounts) times(factor float64) StreamCounts {
 	for i := range s {
 		s[i] = int16(math.Round(float64(s[i]) * factor))
@@ -60,7 +62,7 @@
 	return s
 }
 
-// delayedBy is how many of them allow no pause of such a length.
+// delayedBy is the number of requests that do not allow such a pause.
 func (s StreamCounts) delayedBy(pause time.Duration) int {
 	sum := 0
 	for i, n := range s {
--- a/routing/direct/streams_test.go
+++ b/routing/direct/streams_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a prompt is refused though only patient streams decode on the engines. Cause: the
-// open requests were counted, whatever pause their routes allow.
+// Guards against refusing a prompt although only streams that allow long pauses decode on
+// the engines: requests in flight were counted regardless of the pauses that their routes
+// allow.
 func TestALongPartGoesWhereStreamsAllowLongPauses(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(18)
-	crowded := func(pause time.Duration) bool {
+	overloaded := func(pause time.Duration) bool {
 		p := policyWithRank(0, 2)
 		loads := make([]EndpointLoad, 0, len(list))
 		for _, e := range list {
@@ -22,13 +23,14 @@
 		p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", LongPrefill: time.Minute}}, loads)
 		return p.Place(testNow, prompt(380_000), list).Overloaded // parts of 0.83 s
 	}
-	is.True(crowded(250 * time.Millisecond))
-	is.True(crowded(800 * time.Millisecond))
-	is.True(!crowded(time.Second))
-	is.True(!crowded(0)) // any pause
+	is.True(overloaded(250 * time.Millisecond))
+	is.True(overloaded(800 * time.Millisecond))
+	is.True(!overloaded(time.Second))
+	is.True(!overloaded(0)) // any pause
 }
 
-// Guards against refusing a prompt for the streams on engines with nothing to read while others have no streams.
+// Guards against refusing a prompt for the streams on engines with little pending prefill
+// while other engines have no streams.
 func TestALongPartGoesWhereNoStreamIsDelayed(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(40)
@@ -47,7 +49,7 @@
 	is.Equal(plan.Delayed, 0)
 }
 
-// Guards against holding a prompt back until it can only be late.
+// Guards against keeping a prompt queued until it can only miss its target.
 func TestAPromptIsQueuedOnlyWhileItCanMeetItsTarget(t *testing.T) {
 	is := is.New(t)
 	e := FirstTokenEstimate{Wait: time.Second, Prefill: 2 * time.Second}
@@ -58,7 +60,7 @@
 	is.True(!e.TooLate(0)) // no target
 }
 
-// Every pause counts under one that is no longer.
+// Every pause counts in the class of a pause that is no longer.
 func TestPausesCountInClassesOfNoLongerPauses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pause := time.Duration(rapid.Int64Range(1, int64(5*time.Second)).Draw(t, "pause"))
