--- a/routing/direct/affinity.go
+++ b/routing/direct/affinity.go
@@ -7,34 +7,38 @@
 	"aspenyard.example/directory"
 )
 
-// Entries that see the same loads send to the same engines until they hear of each other, and
-// three prompts that meet in one pass of an engine are late whatever it had to do before.
-// So each entry prefers a part of the engines: what it sends there it knows at once, and
-// others seldom send there. What its own engines cannot take goes to one of another entry's,
-// drawn at random, as long as that is cheaper by awayCost. It gains short prompts that are on
-// time, beside a few engines drawn anew for each of them.
+// Entries that see the same loads send to the same engines until they learn of each other's
+// requests, and three prompts prefilled in one pass of an engine miss their targets however
+// little it had to do before. Each entry therefore prefers a subset of the engines: it
+// knows at once what it sends there itself, and other entries seldom send there. Requests
+// that its own engines cannot take go to an engine of another entry, picked at random, if
+// that is cheaper by more than otherEntryCost. Compared with sampling a few engines anew
+// for each prompt, more short prompts meet their targets.
 const (
-	// otherEntryCost is what another entry's engine costs a short prompt more: about what two
-	// prompts take that meet in a pass. More keeps an entry that gets many times as many
-	// callers as another from engines that are free.
+	// otherEntryCost is added to the cost of another entry's engine for a short prompt. It
+	// is about the time of two prompts prefilled in one pass. A higher cost would keep an
+	// entry that gets many times as many callers as another away from free engines.
 	otherEntryCost = 60 * time.Millisecond
-	// otherEntrySample is how many of other entries' engines are weighed.
+	// otherEntrySample is the number of other entries' engines that are scored.
 	otherEntrySample = 1
-	// longEngineSample is how many of the engines for long prompts are weighed: with one, short
-	// prompts would miss those that are idle in a rush of them.
+	// longEngineSample is the number of engines for long prompts that are scored. With only
+	// one, short prompts would miss the idle ones during a burst of short prompts.
 	longEngineSample = 4
-	// minSample are weighed by an entry that has fewer engines of its own.
+	// minSample is the least number of engines for short prompts that are scored when the
+	// entry has fewer of its own.
 	minSample = 2
 )
 
-// rank says which part of the engines an entry prefers: its number among the entries in the
-// order of their names. Entries that disagree about it for a moment prefer the same engines
-// and nothing else. One that does not know yet, as many do that start at once, prefers none.
+// rank is an entry's index among all entries in the order of their names, and their count.
+// It determines which engines the entry prefers. When entries briefly disagree about it,
+// they prefer the same engines; nothing else goes wrong. An entry that does not know its
+// rank yet, as when many start at once, has a count of 0 and prefers none.
 type rank struct{ index, count int }
 
-// prefers tells whether an engine, by its position among so many, is one of the entry's own.
-// Engines are dealt out in turn: by hashes one entry of four might have a single engine of
-// twelve and another one five. Where there are fewer engines than entries several have one.
+// prefers reports whether the engine at a position among so many is one of the entry's own.
+// Engines are assigned round-robin: by hashing, one of four entries might get a single
+// engine of twelve and another one five. With fewer engines than entries, several entries
+// share one.
 func (r rank) prefers(position, engines int) bool {
 	switch {
 	case r.count == 0:
@@ -45,15 +49,16 @@
 	return position%r.count == r.index
 }
 
-// engineSample are the engines that a short prompt is weighed against.
+// engineSample holds the engines that are scored for a short prompt.
 type engineSample struct {
-	// own are engines for short prompts that this entry prefers, otherEntries others for short
-	// prompts, longEngines those for long ones.
+	// own are engines for short prompts that this entry prefers, otherEntries are further
+	// engines for short prompts, longEngines are engines for long prompts.
 	own, otherEntries, longEngines []*directory.EndpointState
 }
 
-// sampleEngines takes of the engines for short prompts this entry's own and a few of the others', and
-// a few of those for long ones. What is not drawn need not be scored.
+// sampleEngines returns this entry's own engines for short prompts, a few of the other
+// entries' and a few of those for long prompts. Engines that are not sampled need not be
+// scored.
 func (p *Policy) sampleEngines(short, long []*directory.EndpointState) engineSample {
 	var sample engineSample
 	for _, e := range short {
@@ -68,7 +73,7 @@
 	return sample
 }
 
-// sample brings n at random to the front of a list and gives them.
+// sample moves n random elements to the front of the list and returns them.
 func (p *Policy) sample(list []*directory.EndpointState, n int) []*directory.EndpointState {
 	n = min(n, len(list))
 	for i := range n {
--- a/routing/direct/affinity_test.go
+++ b/routing/direct/affinity_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// policyWithRank is an entry's policy that knows its rank.
+// policyWithRank returns the policy of an entry that knows its rank.
 func policyWithRank(index, count int) *Policy {
 	p := newPolicy(uint64(index))
 	p.tracker.SetEntryCount(count)
@@ -17,9 +17,9 @@
 	return p
 }
 
-// Symptom: on a quiet day short prompts of one entry meet on its engines. Sequence: engines
-// belong to entries by their hashes, and one of four entries has a single one of twelve.
-// Cause: a division by chance is uneven where engines are few.
+// Guards against short prompts of one entry sharing engines under low load. When engines
+// were assigned to entries by hash, one of four entries got a single engine of twelve,
+// because hashing divides a small number of engines unevenly.
 func TestEnginesAreDividedEvenly(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ entries, engines int }{{1, 5}, {4, 12}, {7, 60}, {24, 24}, {24, 7}} {
@@ -34,17 +34,17 @@
 			}
 		}
 		is.True(slices.Max(own)-slices.Min(own) <= 1)
-		is.True(slices.Min(own) >= 1) // each entry has one
+		is.True(slices.Min(own) >= 1) // each entry has at least one
 		is.True(slices.Max(preferring)-slices.Min(preferring) <= 1)
-		is.True(slices.Min(preferring) >= 1) // each engine is some entry's
+		is.True(slices.Min(preferring) >= 1) // each engine belongs to some entry
 	}
 }
 
-// Symptom: of short prompts that come at a high rate a fifth is late by its first event
-// though all engines have slots free. Sequence: in the time until entries hear of each other,
-// several send to the engine that has the least to do by the view that they share; three
-// prompts meet in one pass. Cause: they weighed all engines, or some drawn anew for each
-// prompt.
+// Guards against a fifth of the short prompts missing their first-token target at a high
+// request rate while all engines have free slots. Before entries learn of each other's
+// requests, several send to the engine that looks least loaded in their common view, and
+// three prompts share a pass. This happened when entries scored all engines, or a new
+// random sample for each prompt.
 func TestPromptsOfSeveralEntriesDoNotShareAnEngine(t *testing.T) {
 	is := is.New(t)
 	const entries, engines, each = 4, 60, 5
@@ -62,8 +62,8 @@
 	is.Equal(len(placed), entries*each)
 }
 
-// Symptom, were it there: an entry that gets most of the callers lets prompts wait while the
-// engines of others are idle. Cause: a part of the engines for each entry, whatever comes.
+// Guards against an entry that gets most of the callers making prompts wait while other
+// entries' engines are idle, as a fixed division of the engines among entries would.
 func TestABusyEntryUsesTheEnginesOfOthers(t *testing.T) {
 	is := is.New(t)
 	const entries, engines = 4, 24
@@ -78,14 +78,14 @@
 			own++
 			continue
 		}
-		is.True(own > 0) // its own come first
+		is.True(own > 0) // its own engines are used first
 		others++
 	}
-	is.True(others > 100) // three quarters of the engines are others'
+	is.True(others > 100) // three quarters of the engines belong to other entries
 }
 
-// Entries that do not know each other yet, as after a start of all at once, spread what they
-// send by chance and charge no engine for being another's.
+// Entries that do not know each other yet, for example after all started at once, spread
+// their requests at random and add no cost for engines of other entries.
 func TestAnEntryThatKnowsNoOtherPrefersNoEngine(t *testing.T) {
 	is := is.New(t)
 	placed := map[string]bool{}
--- a/routing/direct/filter.go
+++ b/routing/direct/filter.go
@@ -6,8 +6,8 @@
 	"aspenyard.example/directory"
 )
 
-// eligible drops endpoints that were tried, and, as long as there are others, those
-// that accept no connections, refused work lately or whose registration has lapsed.
+// eligible drops endpoints that were already tried. Unless no others remain, it also drops
+// those that accept no connections, refused work lately or have lost their registration.
 func (p *Policy) eligible(now time.Time, r *Request, endpoints []*directory.EndpointState) []*directory.EndpointState {
 	preferred := make([]*directory.EndpointState, 0, len(endpoints))
 	var avoided []*directory.EndpointState
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// chooseEngines takes the engines with the least cost. The one that a long prompt is sent to is
-// that, of them, whose memory is least used; a short one is sent to the engine for short
-// prompts that is preferred, where its events come sooner and its memory is in nobody's way,
-// and its other parts to engines for long ones. Where none of them has room, another one is
-// taken: an engine without room holds a request back until another one ends, and prompts that
-// are prefilled in less than a second would begin after several. The helpers of a request that
-// needs more memory than alone come in the order of what is free there, as the first of them
-// are to hold it. It gives the most that any of the engines has to prefill before.
+// chooseEngines assigns the cheapest engines to a plan, as many as there are parts. A long
+// prompt is sent to the one of them whose memory is least used. A short prompt is sent to
+// the preferred engine for short prompts, where its events come sooner and its memory
+// displaces no long prompt, and its other parts go to engines for long prompts. Where none
+// of the engines has room, the cheapest one with room replaces the last of them: an engine
+// without room makes a request wait until another one ends, so that prompts with less than
+// a second of prefill would start after several. For a request that needs more memory than
+// one engine gives, the helpers are sorted by memory use, as the first of them reserve
+// memory. It returns the largest pending prefill of the engines.
 func (p *Policy) chooseEngines(plan *Plan, list []scored, parts, singleEngineMemory int) (maxPending time.Duration) {
-	for i := range list { // random among equals
+	for i := range list { // shuffle, so that equals come in random order
 		j := i + p.rand.IntN(len(list)-i)
 		list[i], list[j] = list[j], list[i]
 	}
@@ -45,7 +46,8 @@
 	return maxPending
 }
 
-// byPreference orders engines for the parts of a prompt.
+// byPreference orders engines for the parts of a prompt: the preferred one first, the
+// others by cost.
 func byPreference(a, b scored) int {
 	if a.preferred != b.preferred {
 		if a.preferred {
@@ -56,8 +58,8 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// replaceLastWithRoom brings the cheapest engine that has room among the first of a list, in place
-// of the last of them, and gives its index; first where none has.
+// replaceLastWithRoom swaps the cheapest engine with room in for the last of the first
+// parts elements, and returns its index; it returns first where no engine has room.
 func replaceLastWithRoom(list []scored, parts, first int) int {
 	for i := parts; i < len(list); i++ {
 		if !list[i].full {
@@ -68,8 +70,8 @@
 	return first
 }
 
-// pickCheapest takes the lowest cost, one at random among equals, so that entries with the
-// same view do not all take the same.
+// pickCheapest returns the element of lowest cost, a random one among equals, so that
+// entries with the same view do not all pick the same.
 func pickCheapest(rand Rand, list []scored) scored {
 	best, equal := list[0], 1
 	for _, s := range list[1:] {
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -8,49 +8,51 @@
 	"aspenyard.example/directory"
 )
 
-// Request is what placing needs to know.
+// Request describes a request for placement.
 type Request struct {
-	// Service is what must serve it; Engine is set for language-model services.
+	// Service is the service that must serve the request. Its Engine is set for
+	// language-model services only.
 	Service *directory.Service
-	// PromptTokens and OutputTokens bound its size.
+	// PromptTokens and OutputTokens are upper bounds of the request's size.
 	PromptTokens, OutputTokens int
-	// DataCentre is the entry's own.
+	// DataCentre is the entry's own data centre.
 	DataCentre string
-	// MaxPause is the longest pause between events that its route allows; 0: any.
+	// MaxPause is the longest pause between events that the request's route allows; 0: any.
 	MaxPause time.Duration
-	// Tried holds the endpoints that it was sent to already.
+	// Tried holds the endpoints that the request was already sent to.
 	Tried map[directory.Incarnation]bool
 }
 
-// Plan says where a request goes.
+// Plan is the placement of a request.
 type Plan struct {
 	Endpoint *directory.EndpointState
-	// Helpers prefill parts of the prompt.
+	// Helpers prefill parts of the prompt for Endpoint.
 	Helpers []*directory.EndpointState
-	// PartPrefill is the estimated time of each part.
+	// PartPrefill is the estimated prefill time of each part.
 	PartPrefill time.Duration
-	// Long is set when the whole prompt's prefill is long.
+	// Long is set when the prefill of the whole prompt is long.
 	Long bool
-	// MemoryTokens is the KV cache that the request needs, in tokens. Of it, EndpointMemoryTokens may
-	// be at the endpoint; where that is less, HelperMemoryTokens is to be reserved at each of the
-	// first ReservingHelpers of the helpers.
+	// MemoryTokens is the KV cache that the request needs, in tokens. Of it,
+	// EndpointMemoryTokens may be at the endpoint. Where that is less, HelperMemoryTokens
+	// must be reserved at each of the first ReservingHelpers of Helpers.
 	MemoryTokens, EndpointMemoryTokens, HelperMemoryTokens, ReservingHelpers int
-	// Overloaded is set when the request must not be sent now: Harmed of the Open requests on the
-	// engines would be late by the pause that its parts are for them. Parts that are short enough
-	// are not counted for it.
+	// Overloaded is set when the request must not be sent now: of the InFlight requests on
+	// the engines, Delayed would be late by the pause that its parts cause, and that is too
+	// many. For parts up to longestPart, none are counted as delayed.
 	Overloaded        bool
 	InFlight, Delayed int
-	// ExpectedFirstToken is when the first token is expected.
+	// ExpectedFirstToken is the estimated time from the start of the plan to the first
+	// token.
 	ExpectedFirstToken time.Duration
 	// Cost is the estimate by which the endpoint was picked.
 	Cost time.Duration
-	// Candidates is how many endpoints it was picked from.
+	// Candidates is the number of endpoints it was picked from.
 	Candidates int
-	// pauseClass is that of the pause which the request's route allows.
+	// pauseClass is the class of the pause that the request's route allows, see PauseClass.
 	pauseClass int
 }
 
-// HelperIDs names the helpers.
+// HelperIDs returns the IDs of the helpers.
 func (plan *Plan) HelperIDs() []string {
 	ids := make([]string, 0, len(plan.Helpers))
 	for _, e := range plan.Helpers {
@@ -59,52 +61,54 @@
 	return ids
 }
 
-// Rand is the randomness that placing needs.
+// Rand is the source of randomness for placement.
 type Rand interface {
 	// IntN returns a number in [0, n).
 	IntN(n int) int
 }
 
-// Policy places requests.
+// Policy decides on which endpoints requests are placed.
 type Policy struct {
 	tracker *LoadTracker
 	rand    Rand
 }
 
-// NewPolicy makes a policy over a ledger.
+// NewPolicy returns a policy that places requests by the loads of a tracker.
 func NewPolicy(tracker *LoadTracker, rand Rand) *Policy {
 	return &Policy{tracker: tracker, rand: rand}
 }
 
 const (
-	// inFlightCost is what each open request at an endpoint adds to the estimated delay: it
-	// decodes there and lengthens every pass, or others like it follow.
+	// inFlightCost is what each request in flight at an endpoint adds to the estimated
+	// delay: it decodes there and lengthens every pass, or others like it follow it there.
 	inFlightCost = 5 * time.Millisecond
-	// overSlotsCost is what each request adds that is open beyond the endpoint's slots: one
-	// of them must end first.
+	// overSlotsCost is added for each request in flight beyond the endpoint's slots: one of
+	// the others must end first.
 	overSlotsCost = 150 * time.Millisecond
-	// distanceCost is the way to another data centre and back.
+	// distanceCost is the round trip to another data centre.
 	distanceCost = 2 * time.Millisecond
-	// otherPoolCost is what an engine of the other kind costs a short prompt, which a part of
-	// a long one that is prefilled there makes late; and what one of its own kind costs a part
-	// of a short prompt, which makes those late that decode there. It is worth 40 open requests, so that
-	// those for short ones fill their slots first.
+	// otherPoolCost is added for engines of the other kind. For a short prompt those are
+	// the engines for long prompts, where a part of one would delay it; for a part of a
+	// short prompt, the engines for short prompts, where it would delay the streams. It
+	// equals the cost of 40 requests in flight, so that short prompts fill the slots of
+	// their own engines first.
 	otherPoolCost = 200 * time.Millisecond
-	// delayCost is what each request that a part over longestPart would make late adds to its
-	// engine's cost: more than most engines have to read.
+	// delayCost is added to an engine's cost for each request that a part over longestPart
+	// would delay. It exceeds the pending prefill of most engines.
 	delayCost = time.Second
-	// minInterruptedPrefill is what an engine has to read at least for a part to harm the prompt that is read
-	// there, which it stops.
+	// minInterruptedPrefill is the least pending prefill of an engine for which a part
+	// counts as delaying the prompt that is being prefilled there, which it interrupts.
 	minInterruptedPrefill = 200 * time.Millisecond
-	// maxParts is on how many engines a prompt is prefilled: the one that it is sent to
-	// and the helpers that it may name.
+	// maxParts is the number of engines on which a prompt may be prefilled: the one that it
+	// is sent to and the helpers that it may name.
 	maxParts = 17
-	// memoryCost is what a full KV cache of one's own requests costs: an engine that
-	// runs out of memory starts its newest request anew.
+	// memoryCost is the cost of a KV cache that is full by the estimated needs of requests.
+	// An engine that runs out of memory restarts its newest request.
 	memoryCost = 300 * time.Millisecond
 )
 
-// Place picks where a request goes; nil when no endpoint may be sent it.
+// Place picks the endpoints for a request. It returns nil when the request may be sent to
+// none.
 func (p *Policy) Place(now time.Time, r *Request, endpoints []*directory.EndpointState) *Plan {
 	p.tracker.mu.Lock()
 	defer p.tracker.mu.Unlock()
@@ -119,7 +123,7 @@
 	return p.placeEngine(now, r, candidates)
 }
 
-// placePlain picks the endpoint of a plain service with the least to do.
+// placePlain picks the endpoint of a plain service with the lowest cost.
 func (p *Policy) placePlain(now time.Time, r *Request, candidates []*directory.EndpointState) *Plan {
 	best := pickCheapest(p.rand, p.score(now, r, candidates, nil))
 	return &Plan{Endpoint: best.endpoint, Cost: best.cost, Candidates: len(candidates)}
@@ -148,35 +152,36 @@
 	if sparing.Delayed <= maxDelayed {
 		return &sparing
 	}
-	// Rather than be refused, the prompt stops others that are read.
+	// Interrupting the prefill of other prompts is better than refusing this one.
 	p.assign(&interrupting, addDelayCost(list, false), parts, engine)
 	interrupting.Overloaded = interrupting.Delayed > maxDelayed
 	return &interrupting
 }
 
-// assign gives a plan so many parts of a list of engines.
+// assign assigns that many parts to the engines of a list and completes the plan.
 func (p *Policy) assign(plan *Plan, list []scored, parts int, engine *directory.Engine) {
 	pending := p.chooseEngines(plan, list, parts, maxSingleEngineMemory(engine))
 	plan.ExpectedFirstToken = pending + plan.PartPrefill + 2*PassTime(engine)
 	plan.splitMemory(engine)
 }
 
-// partPause is the pause that a part means for those who decode on its engine.
+// partPause is the pause that a part causes for the streams that decode on its engine.
 func partPause(engine *directory.Engine, part time.Duration) time.Duration {
 	return DecodeTime(engine, engine.Slots/2, engine.KVCacheTokens/2) + part
 }
 
-// countDelayed notes how many of the requests that are open on each engine would be late by a pause.
+// countDelayed sets, for each engine, how many of its requests in flight would be late by
+// the pause.
 func (p *Policy) countDelayed(list []scored, pause time.Duration) {
 	for i := range list {
 		list[i].delayed = p.tracker.streamCounts(list[i].endpoint.Incarnation).delayedBy(pause)
 	}
 }
 
-// addDelayCost gives a list of engines with the cost of whom a part harms there: streams that would be
-// late by the pause and, with spareRead, the prompt that is read. A plan that went by what engines
-// have to read alone would be refused for the streams on engines that have little to read, while
-// others have none.
+// addDelayCost returns a copy of the list with the cost of the requests that a part would
+// delay on each engine: streams that would be late by the pause and, with sparePrefill, the
+// prompt that is being prefilled. By pending prefill alone, a plan could be refused for the
+// streams on engines with little to prefill while other engines have no streams.
 func addDelayCost(list []scored, sparePrefill bool) []scored {
 	list = slices.Clone(list)
 	for i := range list {
@@ -190,12 +195,12 @@
 	return list
 }
 
-// shortEngines gives the engines that a prompt which is not long may be sent to, and in how
-// many parts. Endpoints come in the same order at every entry: short prompts have the
-// engines at its beginning, long ones those at its end, and the boundary follows the demand.
-// One in parts is held by an engine for short ones and prefilled on those for long ones: on
-// its own kind's three or four such parts meet in one pass, over the pause that short streams
-// allow.
+// shortEngines returns the engines for a prompt that is not long, and the number of its
+// parts. All entries see endpoints in the same order: short prompts have the engines at the
+// start of the list, long ones those at the end, and the boundary follows the demand. A
+// prompt in several parts is sent to an engine for short prompts and prefilled on those for
+// long ones: on the engines for short prompts, three or four such parts would share a pass
+// and exceed the pause that short streams allow.
 func (p *Policy) shortEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	target := partTarget(r.Service)
 	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates))
@@ -210,7 +215,7 @@
 	return list, partCount(prefill, target, len(list))
 }
 
-// scoreSample scores the engines drawn for a short prompt.
+// scoreSample scores the engines that were sampled for a short prompt.
 func (p *Policy) scoreSample(now time.Time, r *Request, sample engineSample) []scored {
 	list := p.score(now, r, sample.own, r.Service.Engine)
 	otherEntries := p.score(now, r, sample.otherEntries, r.Service.Engine)
@@ -222,8 +227,8 @@
 	return slices.Concat(list, otherEntries, longEngines)
 }
 
-// longEngines gives the engines that a long prompt may be prefilled on, and in how many
-// parts: those at the end of the list, and others where these are too few.
+// longEngines returns the engines for a long prompt and the number of its parts. They are
+// the engines at the end of the list, and others where these are too few.
 func (p *Policy) longEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	engine := r.Service.Engine
 	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates)-1)
@@ -243,21 +248,21 @@
 	return list, parts
 }
 
-// partCount is in how many parts a prompt is prefilled on so many engines.
+// partCount is the number of parts in which a prompt is prefilled on so many engines.
 func partCount(prefill, target time.Duration, engines int) int {
 	return max(1, min(int((prefill+target-1)/target), maxParts, engines))
 }
 
-// maxDelayed is how many streams a plan with parts over longestPart may make late.
+// maxDelayed is the number of streams that a plan with parts over longestPart may delay.
 const maxDelayed = 4
 
-// maxWidenInFlight is how many short requests may be held up by a long prompt that needs more
-// engines than those for long prompts.
+// maxWidenInFlight is the number of requests in flight on the other engines that a long
+// prompt may delay when it needs more engines than those for long prompts.
 const maxWidenInFlight = 12
 
-// widen adds to the engines for long prompts as many of the others, those with the
-// least open, as make a prompt's parts short enough, or as short as they can be; none if
-// too much is open there.
+// widen adds as many of the other engines as make the prompt's parts short enough, or as
+// short as possible, starting with the cheapest. It adds none if these have too many
+// requests in flight.
 func (p *Policy) widen(now time.Time, r *Request, others []*directory.EndpointState, list []scored, prefill time.Duration) ([]scored, int) {
 	parts := min(maxParts, len(list))
 	longest := longestPart(r.Service)
@@ -278,12 +283,12 @@
 	return append(list, more[:extra]...), needed
 }
 
-// boundary is how many of a service's engines short prompts have to themselves.
+// boundary is the number of a service's engines that are reserved for short prompts.
 func (p *Policy) boundary(now time.Time, service *directory.Service, engines int) int {
 	return p.boundaryFor(p.tracker.totalDemand(now, service.Name), service, engines)
 }
 
-// boundaryFor is the same at a demand that is known.
+// boundaryFor returns the boundary for a given demand.
 func (p *Policy) boundaryFor(demand Demand, service *directory.Service, engines int) int {
 	if !p.tracker.knowsOtherEntries() {
 		// Entries that have all just started would each send their first requests to the
--- a/routing/direct/scorer.go
+++ b/routing/direct/scorer.go
@@ -6,31 +6,34 @@
 	"aspenyard.example/directory"
 )
 
+// scored is an endpoint with its estimated cost for a request and the load behind it.
 type scored struct {
 	endpoint *directory.EndpointState
 	cost     time.Duration
-	// inFlight is how many requests the engine has, reading what it has to prefill.
+	// inFlight is the number of the engine's requests, pendingPrefill the prefill time that
+	// it has to do.
 	inFlight       int
 	pendingPrefill time.Duration
-	// delayed is how many of the open requests would be late by the pause that a part means for
-	// them; 0 where parts are short enough not to be counted.
+	// delayed is the number of its requests that would be late by the pause that a part
+	// causes; 0 where parts are short enough not to be counted.
 	delayed int
-	// memoryTokens is the KV cache in use there, in tokens; full is set when it has no room for
-	// what the request's first engine must hold.
+	// memoryTokens is the KV cache that its requests need, in tokens. full is set when it
+	// has no room for the memory that the endpoint of the request must provide.
 	memoryTokens int
 	full         bool
-	// preferred is set for the engine that is to hold the request.
+	// preferred is set for the engine to which the request should be sent.
 	preferred bool
-	// slowdown is how many times as long as described the engine's work takes.
+	// slowdown is the ratio of the time the engine's work takes to the time described.
 	slowdown float64
 }
 
-// longInFlightCost is what each open request on an engine adds to its cost for a long
-// prompt, whose part would pause it. More than a short part costs would send parts to
-// engines that already have much to prefill.
+// longInFlightCost is what each request in flight on an engine adds to its cost for a long
+// prompt, whose part would pause it. If it were more than a short part costs, parts would
+// go to engines that already have much to prefill.
 const longInFlightCost = 50 * time.Millisecond
 
-// inFlightCostFor is what each open request adds to an engine's cost for a prompt.
+// inFlightCostFor returns what each request in flight adds to an engine's cost for a
+// prompt.
 func inFlightCostFor(s *directory.Service, tokens int) time.Duration {
 	if IsLongPrompt(s, tokens) {
 		return longInFlightCost
@@ -61,15 +64,15 @@
 	return list
 }
 
-// addCost makes engines dearer that had better be left to others.
+// addCost makes engines more expensive that should be left to other requests.
 func addCost(list []scored, cost time.Duration) {
 	for i := range list {
 		list[i].cost += cost
 	}
 }
 
-// markPreferred marks the cheapest of some engines that are not slow and have room: it is to
-// hold a prompt whose other parts are prefilled elsewhere.
+// markPreferred marks the cheapest of the engines that are not slow and have room. A prompt
+// whose other parts are prefilled elsewhere should be sent to it.
 func markPreferred(list []scored) {
 	best := -1
 	for i, s := range list {
