--- a/routing/direct/backlog.go
+++ b/routing/direct/backlog.go
@@ -6,38 +6,40 @@
 	"aspenyard.example/directory"
 )
 
-// FirstTokenEstimate is when the first token of a long prompt that has come would be there.
+// FirstTokenEstimate is the estimated time to the first token of a long prompt from now on.
 type FirstTokenEstimate struct {
-	// Wait is for the long prompts that all entries have sent and hold back, Prefill for the
-	// prompt itself.
+	// Wait is the time for the long prompts that all entries have sent or queued, Prefill
+	// that for the prompt itself.
 	Wait, Prefill time.Duration
 }
 
-// FirstToken is the time until the first token.
+// FirstToken is the estimated time until the first token.
 func (e FirstTokenEstimate) FirstToken() time.Duration { return e.Wait + e.Prefill }
 
-// TooLate tells whether the prompt is to be refused at once, as its first token would be late.
+// TooLate reports whether the first token would miss the target, so that the prompt must be
+// refused at once. A target of 0 is never missed.
 func (e FirstTokenEstimate) TooLate(target time.Duration) bool {
 	return target > 0 && e.FirstToken() > target
 }
 
-// longEngineCount is how many engines there are for long prompts at a demand.
+// longEngineCount is the number of engines for long prompts at the given demand, at least
+// 1.
 func (p *Policy) longEngineCount(demand Demand, service *directory.Service, engines int) int {
 	return max(engines-p.boundaryFor(demand, service, engines), 1)
 }
 
-// slowestPartFactor is how many times as long as its parts take a prompt is read: it ends with the slowest
-// of its engines.
+// slowestPartFactor is the ratio of a prompt's whole prefill to the estimate for one of its
+// parts: the prefill ends when the slowest of its engines does.
 const slowestPartFactor = 1.2
 
-// LatestStart is until when the prompt may be held back, from its arrival, and its first token
-// still be there in time.
+// LatestStart is how long after its arrival the prompt may stay queued with its first token
+// still meeting the target.
 func (e FirstTokenEstimate) LatestStart(target time.Duration) time.Duration {
 	return max(target-time.Duration(slowestPartFactor*float64(e.Prefill)), 0)
 }
 
-// AddLongPrompt notes that a long prompt has come, which moves the boundary at once, and estimates when
-// its first token would come.
+// AddLongPrompt records the arrival of a long prompt, which moves the boundary between the
+// engines for short and long prompts at once, and estimates the time to its first token.
 func (p *Policy) AddLongPrompt(now time.Time, service *directory.Service, engines, promptTokens int) FirstTokenEstimate {
 	p.tracker.mu.Lock()
 	defer p.tracker.mu.Unlock()
@@ -45,15 +47,17 @@
 	return p.estimateFirstToken(now, service, engines, promptTokens)
 }
 
-// EstimateFirstToken estimates the same of a prompt that has been noted.
+// EstimateFirstToken estimates the time to the first token of a prompt whose arrival has
+// been recorded.
 func (p *Policy) EstimateFirstToken(now time.Time, service *directory.Service, engines, promptTokens int) FirstTokenEstimate {
 	p.tracker.mu.Lock()
 	defer p.tracker.mu.Unlock()
 	return p.estimateFirstToken(now, service, engines, promptTokens)
 }
 
-// estimateFirstToken estimates when the first token of a prompt would come: after the long prompts that all
-// entries have sent and hold back, at the rate of the engines for long prompts.
+// estimateFirstToken assumes that the prompt follows all long prompts that the entries have
+// sent or queued, which the engines for long prompts work off at maxLongUtilization. The
+// caller holds the tracker's lock.
 func (p *Policy) estimateFirstToken(now time.Time, service *directory.Service, engines, promptTokens int) FirstTokenEstimate {
 	p.tracker.updatePendingPrefill(now)
 	total := p.tracker.totalDemand(now, service.Name)
--- a/routing/direct/demand.go
+++ b/routing/direct/demand.go
@@ -7,11 +7,11 @@
 	"aspenyard.example/directory"
 )
 
-// demand is how much of the engines' time one entry's requests ask for, by whether
-// their prefill is long. Engines are divided between the two kinds by it.
+// demand records how much prefill the long prompts of one entry asked for lately. The
+// engines are divided between short and long prompts by it.
 type demand struct {
-	// arrivals holds the prefill that was asked for by long prompts in the last
-	// demandWindow.
+	// arrivals holds the long prompts of the last demandWindow, and total is the sum of
+	// their prefill.
 	arrivals []arrival
 	total    time.Duration
 }
@@ -22,8 +22,9 @@
 }
 
 const (
-	// demandWindow is how far back demand is counted: the users' mix changes threefold
-	// within ten seconds, and a second or two of it tells which way.
+	// demandWindow is the period over which demand is summed. The mix at the users' sites
+	// changes threefold within ten seconds, and one or two seconds of it show the
+	// direction.
 	demandWindow = 3 * time.Second
 )
 
@@ -41,38 +42,41 @@
 }
 
 const (
-	// maxLongUtilization is the part of an engine's time that long prompts may take.
+	// maxLongUtilization is the fraction of an engine's time that long prompts may take.
 	maxLongUtilization = 0.85
-	// contendedSlotShare is the part of an engine's slots that short requests take where both kinds ask
-	// for all engines: more of them meet in one pass and lengthen it.
+	// contendedSlotShare is the fraction of an engine's slots that short requests use where
+	// short and long prompts together ask for all engines. With more of them, several are
+	// prefilled in one pass and lengthen it.
 	contendedSlotShare = 0.5
-	// fillSlotShare is the part of an engine's slots that short requests fill before they take
-	// another engine: one more lengthens a pass by little, and an engine on which nobody
-	// decodes reads parts of long prompts without making anybody late.
+	// fillSlotShare is the fraction of an engine's slots that short requests fill before
+	// they take another engine. One more request lengthens a pass only a little, and on an
+	// engine where nothing decodes, parts of long prompts are prefilled without delaying
+	// anyone.
 	fillSlotShare = 0.67
-	// spareShortEngines is how many engines short requests have beyond those that they fill: more
-	// of them begin before the other entries hear of it.
+	// spareShortEngines is the number of engines for short requests beyond those that they
+	// fill, because more short requests start before the other entries learn of them.
 	spareShortEngines = 1
-	// perEntryShare is the part of the engines that short requests take, however few are open, for
-	// each entry to have one of its own.
+	// perEntryShare is the fraction of the engines that short requests may take, however
+	// few are in flight, so that each entry has an engine of its own.
 	perEntryShare = 0.125
-	// minLongShare and minShortShare are the parts of the engines that each kind may always take.
+	// minLongShare and minShortShare are the fractions of the engines that long and short
+	// prompts may always take.
 	minLongShare, minShortShare = 0.35, 0.1
 )
 
 // Demand is what the requests of one entry, or of several, ask of a service's engines.
 type Demand struct {
 	Service string
-	// LongPrefill is the prefill of the long prompts that came in demandWindow, and
-	// OpenShort how many requests with short ones are under way.
+	// LongPrefill is the prefill time of the long prompts that arrived in the last
+	// demandWindow, and ShortInFlight the number of requests with short prompts in flight.
 	LongPrefill   time.Duration
 	ShortInFlight int
-	// PendingPrefill is the prefill of long prompts that was sent to engines and is not done,
-	// QueuedPrefill that of those that are held back.
+	// PendingPrefill is the prefill time of long prompts that was sent to engines and is
+	// not done, QueuedPrefill that of queued long prompts.
 	PendingPrefill, QueuedPrefill time.Duration
 }
 
-// shortShare is the part of a service's engines that short prompts may take.
+// shortShare is the fraction of a service's engines that short prompts may take.
 func shortShare(d Demand, engine *directory.Engine) float64 {
 	long := d.LongPrefill.Seconds() / demandWindow.Seconds() / maxLongUtilization
 	short := float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * contendedSlotShare)
@@ -82,14 +86,14 @@
 	return min(max(short/(long+short), minShortShare), 1-minLongShare)
 }
 
-// maxShortEngines is how many of a service's engines short prompts may take.
+// maxShortEngines is the number of a service's engines that short prompts may take.
 func maxShortEngines(d Demand, engine *directory.Engine, engines int) int {
 	return int(shortShare(d, engine)*float64(engines) + 0.5)
 }
 
-// enginesForShort is how many of a service's engines short prompts have to themselves: as few
-// as those that are open fill, or one for each entry where engines abound, on which its prompts
-// meet no others; within their share.
+// enginesForShort is the number of a service's engines reserved for short prompts. It is as
+// few as those in flight fill, or one for each entry where engines abound, so that an
+// entry's prompts share a pass with no others; at most maxShortEngines and at least 1.
 func enginesForShort(d Demand, engine *directory.Engine, engines, entries int) int {
 	share := maxShortEngines(d, engine, engines)
 	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillSlotShare))
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -15,7 +15,7 @@
 
 var testNow = time.Now()
 
-// siteEngine is the engine of the users' sites.
+// siteEngine describes the engines of the users' sites.
 func siteEngine() *directory.Engine {
 	return &directory.Engine{Slots: 16, KVCacheTokens: 405_000, Stride: 34, ChunkTokens: 2048, StepTime: 1310 * time.Microsecond, PrefillTokensPerSecond: 154_000, AttentionTimePerMillionPairs: 162 * time.Microsecond}
 }
@@ -38,9 +38,9 @@
 	return &Request{Service: service(), PromptTokens: tokens, OutputTokens: 1000, Tried: map[directory.Incarnation]bool{}}
 }
 
-// The model against what engines were seen to take: a pause between events is the 45 ms
-// of a pass and the prefill in it (571, 789 and 820 ms of parts; pauses of 617, 834 and
-// 866 ms).
+// Compares the prefill model with measured times: a pause between events is the 45 ms of a
+// pass and the prefill in it (parts of 571, 789 and 820 ms gave pauses of 617, 834 and 866
+// ms).
 func TestPrefillTimeMatchesMeasurements(t *testing.T) {
 	is := is.New(t)
 	near := func(got time.Duration, want float64) bool {
@@ -53,8 +53,8 @@
 	is.Equal(PrefillTime(nil, 1000), time.Duration(0))
 }
 
-// Symptom: short streams are late by a pause. Sequence: long prompts come beside many
-// short ones. Cause: their parts are prefilled where short ones decode.
+// Guards against pauses that delay short streams when long prompts arrive beside many short
+// ones: the parts of long prompts were prefilled on engines where short ones decode.
 func TestShortAndLongPromptsUseDifferentEngines(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
@@ -85,11 +85,11 @@
 	for _, e := range list[10:] {
 		onLong += p.tracker.endpoints[e.Incarnation].inFlight - before[e.Incarnation]
 	}
-	is.True(onLong <= 4) // of 20 that came after the long ones
+	is.True(onLong <= 4) // of 20 that arrived after the long ones
 }
 
-// The boundary follows the mix: with long prompts alone short ones keep a tenth of the
-// engines, with short ones alone long ones keep a third.
+// The boundary follows the mix: with long prompts only, short ones keep a tenth of the
+// engines; with short ones only, long ones keep a third.
 func TestTheBoundaryFollowsTheDemand(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
@@ -100,21 +100,23 @@
 	is.True(half > 0.45 && half < 0.55)
 }
 
-// Symptom: after a turn of the mix long prompts find short streams on half of the engines for
-// seconds. Cause: what is open was spread over all engines of their share.
+// Guards against long prompts finding short streams on half of the engines for seconds
+// after the mix changes, because short requests were spread over all engines that they may
+// take.
 func TestShortPromptsFillFewEnginesWithinTheirShare(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
 	is.Equal(enginesForShort(Demand{}, e, 20, 1), 1)
 	is.Equal(enginesForShort(Demand{ShortInFlight: 10}, e, 20, 1), 2)
 	is.Equal(enginesForShort(Demand{ShortInFlight: 100}, e, 20, 1), 11)
-	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 20, 1), 13) // their share
+	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 20, 1), 13) // maxShortEngines
 	is.Equal(enginesForShort(Demand{ShortInFlight: 100, LongPrefill: time.Minute}, e, 20, 1), 7)
 	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 1, 1), 1)
 }
 
-// Symptom: on a site with ten times as many engines as entries and little to do, short prompts are
-// late. Cause: they kept to a few engines, on which those of several entries met.
+// Guards against short prompts missing their targets on a lightly loaded site with ten
+// times as many engines as entries: short prompts kept to a few engines, where those of
+// several entries shared passes.
 func TestEachEntryHasAnEngineForShortPromptsWhereEnginesAbound(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
@@ -123,8 +125,8 @@
 	is.Equal(enginesForShort(Demand{ShortInFlight: 1000}, e, 320, 33), 95)
 }
 
-// Symptom: entries divide the engines differently. Sequence: each sees a few long
-// prompts of its own. Cause: no word of the others'.
+// Guards against entries dividing the engines differently: each sees only a few long
+// prompts of its own, so the demand of the other entries must count too.
 func TestOtherEntriesDemandCounts(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
@@ -134,13 +136,13 @@
 	is.Equal(sum.LongPrefill, 10*time.Second)
 	is.Equal(sum.ShortInFlight, 4)
 	is.Equal(sum.PendingPrefill+sum.QueuedPrefill, 3*time.Second)
-	is.Equal(l.totalDemand(testNow.Add(2*peerLoadTTL), "m").LongPrefill, time.Duration(0)) // silent entries are forgotten
+	is.Equal(l.totalDemand(testNow.Add(2*peerLoadTTL), "m").LongPrefill, time.Duration(0)) // entries without a report within peerLoadTTL are removed
 	is.Equal(len(l.peerLoads), 0)
 }
 
-// Symptom: other entries do not know of a long prompt that is being prefilled. Sequence: it is
-// the first request of an entry. Cause: an entry told only of services for which it had had a
-// short one.
+// Guards against other entries not learning of a long prompt's pending prefill when it is
+// an entry's first request: an entry reported only services for which it had had a short
+// request.
 func TestFirstLongPromptOfAnEntryIsReported(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
@@ -150,7 +152,7 @@
 	is.True(demands[0].PendingPrefill > time.Second)
 }
 
-// An operator sees how much of the others is known, and how old it is.
+// Operators see how many of the other entries reported, and how old the reports are.
 func TestPeerStatusReportsCoverageAndAge(t *testing.T) {
 	is := is.New(t)
 	l := NewLoadTracker()
@@ -171,7 +173,7 @@
 		loads = append(loads, EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 8})
 	}
 	p.tracker.SetEntryCount(3)
-	p.tracker.ReplacePeerLoad(testNow, "b", nil, loads) // one of two others is heard of
+	p.tracker.ReplacePeerLoad(testNow, "b", nil, loads) // only one of the two others has reported
 	for range 20 {
 		is.Equal(p.Place(testNow, prompt(1000), list).Endpoint.ID, list[3].ID)
 	}
@@ -179,8 +181,8 @@
 	is.Equal(inFlight, 16)
 }
 
-// Changes that another entry tells of add up to the same as all of it told at once, and
-// leave nothing behind when it falls silent.
+// Partial updates from another entry add up to the same as one full update, and nothing
+// remains when the entry stops reporting.
 func TestPartialUpdatesAddUpToAFullUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, full := NewLoadTracker(), NewLoadTracker()
@@ -205,9 +207,9 @@
 	})
 }
 
-// Symptom: with many entries short prompts meet on a few engines and are late. Sequence:
-// in the time until they hear of each other, all entries place prompts by one view.
-// Cause: each picks the engine with the least to do, which is the same for all.
+// Guards against short prompts of many entries sharing a few engines and missing their
+// targets. Before entries learn of each other's requests, all place prompts by the same
+// view and would all pick the engine with the least to do.
 func TestManyEntriesDoNotPickTheSameEngine(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(78)
@@ -232,8 +234,8 @@
 	is.True(busiest(27) <= 4)
 }
 
-// A long prompt's parts go where nobody decodes, even if a little more is to be
-// prefilled there.
+// The parts of a long prompt go to engines where nothing decodes, even if these have a
+// little more pending prefill.
 func TestPartsOfLongPromptsKeepOffEnginesInUse(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
@@ -270,7 +272,7 @@
 		is.Equal(p.Place(testNow, r, list).Endpoint.ID, list[4].ID)
 	}
 	r.Tried[list[4].Incarnation] = true
-	is.True(p.Place(testNow, r, list) != nil) // a doubtful one is better than none
+	is.True(p.Place(testNow, r, list) != nil) // an avoided endpoint is better than none
 	for _, e := range list {
 		r.Tried[e.Incarnation] = true
 	}
@@ -284,27 +286,27 @@
 	plan := p.Place(testNow, prompt(500_000), endpoints(23))
 	is.Equal(len(plan.Helpers), 16)
 	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
-	is.True(plan.EndpointMemoryTokens+(plan.ReservingHelpers-1)*plan.HelperMemoryTokens >= plan.MemoryTokens) // also when one refuses
+	is.True(plan.EndpointMemoryTokens+(plan.ReservingHelpers-1)*plan.HelperMemoryTokens >= plan.MemoryTokens) // also enough if one helper refuses
 	is.True(plan.EndpointMemoryTokens <= maxSingleEngineMemory(siteEngine()))
 	p.tracker.ReplacePeerLoad(testNow, "b", nil, loadsOf(endpoints(23), 2))
-	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // engines in use
+	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // all engines are in use
 }
 
-// streamsAllowing are so many requests that allow a pause.
+// streamsAllowing returns the counts of so many requests that allow the pause.
 func streamsAllowing(pause time.Duration, count int) StreamCounts {
 	var s StreamCounts
 	s[PauseClass(pause)] = int16(count)
 	return s
 }
 
-// loadsOf gives each endpoint so many requests.
+// loadsOf returns a load of so many requests for each endpoint.
 func loadsOf(list []*directory.EndpointState, count int) []EndpointLoad {
 	return sameLoad(list, EndpointLoad{InFlight: count, Streams: streamsAllowing(250*time.Millisecond, count)})
 }
 
-// Symptom: a quarter of the long prompts are refused while engines have room. Sequence:
-// the mix leaves long prompts a third of the engines, on which the longer ones of them
-// would have parts of over 0.7 s. Cause: no engine beyond the boundary for them.
+// Guards against a quarter of the long prompts being refused while engines have room. The
+// mix leaves long prompts a third of the engines, on which the longest of them would have
+// parts of over 0.7 s, and they got no engine beyond the boundary.
 func TestALongPromptTakesMoreEnginesUnderLowLoad(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(6)
@@ -318,13 +320,13 @@
 	is.True(plan.PartPrefill <= longestPart(service()))
 	is.True(len(plan.Helpers) >= 8)
 	for _, e := range append(plan.Helpers, plan.Endpoint) {
-		is.True(p.tracker.peerLoads[HashEndpoint(e.Incarnation)].InFlight == 0) // those with the least open
+		is.True(p.tracker.peerLoads[HashEndpoint(e.Incarnation)].InFlight == 0) // those with the fewest requests in flight
 	}
 	p.tracker.ReplacePeerLoad(testNow, "b", []Demand{{Service: "m", ShortInFlight: 160, LongPrefill: 17 * time.Second}}, loadsOf(list, 9))
 	is.True(p.Place(testNow, prompt(250_000), list).Overloaded)
 }
 
-// Whatever is placed and ended in whatever order, a ledger ends empty.
+// Whatever requests start and end in whatever order, the tracker ends with no load.
 func TestTrackerEndsWithoutLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPolicy(rapid.Uint64().Draw(t, "seed"))
@@ -376,10 +378,10 @@
 	is.True(EnginePriority(900_000, 9) <= lowestPriority)
 }
 
-// Symptom: a prompt that takes 0.4 s to read begins after 3 to 5 s. Sequence: an engine
-// has room for one long prompt; two entries each send it one. Cause: an entry knew the
-// memory that its own requests need and not that of others', and the engine held the
-// second back until the first had ended.
+// Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine has
+// room for one long prompt, and two entries each send it one; an entry knew only the memory
+// that its own requests need, and the engine made the second wait until the first had
+// ended.
 func TestALongPromptGoesWhereMemoryHasRoom(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(12)
@@ -389,7 +391,7 @@
 	for i, e := range list {
 		load := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, MemoryTokens: 210_000}
 		if i == 11 {
-			load.PendingPrefill, load.MemoryTokens = 200*time.Millisecond, 20_000 // room, and the most to do
+			load.PendingPrefill, load.MemoryTokens = 200*time.Millisecond, 20_000 // has room, and the most to prefill
 		}
 		loads = append(loads, load)
 	}
@@ -397,13 +399,14 @@
 	plan := p.Place(testNow, prompt(200_000), list)
 	is.Equal(plan.Endpoint.Incarnation, list[11].Incarnation)
 	p.tracker.Begin(testNow, plan)
-	is.True(p.Place(testNow, prompt(190_000), list).Endpoint.Incarnation != list[11].Incarnation) // its own is counted too
+	is.True(p.Place(testNow, prompt(190_000), list).Endpoint.Incarnation != list[11].Incarnation) // the entry's own requests count too
 }
 
-// Symptom: most short streams that are late have a pause with a part of 150 ms or more of a
-// prompt that needs more memory than one engine has. Sequence: such prompts come beside
-// short ones. Cause: they were prefilled on 17 engines of all, short prompts' own among
-// them. With 21 engines short streams earned 0.85 of their worth in place of 0.72.
+// Guards against pauses of short streams caused by prompts that need more memory than one
+// engine has: most delayed short streams paused for a part of 150 ms or more of such a
+// prompt. Those prompts were prefilled on 17 of all engines, including those for short
+// prompts. Keeping them off raised what short streams score with 21 engines from 0.72 of
+// the possible value to 0.85.
 func TestAPromptOverOneEnginesMemoryUsesEnginesForLongPrompts(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(2)
@@ -422,7 +425,7 @@
 	is.True(plan.EndpointMemoryTokens+plan.ReservingHelpers*plan.HelperMemoryTokens >= plan.MemoryTokens)
 }
 
-// Memory decides how few engines a prompt may be spread over.
+// Memory needs determine the least number of engines that a prompt is spread over.
 func TestAPromptHasAsManyEnginesAsItsMemoryNeeds(t *testing.T) {
 	is := is.New(t)
 	e := siteEngine()
@@ -437,9 +440,9 @@
 	is.Equal(len(plan.Helpers), 5)
 }
 
-// Symptom: prompts of 45,000 tokens pause for over 600 ms. Sequence: their parts are spread
-// over short and long prompts' engines, and they decode where most memory is free. Cause:
-// that is an engine for long prompts, which is about to be given the next part of one.
+// Guards against pauses of over 600 ms for prompts of 45,000 tokens. Their parts are spread
+// over engines for short and for long prompts, and they decoded where most memory was free:
+// on an engine for long prompts, which soon gets the next part of one.
 func TestAShortPromptInPartsDecodesOnAnEngineForShortOnes(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
@@ -455,10 +458,10 @@
 	is.True(slices.Contains(list[:boundary], plan.Endpoint))
 }
 
-// Symptom: short streams pause for over 250 ms while no long prompt's part is near. Sequence:
-// prompts of 30,000 to 90,000 tokens come eight times a second; three or four of their parts
-// of 55 ms meet in one pass. Cause: all their parts went to engines for short prompts, though
-// those for long ones have decoders that allow a second.
+// Guards against pauses of over 250 ms for short streams with no part of a long prompt
+// near. Prompts of 30,000 to 90,000 tokens arrive eight times a second, and three or four
+// of their 55 ms parts share a pass. All their parts went to engines for short prompts,
+// though the streams on those for long prompts allow pauses of a second.
 func TestPartsOfShortPromptsKeepOffEnginesForShortOnes(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
@@ -473,9 +476,9 @@
 	}
 }
 
-// Symptom: short streams are late by a pause whenever the mix turns to long prompts.
-// Sequence: many short prompts come, a few decode on each engine for long ones, then long
-// ones come. Cause: they were sent there while engines for short ones had slots free.
+// Guards against delayed short streams whenever the mix turns to long prompts: some short
+// prompts were sent to engines for long prompts, where they still decoded when long prompts
+// arrived, while engines for short ones had free slots.
 func TestShortPromptsFillTheirOwnEnginesFirst(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(4)
@@ -488,8 +491,8 @@
 	}
 }
 
-// A short prompt passes over an engine whose memory is full, however little it has to do,
-// whether it is read there alone or in parts on all engines.
+// A short prompt avoids an engine whose memory is full, however little it has to do,
+// whether the prompt is prefilled on one engine or in parts on all of them.
 func TestAShortPromptAvoidsFullMemory(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(5)
@@ -507,8 +510,8 @@
 	}
 }
 
-// Symptom: a site whose callers allow other pauses is served with parts that are too long
-// or too short for them. Cause: bounds in milliseconds that were those of one site.
+// Guards against parts that are too long or too short at a site whose routes allow other
+// pauses: the limits were constants in milliseconds that suited a single site.
 func TestPartsFollowThePausesThatRoutesAllow(t *testing.T) {
 	is := is.New(t)
 	s := service()
@@ -524,5 +527,5 @@
 	is.True(IsLongPrompt(service(), 100_000) && !IsLongPrompt(s, 100_000))
 }
 
-// placeIdle places a request at rest.
+// placeIdle places a request while no engine has any load.
 func placeIdle(r *Request) *Plan { return newPolicy(1).Place(testNow, r, endpoints(20)) }
--- a/routing/direct/held.go
+++ b/routing/direct/held.go
@@ -7,47 +7,51 @@
 )
 
 const (
-	// pendingPrefillLimit is how much prefill of long prompts may be left for each engine that takes
-	// them, the next one's included. Engines prefill all parts that they have before the next
-	// event of those who decode there, and the most patient of those allow a second.
+	// pendingPrefillLimit is the prefill of long prompts that may be pending for each
+	// engine that takes them, including that of the next prompt. An engine prefills all
+	// parts that it has before the next event of the streams that decode there, and the
+	// most tolerant of those allow a pause of a second.
 	pendingPrefillLimit = 480 * time.Millisecond
-	// minPrefillShare is the part of it that may be left before the longest prompts, which
-	// would otherwise never go while others come.
+	// minPrefillShare is the fraction of the limit that may be pending when the longest
+	// prompts start. Without it they would never start while others keep arriving.
 	minPrefillShare = 0.3
-	// idlePrefillLimit is what an engine may have to prefill that counts as idle. With more, those who
-	// share it wait for each other.
+	// idlePrefillLimit is the pending prefill up to which an engine counts as idle. With
+	// more, prompts that share the engine wait for each other.
 	idlePrefillLimit = 300 * time.Millisecond
-	// pollsPerHeartbeat is how often a prompt asks for room between two heartbeats of another entry.
+	// pollsPerHeartbeat is how often a queued prompt polls between two heartbeats of
+	// another entry.
 	pollsPerHeartbeat = 5
-	// drawPrecision is the precision with which a chance is drawn.
+	// drawPrecision is the resolution of a random draw: a probability is rounded to a
+	// multiple of 1/drawPrecision.
 	drawPrecision = 1 << 20
 )
 
-// QueuePollInterval is how often a prompt that is held back asks whether it may start: a fraction of the
-// time in which one of them is prefilled.
+// QueuePollInterval is the interval at which a queued prompt asks whether it may start, a
+// fraction of the prefill time of one such prompt.
 const QueuePollInterval = 20 * time.Millisecond
 
-// QueuedPrompt is a long prompt that is held back until the engines have room for it.
+// QueuedPrompt is a long prompt that waits until the engines have room for it.
 type QueuedPrompt struct {
 	policy  *Policy
 	service *directory.Service
 	prefill time.Duration
 }
 
-// Enqueue notes that a long prompt waits, until it is released.
+// Enqueue counts a long prompt as queued until Dequeue is called.
 func (p *Policy) Enqueue(service *directory.Service, promptTokens int) *QueuedPrompt {
 	q := &QueuedPrompt{policy: p, service: service, prefill: PrefillTime(service.Engine, promptTokens)}
 	p.tracker.addQueuedPrefill(service.Name, q.prefill)
 	return q
 }
 
-// Dequeue ends the wait. It must be called once.
+// Dequeue ends the wait. It must be called exactly once.
 func (q *QueuedPrompt) Dequeue() { q.policy.tracker.addQueuedPrefill(q.service.Name, -q.prefill) }
 
-// MayStart tells whether the engines for long prompts, which are those at the end of the list,
-// have room for the prompt. Longer prompts wait for more to be done: what one of them takes would
-// make several shorter ones late. Where as many engines are idle as a prompt may use, none is
-// made late, however much others have to prefill.
+// MayStart reports whether the engines for long prompts, which are at the end of the list,
+// have room for the prompt. Longer prompts wait until less prefill is pending, because one
+// of them would delay several shorter ones. Where at least maxParts engines are idle, the
+// prompt delays nobody and may start however much prefill is pending elsewhere. The room is
+// shared among the queued prompts of all entries at random, see drawStart.
 func (q *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.EndpointState) bool {
 	p := q.policy
 	p.tracker.mu.Lock()
@@ -64,9 +68,10 @@
 	return idle >= maxParts && p.drawStart(time.Duration(idle)*pendingPrefillLimit, demand.QueuedPrefill)
 }
 
-// drawStart draws whether one of the prompts that wait takes of the room now. All entries see the
-// same room at the same moment and hear of each other's starts later: until then as much is to start as
-// there is room for, of all that waits.
+// drawStart draws at random whether the prompt may use the room now. All entries see the
+// same room at the same moment and learn only later what the others started. Until then,
+// the prompts that start, out of all that are queued, should on average need no more than
+// the room.
 func (p *Policy) drawStart(room, queued time.Duration) bool {
 	if queued <= room || len(p.tracker.peers) == 0 {
 		return true
@@ -75,8 +80,8 @@
 	return p.rand.IntN(drawPrecision) < int(probability*drawPrecision)
 }
 
-// idleEngines counts, of the engines for long prompts, those on which nobody decodes and that are nearly
-// done with what they have to prefill.
+// idleEngines counts the engines for long prompts on which nothing decodes and little
+// prefill is pending.
 func (p *Policy) idleEngines(now time.Time, service *directory.Service, endpoints []*directory.EndpointState, long int) int {
 	candidates := p.eligible(now, &Request{Service: service}, endpoints)
 	n := 0
--- a/routing/direct/held_test.go
+++ b/routing/direct/held_test.go
@@ -9,13 +9,14 @@
 	"aspenyard.example/directory"
 )
 
-// reportOthers lets a policy hear that others have so much to prefill, and of some engines.
+// reportOthers records the demand, and the load of some endpoints, as reported by another
+// entry.
 func reportOthers(p *Policy, demand Demand, loads ...EndpointLoad) {
 	demand.Service = "m"
 	p.tracker.ReplacePeerLoad(testNow, "other", []Demand{demand}, loads)
 }
 
-// Guards against holding the longest prompts back while engines are idle.
+// Guards against keeping the longest prompts queued while engines are idle.
 func TestALongPromptStartsWhereEnoughEnginesAreIdle(t *testing.T) {
 	is := is.New(t)
 	p, list := newPolicy(1), endpoints(40)
@@ -24,14 +25,14 @@
 	is.True(queued.MayStart(testNow, list))
 	backlog := Demand{LongPrefill: time.Minute, PendingPrefill: time.Minute}
 	reportOthers(p, backlog)
-	is.True(queued.MayStart(testNow, list)) // what is read is read elsewhere
+	is.True(queued.MayStart(testNow, list)) // the pending prefill is on other engines
 	reportOthers(p, backlog, sameLoad(list, EndpointLoad{PendingPrefill: time.Second})...)
 	is.True(!queued.MayStart(testNow, list))
 	reportOthers(p, backlog, loadsOf(list, 1)...)
-	is.True(!queued.MayStart(testNow, list)) // they would be made late
+	is.True(!queued.MayStart(testNow, list)) // the requests in flight would be delayed
 }
 
-// sameLoad gives the same of each endpoint.
+// sameLoad returns the same load for each endpoint.
 func sameLoad(list []*directory.EndpointState, load EndpointLoad) []EndpointLoad {
 	var all []EndpointLoad
 	for _, e := range list {
@@ -41,7 +42,8 @@
 	return all
 }
 
-// Guards against entries that see the same room at the same moment and all fill it.
+// Guards against all entries filling the same room: they see it at the same moment, before
+// they learn of each other's starts.
 func TestEntriesDoNotAllFillTheSameRoom(t *testing.T) {
 	is := is.New(t)
 	const entries, rounds = 40, 20
@@ -68,6 +70,6 @@
 
 	alone := newPolicy(1)
 	for range entries {
-		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // nobody else takes it
+		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the room
 	}
 }
--- a/routing/direct/level.go
+++ b/routing/direct/level.go
@@ -1,6 +1,6 @@
 package direct
 
-// Prompt lengths, in tokens, that bound the levels of engine priority.
+// Prompt lengths, in tokens, above which a request gets a lower engine priority.
 const (
 	shortPrompt  = 10_000
 	mediumPrompt = 30_000
@@ -10,9 +10,9 @@
 // lowestPriority is the last of the engines' priorities.
 const lowestPriority = 9
 
-// EnginePriority is the engines' priority of a request, 0 first: shorter prompts go first,
-// since they cost a longer one milliseconds and a long one costs them seconds; among
-// equals the configured priority decides.
+// EnginePriority returns the priority of a request in an engine's queue; 0 goes first.
+// Shorter prompts go first, since they delay a longer one by milliseconds while a long one
+// delays them by seconds. Among prompts of similar length the configured priority decides.
 func EnginePriority(promptTokens, priority int) int {
 	level := 0
 	switch {
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -7,23 +7,26 @@
 )
 
 const (
-	// singleEngineShare is the part of an engine's memory that one request may need; what needs more
-	// is reserved at several engines. A request over half of it finds no engine with room
-	// while two like it decode on each, and waits at its first one; all parts that it has
-	// elsewhere count meanwhile as prefill under way, and hold others back.
+	// singleEngineShare is the fraction of an engine's memory that one request may need; a
+	// request that needs more reserves memory on several engines. A request over half of
+	// the memory finds no engine with room while each holds two like it, and waits at its
+	// first engine. Meanwhile all its parts elsewhere count as pending prefill and keep
+	// others queued.
 	singleEngineShare = 0.5
-	// endpointShare is the part of its memory that the first engine of a request gives
-	// that needs more than one engine's.
+	// endpointShare is the fraction of its memory that the endpoint itself provides for a
+	// request that needs more than one engine's.
 	endpointShare = 0.3
-	// helperShare is the part of its memory that a helper can be expected to have free.
+	// helperShare is the fraction of its memory that a helper can be expected to have free.
 	helperShare = 0.5
-	// reserveFactor is how much more than needed is reserved, so that a quarter of the holders
-	// may refuse; leastHolders are as many as that takes.
+	// reserveFactor is the ratio of the memory reserved to the memory needed, so that a
+	// quarter of the reserving helpers may refuse. minReservingHelpers is the least number
+	// for which that holds.
 	reserveFactor       = 1.34
 	minReservingHelpers = 4
 )
 
-// maxSingleEngineMemory is the largest need of memory, in tokens, that one engine takes.
+// maxSingleEngineMemory is the largest memory, in tokens, that a request may need on one
+// engine alone.
 func maxSingleEngineMemory(engine *directory.Engine) int {
 	if engine.KVCacheTokens == 0 {
 		return math.MaxInt
@@ -31,8 +34,8 @@
 	return int(singleEngineShare * float64(engine.KVCacheTokens))
 }
 
-// enginesForMemory is on how many engines a request needs memory, when its helpers each give
-// helperShare of theirs.
+// enginesForMemory is the number of engines on which a request needs memory when each
+// helper provides helperShare of its own.
 func enginesForMemory(engine *directory.Engine, memory int) int {
 	if memory <= maxSingleEngineMemory(engine) {
 		return 1
@@ -41,8 +44,8 @@
 	return 1 + int(math.Ceil(float64(memory-endpointMemory(engine, memory))/each))
 }
 
-// endpointMemory is what the first engine of a request has to hold of the memory that it
-// needs, in tokens.
+// endpointMemory is the part of a request's memory, in tokens, that the endpoint it is sent
+// to must provide.
 func endpointMemory(engine *directory.Engine, memory int) int {
 	if memory <= maxSingleEngineMemory(engine) {
 		return memory
@@ -50,9 +53,10 @@
 	return int(endpointShare * float64(engine.KVCacheTokens))
 }
 
-// splitMemory sets what each engine of a plan has to hold. Few helpers hold memory, the
-// first ones, which have most of it free: each holder takes an order to reserve, one to release and one a
-// second between them, and the other helpers prefill their parts without any.
+// splitMemory sets how much memory each engine of a plan must provide. Only the first few
+// helpers, which have the most memory free, reserve any: each of these takes a request to
+// reserve, one to release and one a second in between to renew, while the other helpers
+// prefill their parts without any.
 func (plan *Plan) splitMemory(engine *directory.Engine) {
 	plan.EndpointMemoryTokens = plan.MemoryTokens
 	if plan.MemoryTokens <= maxSingleEngineMemory(engine) || len(plan.Helpers) == 0 {
