--- a/routing/asking.go
+++ b/routing/asking.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// MaxAttempts is how many times endpoints are asked for one request before a refusal
-// is passed on; the last time it is the request's home, see Home.
+// MaxAttempts is the number of endpoints that are tried for one request before a refusal is
+// passed on to the caller. When endpoints refuse because they have too much work, the last
+// attempt goes to the request's home endpoint, see HomeEndpoint.
 const MaxAttempts = 3
 
-// RetryState is the course of one request through endpoints that refuse it. Its zero
-// value has asked nobody.
+// RetryState is the state of one request's attempts at endpoints that refuse it. Its zero
+// value is that of a request that was not sent yet.
 type RetryState struct {
 	refusals  int
-	tryHome   bool // the home is asked next
-	homeTried bool // it was: nobody is asked after it
+	tryHome   bool // the next attempt goes to the home endpoint
+	homeTried bool // it was tried: there is no further attempt
 }
 
-// Pick chooses the endpoint to ask next; nil when none holds the request alone. The
-// home gets the key by which it knows a request that it told to come back; key is
-// called for nothing else.
+// Pick returns the endpoint for the next attempt; nil when none holds the request alone.
+// key is called only for an attempt at the home endpoint; it returns the key by which that
+// endpoint recognizes a request that it told to come back.
 func (s *RetryState) Pick(now time.Time, p *Policy, r *Request, key func() uint64, endpoints []Endpoint) *Endpoint {
 	r.Key = 0
 	if s.tryHome {
@@ -30,8 +31,9 @@
 	return p.Route(now, r, endpoints)
 }
 
-// RecordRefusal tells after a refusal whether another endpoint is asked. busy is set when
-// endpoints refused because they have too much work, so that coming back may help.
+// RecordRefusal records a refusal and returns whether another endpoint is tried. busy is
+// set when endpoints refused because they have too much work, so that a later attempt may
+// succeed.
 func (s *RetryState) RecordRefusal(r *Request, endpoints []Endpoint, busy bool) bool {
 	s.refusals++
 	untried := anyUntried(r, endpoints)
@@ -47,7 +49,8 @@
 	return s.refusals < MaxAttempts && untried
 }
 
-// anyUntried tells whether an endpoint that could serve has not been tried.
+// anyUntried reports whether there is an endpoint that could serve the request and was not
+// tried.
 func anyUntried(r *Request, endpoints []Endpoint) bool {
 	for i := range endpoints {
 		if (CanServe{}).Keep(r, &endpoints[i]) {
--- a/routing/dispatch.go
+++ b/routing/dispatch.go
@@ -7,8 +7,8 @@
 	"aspenyard.example/admission"
 )
 
-// RecentDispatches counts what this entry has recently sent to each endpoint, to
-// correct reports that were made before it.
+// RecentDispatches records what this entry has recently sent to each endpoint, to correct
+// load reports that were made before. It is safe for concurrent use.
 type RecentDispatches struct {
 	mu        sync.Mutex
 	retention time.Duration
@@ -21,13 +21,13 @@
 	promptTokens, memoryTokens int
 }
 
-// NewRecentDispatches remembers dispatches for the duration keep, which should exceed
-// the reports' lag.
+// NewRecentDispatches returns an empty record that keeps dispatches for the given time,
+// which should exceed the lag of load reports.
 func NewRecentDispatches(retention time.Duration) *RecentDispatches {
 	return &RecentDispatches{retention: retention, sent: map[string][]dispatch{}}
 }
 
-// Record remembers a dispatch.
+// Record records that a request was sent to an endpoint.
 func (d *RecentDispatches) Record(now time.Time, r *Request, endpoint string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +41,8 @@
 	})
 }
 
-// BacklogSince sums the prefill sent to an endpoint after a report arrived, by level.
+// BacklogSince sums the prefill, in tokens by level, that was sent to an endpoint after a
+// load report arrived.
 func (d *RecentDispatches) BacklogSince(endpoint string, reported time.Time) *admission.Backlog {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,8 +55,8 @@
 	return &backlog
 }
 
-// CountSince counts the requests sent after a report arrived, and their memory
-// in tokens.
+// CountSince counts the requests that were sent to an endpoint after a load report arrived,
+// and the memory that they need, in tokens.
 func (d *RecentDispatches) CountSince(endpoint string, reported time.Time) (count, memory int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/routing/filter_memory.go
+++ b/routing/filter_memory.go
@@ -2,8 +2,8 @@
 
 import "aspenyard.example/admission"
 
-// FitsMemory drops endpoints whose whole memory could not hold the request, so that
-// no caller waits in a queue for a place that can never be.
+// FitsMemory drops endpoints whose whole memory is too small for the request, so that no
+// caller waits in a queue for a place that can never become free.
 type FitsMemory struct{}
 
 // Keep implements Filter.
@@ -14,7 +14,7 @@
 	return r.PromptTokens+r.OutputTokens <= MaxPromptTokens(e)
 }
 
-// MaxPromptTokens is the largest prompt with its output that an endpoint takes
+// MaxPromptTokens returns the largest prompt, including its output, that an endpoint takes
 // alone, in tokens.
 func MaxPromptTokens(e *Endpoint) int {
 	config := admission.Config{MemoryTokens: e.MemoryTokens}.WithDefaults()
--- a/routing/filter_serves.go
+++ b/routing/filter_serves.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// CanServe keeps live endpoints that have the model or service, and drops those
-// that are suspect, leaving, or have failed this request before.
+// CanServe keeps live endpoints that have the model or service, and drops those that are
+// suspect, leaving, or have failed this request before.
 type CanServe struct{}
 
 // Keep implements Filter.
--- a/routing/filter_test.go
+++ b/routing/filter_test.go
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	e := endpoint("a")
 	is.True(FitsMemory{}.Keep(request(320_000), &e))
-	is.True(!FitsMemory{}.Keep(request(320_001), &e)) // a fifth is kept for short prompts
+	is.True(!FitsMemory{}.Keep(request(320_001), &e)) // a fifth is reserved for short prompts
 	e.MemoryTokens = 0
-	is.True(FitsMemory{}.Keep(request(1), &e)) // a plain service has no such memory
+	is.True(FitsMemory{}.Keep(request(1), &e)) // a plain service has no KV cache
 }
--- a/routing/home.go
+++ b/routing/home.go
@@ -2,11 +2,11 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// HomeEndpoint is the endpoint, among those that serve a request, that a rendezvous hash
-// ranks first for the request's key; nil when none serves it. Every entry that
-// knows the same endpoints finds the same one, tried already or not: the agent that
-// told a refused request when to come back is the one that it is brought back to,
-// through whichever entry.
+// HomeEndpoint returns the endpoint that rendezvous hashing ranks first for the request's
+// key among those that can serve it; nil when none can. It ignores which endpoints were
+// tried, so that all entries that know the same endpoints find the same one. A refused
+// request that comes back, through whichever entry, thus reaches the agent that told it
+// when to come back.
 func HomeEndpoint(r *Request, endpoints []Endpoint) *Endpoint {
 	untried := *r
 	untried.Tried = nil
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Every entry finds the same home, whatever it has tried and in whichever order it
-// knows the endpoints; another key mostly has another.
+// Every entry finds the same home endpoint, whatever it has tried and in whichever order it
+// knows the endpoints; other keys mostly have other home endpoints.
 func TestHomeIsTheSameAtEveryEntry(t *testing.T) {
 	is := is.New(t)
 	one := []Endpoint{endpoint("a"), endpoint("b"), endpoint("c")}
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// LowestCost picks the lowest cost; among those within Slack seconds of it, one at
-// random, so that many entries with the same view do not all pick the same.
+// LowestCost picks the endpoint of lowest cost. Among those within Slack seconds of it, it
+// picks one at random, so that many entries with the same view do not all pick the same.
 type LowestCost struct {
 	Slack float64
 	Rand  Rand
@@ -29,7 +29,7 @@
 	return picked
 }
 
-// Random picks any.
+// Random picks an endpoint at random, with equal probability.
 type Random struct {
 	Rand Rand
 }
@@ -39,7 +39,7 @@
 	return scored[p.Rand.IntN(len(scored))].Endpoint
 }
 
-// RoundRobin picks each in turn.
+// RoundRobin picks the endpoints in turn.
 type RoundRobin struct {
 	next atomic.Uint64
 }
@@ -49,7 +49,7 @@
 	return scored[p.next.Add(1)%uint64(len(scored))].Endpoint
 }
 
-// TwoChoices picks the cheaper of two at random.
+// TwoChoices draws two endpoints at random and picks the cheaper one.
 type TwoChoices struct {
 	Rand Rand
 }
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the policies: the project's own and the baselines kept for comparison.
+// Names of the policies: the project's own, and the baselines that it is compared with.
 const (
 	PolicyAspenyard        = "aspenyard"
 	PolicyRandom           = "random"
@@ -15,32 +15,33 @@
 	PolicyTwoChoices       = "two-choices"
 )
 
-// PolicyNames lists all policies, the project's own last.
+// PolicyNames returns the names of all policies, the project's own last.
 func PolicyNames() []string {
 	return []string{PolicyRandom, PolicyRoundRobin, PolicyLeastOutstanding, PolicyTwoChoices, PolicyAspenyard}
 }
 
 const (
-	// dispatchRetention outlasts the lag of load reports.
+	// dispatchRetention exceeds the lag of load reports.
 	dispatchRetention = 10 * time.Second
-	// maxPrefixes bounds the prefix index: 64 bytes a beginning.
+	// maxPrefixes limits the prefix index, at 64 bytes a prefix.
 	maxPrefixes = 16_384
-	// pickSlack is how much worse than the best a pick may be, in seconds.
+	// pickSlack is the amount, in seconds, by which a pick may cost more than the best.
 	pickSlack = 0.002
-	// interferenceWeight: less lets long prompts start later, more slows short
-	// ones.
+	// interferenceWeight is a compromise: with less, long prompts start later; with more,
+	// short ones are slowed down.
 	interferenceWeight = 3
 	// dataCentreRoundTrip is the round trip between data centres, in seconds.
 	dataCentreRoundTrip = 0.002
 )
 
-// Outstanding counts an entry's own requests in flight by endpoint.
+// Outstanding counts this entry's own requests in flight by endpoint.
 type Outstanding interface {
-	// Count is the number in flight at an endpoint.
+	// Count returns the number of requests in flight at an endpoint.
 	Count(endpoint string) int
 }
 
-// New makes a policy by name. outstanding is needed by least-outstanding only.
+// New returns the policy of the given name, or an error for an unknown name. outstanding is
+// used by least-outstanding only.
 func New(name string, random Rand, outstanding Outstanding) (*Policy, error) {
 	filters := []Filter{CanServe{}, FitsMemory{}}
 	switch name {
@@ -76,7 +77,7 @@
 	}
 }
 
-// InFlight costs an endpoint by this entry's own requests there.
+// InFlight scores an endpoint by the number of this entry's own requests in flight there.
 type InFlight struct {
 	Outstanding Outstanding
 }
@@ -86,7 +87,7 @@
 	return float64(s.Outstanding.Count(e.Name))
 }
 
-// ReportedLoad costs an endpoint by the load it last reported.
+// ReportedLoad scores an endpoint by its last load report.
 type ReportedLoad struct{}
 
 // Cost implements Scorer; its unit is requests.
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,8 +1,8 @@
-// Package routing picks the endpoint for a request: filters drop endpoints that
-// cannot serve it, scorers estimate what each would cost it, and a picker takes
-// one. It works on a read-only snapshot, so that callers' threads never wait for
-// the control loop; a stale snapshot costs time and never correctness, because
-// the agent decides whether work starts.
+// Package routing picks the endpoint for a request that is sent to the agent beside it:
+// filters drop endpoints that cannot serve the request, scorers estimate what each would
+// cost it, and a picker takes one. It works on a read-only snapshot, so that requests never
+// wait for the control loop. A stale snapshot costs time and never correctness, because the
+// agent decides whether work starts.
 package routing
 
 import (
@@ -12,86 +12,88 @@
 	"aspenyard.example/admission"
 )
 
-// Endpoint is one endpoint as an entry last heard of it.
+// Endpoint is an endpoint as last reported to an entry.
 type Endpoint struct {
 	// Name identifies the endpoint's VM; Addr is its agent's address.
 	Name, Addr, DataCentre string
-	// EngineAddr is where other engines import its KV cache from.
+	// EngineAddr is the address from which other engines import its KV cache.
 	EngineAddr  string
 	Incarnation uint64
 	Models      []string
 	Services    []string
-	// Suspect: not heard of for too long. Leaving: said so by itself or by the
-	// platform's list.
+	// Suspect is set when nothing was received from the endpoint for too long, Leaving when
+	// the endpoint itself or the platform's list says that it is leaving.
 	Suspect, Leaving bool
 
-	// Sizes: KV cache in tokens, prefill in tokens a second, batch size.
+	// MemoryTokens is the size of the KV cache in tokens, PrefillRate the prefill rate in
+	// tokens a second, and MaxRunning the batch size.
 	MemoryTokens, PrefillRate, MaxRunning int
 
-	// The load as last reported.
+	// Running and Queued requests, the free KV cache in tokens and the backlog are those of
+	// the last load report.
 	Running, Queued, FreeMemory int
 	Backlog                     admission.Backlog
-	// Reported is when the report arrived here.
+	// Reported is when this entry received that report.
 	Reported time.Time
 }
 
-// Request is what routing needs to know of a request.
+// Request describes a request for routing.
 type Request struct {
-	// Model or Service names what must serve it.
+	// Model or Service names what must serve the request.
 	Model, Service             string
 	Class                      admission.Class
 	PromptTokens, OutputTokens int
-	// Prefix holds the hashes of the prompt's beginnings, see PrefixHashes.
+	// Prefix holds the hashes of the prompt's prefixes, see PrefixHashes.
 	Prefix []uint64
-	// DataCentre is the caller's nearest: the entry's own.
+	// DataCentre is the entry's own data centre, the nearest to the caller.
 	DataCentre string
-	// Tried holds the names of endpoints that failed this request already.
+	// Tried holds the names of the endpoints that have already failed this request.
 	Tried map[string]bool
-	// Key is the same whenever a refused request comes back, at any entry.
+	// Key identifies a refused request whenever it comes back, at any entry.
 	Key uint64
 	// SpanPart is set for a part of a prompt that no endpoint holds alone.
 	SpanPart bool
 }
 
-// Level is the request's level at the engine.
+// Level returns the request's priority level at the engine.
 func (r *Request) Level() admission.Level {
 	return admission.LevelOf(r.Class, r.PromptTokens)
 }
 
 // Filter drops endpoints that must not get a request.
 type Filter interface {
-	// Keep tells whether the endpoint may serve the request.
+	// Keep reports whether the endpoint may serve the request.
 	Keep(r *Request, e *Endpoint) bool
 }
 
-// Scorer estimates a cost.
+// Scorer estimates what an endpoint would cost a request.
 type Scorer interface {
-	// Cost is the expected delay of the first token, in seconds; negative for
-	// time saved.
+	// Cost returns the expected delay of the first token, in seconds; negative for time
+	// saved.
 	Cost(r *Request, e *Endpoint) float64
 }
 
-// Scored is a kept endpoint with the sum of its costs in seconds.
+// Scored is an endpoint that passed the filters, with the sum of its costs in seconds.
 type Scored struct {
 	Endpoint *Endpoint
 	Cost     float64
 }
 
-// Picker takes one endpoint out of those that were kept.
+// Picker picks one of the scored endpoints.
 type Picker interface {
-	// Pick returns nil only for an empty list.
+	// Pick returns the picked endpoint. scored must not be empty.
 	Pick(r *Request, scored []Scored) *Endpoint
 }
 
-// Policy is a whole way of routing.
+// Policy combines the filters, scorers and picker that route a request.
 type Policy struct {
 	Name    string
 	Filters []Filter
-	// Sample draws the endpoints that are scored; its zero value takes all.
+	// Sample draws the endpoints that are scored; its zero value keeps all.
 	Sample  Sample
 	Scorers []Scorer
 	Picker  Picker
-	// OnPick, when set, is told of every choice.
+	// OnPick, if set, is called with every pick.
 	OnPick func(now time.Time, r *Request, e *Endpoint)
 	// Priorities is set when the policy uses the engines' priorities.
 	Priorities bool
@@ -99,7 +101,7 @@
 	Admission bool
 }
 
-// Route picks an endpoint for the request, or nil when none is kept.
+// Route returns the endpoint for a request, or nil when no endpoint passes the filters.
 func (p *Policy) Route(now time.Time, r *Request, endpoints []Endpoint) *Endpoint {
 	kept := make([]*Endpoint, 0, len(endpoints))
 	for i := range endpoints {
@@ -139,7 +141,7 @@
 	return cost
 }
 
-// Rand is the randomness that pickers need.
+// Rand is the source of randomness for pickers.
 type Rand interface {
 	// IntN returns a number in [0, n).
 	IntN(n int) int
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -41,9 +41,9 @@
 	is.True(newPolicy(t).Route(testNow, request(1000), nil) == nil)
 }
 
-// Symptom: all entries send to the endpoint that was idle at the last report.
-// Sequence: many requests arrive between two reports. Cause, were it there: using
-// the report without one's own dispatches since.
+// Guards against all entries sending to the endpoint that was idle in the last load report:
+// many requests arrive between two reports, so a report must be corrected by the entry's
+// own dispatches since.
 func TestOwnDispatchesCorrectAnOldReport(t *testing.T) {
 	is := is.New(t)
 	policy := newPolicy(t)
--- a/routing/sample.go
+++ b/routing/sample.go
@@ -2,33 +2,33 @@
 
 import "aspenyard.example/admission"
 
-// Sample leaves a few endpoints, drawn at random, for a request to be weighed
-// against; an entry's other requests draw others.
+// Sample reduces the endpoints that are scored for a request to a few, drawn at random for
+// each request.
 //
-// Reports are seconds old and entries do not know of each other's choices: if each
-// weighed all endpoints, they would all send to the one that was idle at the last
-// report, and one would see short prompts wait longer the more entries there are.
-// Drawn apart, they spread, and a few are enough to pass over the busy ones.
+// Load reports are seconds old, and entries do not know each other's picks. If every entry
+// scored all endpoints, all would send to the one that was idle in the last report, and
+// short prompts would wait longer the more entries there are. Random samples spread the
+// requests, and a few endpoints are enough to avoid the busy ones.
 type Sample struct {
-	// Count is how many are drawn. Fewer spread more; more find the idle ones and
-	// the prefix caches.
+	// Count is the number of endpoints drawn. Fewer spread requests more; more find the
+	// idle endpoints and the prefix caches.
 	Count int
-	// MaxTokens is the longest prompt for which it is done: a long one is worth
-	// the best of all endpoints, and too few arrive to crowd it.
+	// MaxTokens is the longest prompt for which endpoints are sampled. A long prompt is
+	// worth the best of all endpoints, and too few arrive to overload it.
 	MaxTokens int
 	Rand      Rand
 }
 
 const (
-	// sampleCount: with 2, long prompts start a fifth later; with 6, short ones are
+	// sampleCount is 4: with 2, long prompts start a fifth later; with 6, short ones are
 	// slowed by a third with 16 entries (bench policy, load 0.8).
 	sampleCount = 4
-	// sampleMaxTokens: drawing for prompts up to 16,000 tokens too makes long ones
-	// start a twentieth later.
+	// sampleMaxTokens excludes longer prompts: sampling for prompts up to 16,000 tokens too
+	// makes long ones start a twentieth later.
 	sampleMaxTokens = admission.ShortTokens
 )
 
-// draw returns the endpoints to weigh; it reorders the kept ones.
+// draw returns the endpoints to score. It reorders kept.
 func (s Sample) draw(r *Request, kept []*Endpoint) []*Endpoint {
 	if s.Count == 0 || len(kept) <= s.Count || r.PromptTokens > s.MaxTokens {
 		return kept
--- a/routing/sample_test.go
+++ b/routing/sample_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: short prompts wait longer the more entries there are. Sequence: a report
-// shows one endpoint idle; each of 16 entries has one short prompt to send before
-// the next report. Cause: each took the best of all endpoints, the same one.
+// Guards against short prompts waiting longer the more entries there are: a load report
+// shows one endpoint idle, each of 16 entries has one short prompt to send before the next
+// report, and each picked the best of all endpoints, the same one.
 func TestManyEntriesDoNotCrowdTheIdleEndpoint(t *testing.T) {
 	is := is.New(t)
 	counts := map[string]int{}
@@ -25,7 +25,7 @@
 		}
 		counts[policy.Route(testNow, request(3000), endpoints).Name]++
 	}
-	is.True(counts["0"] < entries/2) // each draws it one time in three
+	is.True(counts["0"] < entries/2) // each entry samples it with a probability of a third
 }
 
 func TestALongPromptGetsTheBestOfAll(t *testing.T) {
--- a/routing/scorer_distance.go
+++ b/routing/scorer_distance.go
@@ -1,6 +1,6 @@
 package routing
 
-// Distance charges the way to another data centre.
+// Distance adds the round trip to another data centre.
 type Distance struct {
 	// Seconds is the round trip between data centres.
 	Seconds float64
--- a/routing/scorer_interference.go
+++ b/routing/scorer_interference.go
@@ -2,14 +2,14 @@
 
 import "aspenyard.example/admission"
 
-// Interference charges a request for the time by which it delays the work that it
-// would overtake at the engine. Without it, urgent short prompts spread over all
-// engines and starve whatever long prompt is being prefilled there, although
-// engines without one are as quick for them.
+// Interference adds a cost for the delay that a request causes to the work that it would
+// overtake at the engine. Without it, urgent short prompts spread over all engines and
+// starve the long prompts that are being prefilled there, although engines without any
+// serve them as fast.
 type Interference struct {
 	Sent *RecentDispatches
-	// Weight is the cost of a second's delay to the work behind, in seconds of the
-	// request's own delay.
+	// Weight is the cost of one second by which the overtaken work is delayed, in seconds
+	// of the request's own delay.
 	Weight float64
 }
 
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixLengths are the beginnings of a prompt that are hashed, in tokens.
+// prefixLengths are the lengths of the prefixes that are hashed, in tokens.
 var prefixLengths = []int{1 << 10, 1 << 11, 1 << 12, 1 << 13, 1 << 14, 1 << 15, 1 << 16, 1 << 17, 1 << 18, 1 << 19}
 
-// PrefixHashes hashes the beginnings of a prompt at lengths that double from
-// 1,024 tokens, so that a few numbers tell how much two prompts share.
+// PrefixHashes hashes the prefixes of a prompt at lengths that double from 1,024 tokens, so
+// that a few hashes tell how much two prompts share.
 func PrefixHashes(prompt string, bytesPerToken int) []uint64 {
 	var hashes []uint64
 	digest := xxhash.New()
@@ -28,9 +28,10 @@
 	return hashes
 }
 
-// PrefixIndex remembers which endpoints this entry sent which beginnings to. The
-// engines' own cache events come late and with gaps, and an entry's own choices
-// tell nearly the same; a wrong memory costs a little time only.
+// PrefixIndex records which endpoints this entry sent which prefixes to, with the least
+// recently used prefixes removed first. The engines' own cache events arrive late and with
+// gaps, and an entry's own picks give nearly the same information; a wrong record only
+// costs a little time. It is safe for concurrent use.
 type PrefixIndex struct {
 	mu      sync.Mutex
 	size    int
@@ -43,15 +44,15 @@
 	endpoints [endpointsPerPrefix]string
 }
 
-// endpointsPerPrefix is how many endpoints are remembered for one beginning.
+// endpointsPerPrefix is the number of endpoints that are recorded for one prefix.
 const endpointsPerPrefix = 3
 
-// NewPrefixIndex makes an index of at most size beginnings.
+// NewPrefixIndex returns an empty index of at most size prefixes.
 func NewPrefixIndex(size int) *PrefixIndex {
 	return &PrefixIndex{size: size, entries: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Record remembers that the prompt went to an endpoint.
+// Record records that the request's prompt was sent to an endpoint.
 func (x *PrefixIndex) Record(r *Request, endpoint string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -99,7 +100,7 @@
 	return 0
 }
 
-// PrefixAffinity credits the prefill that an endpoint's prefix cache saves.
+// PrefixAffinity subtracts the prefill time that an endpoint's prefix cache saves.
 type PrefixAffinity struct {
 	Index *PrefixIndex
 }
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// QueueDelay is the time that the endpoint's backlog ahead of the request takes,
-// corrected by what this entry has sent there since the report.
+// QueueDelay is the time that the endpoint's backlog ahead of the request takes, corrected
+// by what this entry has sent there since the load report.
 //
-// Reports lag. Without the correction every request that arrives between two
-// reports goes to the endpoint that was idle at the first, which by then is the
-// busiest.
+// Load reports lag. Without the correction, every request that arrives between two reports
+// would go to the endpoint that was idle in the first, which by then is the busiest.
 type QueueDelay struct {
 	Sent *RecentDispatches
 }
 
-// defaultPrefillRate stands for an endpoint that has not told its prefill rate.
+// defaultPrefillRate is used for an endpoint that has not reported its prefill rate, in
+// tokens a second.
 const defaultPrefillRate = 10_000
 
 // Cost implements Scorer.
--- a/routing/scorer_test.go
+++ b/routing/scorer_test.go
@@ -14,9 +14,9 @@
 	is := is.New(t)
 	e := endpoint("a")
 	e.Backlog[admission.LevelOf(admission.Bulk, 200_000)] = 200_000
-	is.Equal(QueueDelay{}.Cost(request(1000), &e), 0.0) // urgent and short goes first
+	is.Equal(QueueDelay{}.Cost(request(1000), &e), 0.0) // urgent short work goes first
 	e.Backlog[admission.LevelOf(admission.Urgent, 1000)] = 20_000
-	is.Equal(QueueDelay{}.Cost(request(1000), &e), 1.0) // a second of prefill
+	is.Equal(QueueDelay{}.Cost(request(1000), &e), 1.0) // one second of prefill
 }
 
 func TestInterferenceChargesOvertaking(t *testing.T) {
@@ -25,7 +25,7 @@
 	scorer := Interference{Weight: 3}
 	is.Equal(scorer.Cost(request(2000), &e), 0.0)
 	e.Backlog[admission.LevelOf(admission.Bulk, 200_000)] = 200_000
-	is.Equal(scorer.Cost(request(2000), &e), 0.3) // three times the 0.1 s that the long prompt waits
+	is.Equal(scorer.Cost(request(2000), &e), 0.3) // three times the 0.1 s by which the long prompt is delayed
 }
 
 func TestCrowding(t *testing.T) {
@@ -33,9 +33,9 @@
 	e := endpoint("a")
 	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.0)
 	e.Running = 33
-	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.5) // two over a batch of 32
+	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.5) // two more than a batch of 32 takes
 	e.Running, e.FreeMemory = 0, 80_000
-	is.Equal(CapacityWait{}.Cost(request(100_000), &e), 1.0) // 20,000 tokens short
+	is.Equal(CapacityWait{}.Cost(request(100_000), &e), 1.0) // 20,000 tokens are missing
 }
 
 func TestDistance(t *testing.T) {
@@ -56,7 +56,7 @@
 	is.Equal(index.CachedTokens(two, "a"), 2048)
 	is.Equal(index.CachedTokens(two, "b"), 0)
 	is.Equal(index.CachedTokens(one, "a"), 4096)
-	is.True(PrefixAffinity{index}.Cost(two, &Endpoint{Name: "a", PrefillRate: 2048}) == -1) // a second saved
+	is.True(PrefixAffinity{index}.Cost(two, &Endpoint{Name: "a", PrefillRate: 2048}) == -1) // one second saved
 }
 
 func TestPrefixIndexIsBounded(t *testing.T) {
@@ -78,6 +78,6 @@
 	count, memory := d.CountSince("a", testNow.Add(-time.Second))
 	is.Equal(count, 2)
 	is.Equal(memory, 4000)
-	d.Record(testNow.Add(time.Minute), request(1), "a") // forgets what is old
+	d.Record(testNow.Add(time.Minute), request(1), "a") // removes old dispatches
 	is.Equal(d.BacklogSince("a", testNow.Add(-time.Second)).Total(), 1)
 }
