--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -404,7 +404,7 @@
 
 // Guards against pauses of short streams caused by prompts that need more memory than one
 // engine has: most delayed short streams paused for a part of 150 ms or more of such a
-// prompt. Those prompts were prefilled on 17 of all engines, including those for short
+// prompt. Those prompts were prefilled on any 17 engines, including those for short
 // prompts. Keeping them off raised what short streams score with 21 engines from 0.72 of
 // the possible value to 0.85.
 func TestAPromptOverOneEnginesMemoryUsesEnginesForLongPrompts(t *testing.T) {
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -56,7 +56,7 @@
 	case PolicyAspenyard:
 		return aspenyard(random), nil
 	}
-	return nil, errors.Errorf("no policy %q; there are %v", name, PolicyNames())
+	return nil, errors.Errorf("no policy %q; the policies are %v", name, PolicyNames())
 }
 
 func aspenyard(random Rand) *Policy {
