--- a/routing/direct/progress.go
+++ b/routing/direct/progress.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// leastLeft is the part of a prompt's prefill that counts as left until its first token has come:
-// engines may take longer than estimated.
-const leastLeft = 0.1
+// minRemaining is the fraction of a prompt's prefill that counts as pending until its first
+// token arrives, as engines may take longer than estimated.
+const minRemaining = 0.1
 
-// progress tells how much of a long prompt's prefill is left.
+// progress estimates how much of a long prompt's prefill is still pending.
 type progress struct {
-	began time.Time
-	// expected is how long the prefill takes with what its engines had to do before, part what it
-	// takes at each of them.
-	expected, part time.Duration
+	startedAt time.Time
+	// expected is the time until the first token, including the earlier work of its
+	// engines, and partPrefill the prefill time at each of them.
+	expected, partPrefill time.Duration
 }
 
-// left is what is left at each engine.
-func (p *progress) left(now time.Time) time.Duration {
+// remaining is the pending prefill time at each engine.
+func (p *progress) remaining(now time.Time) time.Duration {
 	if p.expected <= 0 {
-		return p.part
+		return p.partPrefill
 	}
-	done := now.Sub(p.began).Seconds() / p.expected.Seconds()
-	return time.Duration(max(1-done, leastLeft) * float64(p.part))
+	done := now.Sub(p.startedAt).Seconds() / p.expected.Seconds()
+	return time.Duration(max(1-done, minRemaining) * float64(p.partPrefill))
 }
 
-// advance counts down what this entry's long prompts have left to prefill. Counted in full until
-// their first tokens, engines that are nearly done would look as busy as those that have begun. Whoever
-// reads loads or demands calls it first, once under the lock.
-func (l *LoadTracker) advance(now time.Time) {
-	for c := range l.prefilling {
-		left := c.progress.left(now)
-		for i := range c.parts {
-			l.countDown(c.service, &c.parts[i], left)
+// updatePendingPrefill reduces the pending prefill of this entry's long prompts by their
+// estimated progress. If it counted in full until the first token, engines that are nearly
+// done would look as busy as those that have just begun. Every method that reads loads or
+// demands calls it first, once, with the lock held.
+func (l *LoadTracker) updatePendingPrefill(now time.Time) {
+	for r := range l.prefilling {
+		remaining := r.progress.remaining(now)
+		for i := range r.parts {
+			l.reducePendingPrefill(r.service, &r.parts[i], remaining)
 		}
 	}
 }
 
-// countDown sets what a part of a long prompt has left, which never grows.
-func (l *LoadTracker) countDown(service string, p *part, left time.Duration) {
-	done := p.prefill - left
+// reducePendingPrefill sets the remaining prefill of a part of a long prompt, which never
+// grows.
+func (l *LoadTracker) reducePendingPrefill(service string, p *part, remaining time.Duration) {
+	done := p.prefill - remaining
 	if done <= 0 {
 		return
 	}
-	p.prefill = left
-	if known := l.loads[p.endpoint]; known != nil {
-		known.prefill = max(known.prefill-done, 0)
+	p.prefill = remaining
+	if tracked := l.endpoints[p.endpoint]; tracked != nil {
+		tracked.pendingPrefill = max(tracked.pendingPrefill-done, 0)
 	}
-	l.reading[service] -= done
+	l.pendingPrefill[service] -= done
 }
--- /dev/null
+++ b/routing/direct/queue_test.go
@@ -0,0 +1,75 @@
+package direct
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"aspenyard.example/directory"
+)
+
+// reportOthers records the demand, and the load of some endpoints, as reported by another
+// entry.
+func reportOthers(p *Policy, demand Demand, loads ...EndpointLoad) {
+	demand.Service = "m"
+	p.tracker.ReplacePeerLoad(testNow, "other", []Demand{demand}, loads)
+}
+
+// Guards against keeping the longest prompts queued while engines are idle.
+func TestALongPromptStartsWhereEnoughEnginesAreIdle(t *testing.T) {
+	is := is.New(t)
+	p, list := newPolicy(1), endpoints(40)
+	queued := p.Enqueue(service(), 380_000)
+	defer queued.Dequeue()
+	is.True(queued.MayStart(testNow, list))
+	backlog := Demand{LongPrefill: time.Minute, PendingPrefill: time.Minute}
+	reportOthers(p, backlog)
+	is.True(queued.MayStart(testNow, list)) // the pending prefill is on other engines
+	reportOthers(p, backlog, sameLoad(list, EndpointLoad{PendingPrefill: time.Second})...)
+	is.True(!queued.MayStart(testNow, list))
+	reportOthers(p, backlog, loadsOf(list, 1)...)
+	is.True(!queued.MayStart(testNow, list)) // the requests in flight would be delayed
+}
+
+// sameLoad returns the same load for each endpoint.
+func sameLoad(list []*directory.EndpointState, load EndpointLoad) []EndpointLoad {
+	var all []EndpointLoad
+	for _, e := range list {
+		load.Endpoint = HashEndpoint(e.Incarnation)
+		all = append(all, load)
+	}
+	return all
+}
+
+// Guards against all entries filling the same room: they see it at the same moment, before
+// they learn of each other's starts.
+func TestEntriesDoNotAllFillTheSameRoom(t *testing.T) {
+	is := is.New(t)
+	const entries, rounds = 40, 20
+	list, prefill := endpoints(40), PrefillTime(siteEngine(), 150_000)
+	started := 0
+	for seed := range uint64(rounds) {
+		for i := range uint64(entries) {
+			p := newPolicy(1 + seed*entries + i)
+			reportOthers(p, Demand{LongPrefill: time.Minute, PendingPrefill: 2 * time.Second, QueuedPrefill: (entries - 1) * prefill})
+			queued := p.Enqueue(service(), 150_000)
+			for range pollsPerHeartbeat {
+				if queued.MayStart(testNow, list) {
+					started++
+					break
+				}
+			}
+		}
+	}
+	room := float64(40 * pendingPrefillLimit)
+	taken := float64(started) / rounds * float64(prefill)
+	t.Logf("%.2f of the room taken in one heartbeat", taken/room)
+	is.True(taken < 1.3*room)
+	is.True(taken > 0.3*room)
+
+	alone := newPolicy(1)
+	for range entries {
+		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the room
+	}
+}
--- a/routing/policies.go
+++ b/routing/policies.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Names of the policies: the project's own and the baselines kept for comparison.
+// Names of the policies: the project's own, and the baselines that it is compared with.
 const (
 	PolicyAspenyard        = "aspenyard"
 	PolicyRandom           = "random"
@@ -15,68 +15,69 @@
 	PolicyTwoChoices       = "two-choices"
 )
 
-// PolicyNames lists all policies, the project's own last.
+// PolicyNames returns the names of all policies, the project's own last.
 func PolicyNames() []string {
 	return []string{PolicyRandom, PolicyRoundRobin, PolicyLeastOutstanding, PolicyTwoChoices, PolicyAspenyard}
 }
 
 const (
-	// dispatchMemory outlasts the lag of load reports.
-	dispatchMemory = 10 * time.Second
-	// prefixMemory bounds the prefix index: 64 bytes a beginning.
-	prefixMemory = 16_384
-	// pickSlack is how much worse than the best a pick may be, in seconds.
+	// dispatchRetention exceeds the lag of load reports.
+	dispatchRetention = 10 * time.Second
+	// maxPrefixes limits the prefix index, at 64 bytes a prefix.
+	maxPrefixes = 16_384
+	// pickSlack is the amount, in seconds, by which a pick may cost more than the best.
 	pickSlack = 0.002
-	// interferenceWeight: less lets long prompts start later, more slows short
-	// ones.
+	// interferenceWeight is a compromise: with less, long prompts start later; with more,
+	// short ones are slowed down.
 	interferenceWeight = 3
-	// dataCentreTrip is the round trip between data centres, in seconds.
-	dataCentreTrip = 0.002
+	// dataCentreRoundTrip is the round trip between data centres, in seconds.
+	dataCentreRoundTrip = 0.002
 )
 
-// Outstanding counts an entry's own requests in flight by endpoint.
+// Outstanding counts this entry's own requests in flight by endpoint.
 type Outstanding interface {
-	// Count is the number in flight at an endpoint.
+	// Count returns the number of requests in flight at an endpoint.
 	Count(endpoint string) int
 }
 
-// New makes a policy by name. outstanding is needed by least-outstanding only.
+// New returns the policy of the given name, or an error for an unknown name. outstanding is
+// used by least-outstanding only.
 func New(name string, random Rand, outstanding Outstanding) (*Policy, error) {
-	basic := []Filter{CanServe{}, FitsMemory{}}
+	filters := []Filter{CanServe{}, FitsMemory{}}
 	switch name {
 	case PolicyRandom:
-		return &Policy{Name: name, Filters: basic, Picker: Random{random}}, nil
+		return &Policy{Name: name, Filters: filters, Picker: Random{random}}, nil
 	case PolicyRoundRobin:
-		return &Policy{Name: name, Filters: basic, Picker: &RoundRobin{}}, nil
+		return &Policy{Name: name, Filters: filters, Picker: &RoundRobin{}}, nil
 	case PolicyLeastOutstanding:
-		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{InFlight{outstanding}}, Picker: LowestCost{Rand: random}}, nil
+		return &Policy{Name: name, Filters: filters, Scorers: []Scorer{InFlight{outstanding}}, Picker: LowestCost{Rand: random}}, nil
 	case PolicyTwoChoices:
-		return &Policy{Name: name, Filters: basic, Scorers: []Scorer{ReportedLoad{}}, Picker: TwoChoices{random}}, nil
+		return &Policy{Name: name, Filters: filters, Scorers: []Scorer{ReportedLoad{}}, Picker: TwoChoices{random}}, nil
 	case PolicyAspenyard:
 		return aspenyard(random), nil
 	}
-	return nil, errors.Errorf("no policy %q; there are %v", name, PolicyNames())
+	return nil, errors.Errorf("no policy %q; the policies are %v", name, PolicyNames())
 }
 
 func aspenyard(random Rand) *Policy {
-	sent := NewRecentDispatches(dispatchMemory)
-	prefixes := NewPrefixIndex(prefixMemory)
+	dispatches := NewRecentDispatches(dispatchRetention)
+	prefixes := NewPrefixIndex(maxPrefixes)
 	return &Policy{
 		Name:       PolicyAspenyard,
 		Filters:    []Filter{CanServe{}, FitsMemory{}},
 		Sample:     Sample{Count: sampleCount, MaxTokens: sampleMaxTokens, Rand: random},
-		Scorers:    []Scorer{QueueDelay{sent}, CapacityWait{sent}, Interference{sent, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreTrip}},
+		Scorers:    []Scorer{QueueDelay{dispatches}, CapacityWait{dispatches}, Interference{dispatches, interferenceWeight}, PrefixAffinity{prefixes}, Distance{dataCentreRoundTrip}},
 		Picker:     LowestCost{Slack: pickSlack, Rand: random},
 		Priorities: true,
 		Admission:  true,
 		OnPick: func(now time.Time, r *Request, e *Endpoint) {
-			sent.Record(now, r, e.Name)
+			dispatches.Record(now, r, e.Name)
 			prefixes.Record(r, e.Name)
 		},
 	}
 }
 
-// InFlight costs an endpoint by this entry's own requests there.
+// InFlight scores an endpoint by the number of this entry's own requests in flight there.
 type InFlight struct {
 	Outstanding Outstanding
 }
@@ -86,7 +87,7 @@
 	return float64(s.Outstanding.Count(e.Name))
 }
 
-// ReportedLoad costs an endpoint by the load it last reported.
+// ReportedLoad scores an endpoint by its last load report.
 type ReportedLoad struct{}
 
 // Cost implements Scorer; its unit is requests.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -30,20 +30,20 @@
 	return policy
 }
 
-func TestUnknownPolicyIsNamed(t *testing.T) {
+func TestUnknownPolicyIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := New("best", nil, nil)
 	is.True(err != nil)
 }
 
-func TestNothingServes(t *testing.T) {
+func TestRouteWithoutEndpoints(t *testing.T) {
 	is := is.New(t)
 	is.True(newPolicy(t).Route(testNow, request(1000), nil) == nil)
 }
 
-// Symptom: all entries send to the endpoint that was idle at the last report.
-// Sequence: many requests arrive between two reports. Cause, were it there: using
-// the report without one's own dispatches since.
+// Guards against all entries sending to the endpoint that was idle in the last load report:
+// many requests arrive between two reports, so a report must be corrected by the entry's
+// own dispatches since.
 func TestOwnDispatchesCorrectAnOldReport(t *testing.T) {
 	is := is.New(t)
 	policy := newPolicy(t)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestBaselinesPickAmongTheServing(t *testing.T) {
+func TestPoliciesPickOnlyServingEndpoints(t *testing.T) {
 	for _, name := range PolicyNames() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixLengths are the beginnings of a prompt that are hashed, in tokens.
+// prefixLengths are the lengths of the prefixes that are hashed, in tokens.
 var prefixLengths = []int{1 << 10, 1 << 11, 1 << 12, 1 << 13, 1 << 14, 1 << 15, 1 << 16, 1 << 17, 1 << 18, 1 << 19}
 
-// PrefixHashes hashes the beginnings of a prompt at lengths that double from
-// 1,024 tokens, so that a few numbers tell how much two prompts share.
+// PrefixHashes hashes the prefixes of a prompt at lengths that double from 1,024 tokens, so
+// that a few hashes tell how much two prompts share.
 func PrefixHashes(prompt string, bytesPerToken int) []uint64 {
 	var hashes []uint64
 	digest := xxhash.New()
@@ -28,9 +28,10 @@
 	return hashes
 }
 
-// PrefixIndex remembers which endpoints this entry sent which beginnings to. The
-// engines' own cache events come late and with gaps, and an entry's own choices
-// tell nearly the same; a wrong memory costs a little time only.
+// PrefixIndex records which endpoints this entry sent which prefixes to, with the least
+// recently used prefixes removed first. The engines' own cache events arrive late and with
+// gaps, and an entry's own picks give nearly the same information; a wrong record only
+// costs a little time. It is safe for concurrent use.
 type PrefixIndex struct {
 	mu      sync.Mutex
 	size    int
@@ -40,27 +41,27 @@
 
 type prefixEntry struct {
 	hash      uint64
-	endpoints [prefixHolders]string
+	endpoints [endpointsPerPrefix]string
 }
 
-// prefixHolders is how many endpoints are remembered for one beginning.
-const prefixHolders = 3
+// endpointsPerPrefix is the number of endpoints that are recorded for one prefix.
+const endpointsPerPrefix = 3
 
-// NewPrefixIndex makes an index of at most size beginnings.
+// NewPrefixIndex returns an empty index of at most size prefixes.
 func NewPrefixIndex(size int) *PrefixIndex {
 	return &PrefixIndex{size: size, entries: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// Record remembers that the prompt went to an endpoint.
+// Record records that the request's prompt was sent to an endpoint.
 func (x *PrefixIndex) Record(r *Request, endpoint string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, hash := range r.Prefix {
-		x.note(hash, endpoint)
+		x.record(hash, endpoint)
 	}
 }
 
-func (x *PrefixIndex) note(hash uint64, endpoint string) {
+func (x *PrefixIndex) record(hash uint64, endpoint string) {
 	element := x.entries[hash]
 	if element == nil {
 		element = x.recent.PushFront(&prefixEntry{hash: hash})
@@ -73,7 +74,7 @@
 	x.recent.MoveToFront(element)
 	entry := element.Value.(*prefixEntry)
 	for i, name := range entry.endpoints {
-		if name == endpoint || i == prefixHolders-1 {
+		if name == endpoint || i == endpointsPerPrefix-1 {
 			copy(entry.endpoints[1:i+1], entry.endpoints[:i])
 			entry.endpoints[0] = endpoint
 			return
@@ -99,7 +100,7 @@
 	return 0
 }
 
-// PrefixAffinity credits the prefill that an endpoint's prefix cache saves.
+// PrefixAffinity subtracts the prefill time that an endpoint's prefix cache saves.
 type PrefixAffinity struct {
 	Index *PrefixIndex
 }
@@ -109,5 +110,5 @@
 	if len(r.Prefix) == 0 {
 		return 0
 	}
-	return -float64(s.Index.CachedTokens(r, e.Name)) / rate(e)
+	return -float64(s.Index.CachedTokens(r, e.Name)) / prefillRate(e)
 }
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// QueueDelay is the time that the endpoint's backlog ahead of the request takes,
-// corrected by what this entry has sent there since the report.
+// QueueDelay is the time that the endpoint's backlog ahead of the request takes, corrected
+// by what this entry has sent there since the load report.
 //
-// Reports lag. Without the correction every request that arrives between two
-// reports goes to the endpoint that was idle at the first, which by then is the
-// busiest.
+// Load reports lag. Without the correction, every request that arrives between two reports
+// would go to the endpoint that was idle in the first, which by then is the busiest.
 type QueueDelay struct {
 	Sent *RecentDispatches
 }
 
-// unknownRate stands for an endpoint that has not told its prefill rate.
-const unknownRate = 10_000
+// defaultPrefillRate is used for an endpoint that has not reported its prefill rate, in
+// tokens a second.
+const defaultPrefillRate = 10_000
 
 // Cost implements Scorer.
 func (s QueueDelay) Cost(r *Request, e *Endpoint) float64 {
@@ -21,12 +21,12 @@
 	if s.Sent != nil {
 		tokens += s.Sent.BacklogSince(e.Name, e.Reported).UpTo(r.Level())
 	}
-	return float64(tokens) / rate(e)
+	return float64(tokens) / prefillRate(e)
 }
 
-func rate(e *Endpoint) float64 {
+func prefillRate(e *Endpoint) float64 {
 	if e.PrefillRate == 0 {
-		return unknownRate
+		return defaultPrefillRate
 	}
 	return float64(e.PrefillRate)
 }
@@ -36,8 +36,8 @@
 	Sent *RecentDispatches
 }
 
-// slotTurnover is how long a full batch takes to free a place, in seconds.
-const slotTurnover = 0.25
+// slotFreeTime is how long a full batch takes to free a place, in seconds.
+const slotFreeTime = 0.25
 
 // Cost implements Scorer.
 func (s CapacityWait) Cost(r *Request, e *Endpoint) float64 {
@@ -50,11 +50,11 @@
 	}
 	cost := 0.0
 	if over := running + 1 - e.MaxRunning; over > 0 {
-		cost += slotTurnover * float64(over)
+		cost += slotFreeTime * float64(over)
 	}
 	if e.MemoryTokens > 0 {
 		missing := r.PromptTokens + r.OutputTokens - memory
-		cost += math.Max(0, float64(missing)) / rate(e)
+		cost += math.Max(0, float64(missing)) / prefillRate(e)
 	}
 	return cost
 }
