--- a/admission/budget.go
+++ b/admission/budget.go
@@ -6,38 +6,38 @@
 // retries add at most a tenth to the load, also when everything fails at once.
 // Levels are counted in tenths of a retry.
 const (
-	successEarns = 1
-	retryCosts   = 10
-	budgetStore  = 10 * retryCosts
+	creditPerSuccess = 1
+	retryCost        = 10
+	budgetCapacity   = 10 * retryCost
 )
 
 // RetryBudget bounds the retries of one class of work. Safe for concurrent use.
 type RetryBudget struct {
-	mu    sync.Mutex
-	level int
+	mu      sync.Mutex
+	balance int
 	// Spent and Denied count retries made and refused.
 	spent, denied uint64
 }
 
 // NewRetryBudget makes a full budget.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{level: budgetStore} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: budgetCapacity} }
 
 // RecordSuccess earns a part of a retry.
 func (b *RetryBudget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.level = min(budgetStore, b.level+successEarns)
+	b.balance = min(budgetCapacity, b.balance+creditPerSuccess)
 }
 
 // Take spends one retry and tells whether there was one.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.level < retryCosts {
+	if b.balance < retryCost {
 		b.denied++
 		return false
 	}
-	b.level -= retryCosts
+	b.balance -= retryCost
 	b.spent++
 	return true
 }
--- a/admission/deferral.go
+++ b/admission/deferral.go
@@ -6,24 +6,24 @@
 	// maxDeferrals bounds the deferrals of one endpoint, and
 	// maxAccountDeferrals those of one account there, so that a flood of one
 	// account's requests does not put all others off. About 100 bytes each.
-	maxDeferrals        = 512
-	maxAccountDeferrals = 64
+	maxDeferrals           = 512
+	maxDeferralsPerAccount = 64
 	// deferralGrace is how long after its time a deferral stands: a caller's
 	// way back, and Retry-After in whole seconds.
 	deferralGrace = 10 * time.Second
-	// retryMargin is the time to come back over the time by which the wait is too
+	// retryAfterFactor is the time to come back over the time by which the wait is too
 	// long: with 1, callers would come back to a queue that bursts have filled again, and
 	// be refused once more.
-	retryMargin = 2
-	// newShare is the part of the longest wait that is open to requests without a
+	retryAfterFactor = 2
+	// newJobWaitShare is the part of the longest wait that is open to requests without a
 	// deferral. At 1, too little is left for those who come back; at a half,
 	// urgent requests are refused that would have been in time.
-	newShare = 2.0 / 3
+	newJobWaitShare = 2.0 / 3
 	// minReturnShare is the least part of the deferred work that is reckoned to come
 	// back.
 	minReturnShare = 0.1
-	// firstReturnShare is the part reckoned before any was due.
-	firstReturnShare = 0.5
+	// initialReturnShare is the part reckoned before any was due.
+	initialReturnShare = 0.5
 	// returnWeight is the weight of the last deferral in the mean of those that came
 	// back.
 	returnWeight = 0.05
@@ -42,28 +42,28 @@
 type deferrals struct {
 	byKey     map[uint64]deferral
 	byAccount map[string]int
-	// returned is the mean share of those deferred that come back, see returnWeight.
-	returned float64
+	// returnShare is the mean share of those deferred that come back, see returnWeight.
+	returnShare float64
 }
 
 type deferral struct {
-	account string
-	at      time.Time
-	level   Level
-	tokens  int
+	account      string
+	dueAt        time.Time
+	level        Level
+	promptTokens int
 }
 
 func newDeferrals() deferrals {
-	return deferrals{byKey: map[uint64]deferral{}, byAccount: map[string]int{}, returned: firstReturnShare}
+	return deferrals{byKey: map[uint64]deferral{}, byAccount: map[string]int{}, returnShare: initialReturnShare}
 }
 
-// open is the part of the longest wait that is open to a job: all of it for one
+// waitShare is the part of the longest wait that is waitShare to a job: all of it for one
 // that comes back when it was told to, or later.
-func (d *deferrals) open(now time.Time, job *Job) float64 {
-	if own, found := d.byKey[job.DeferralKey]; found && !now.Before(own.at) {
+func (d *deferrals) waitShare(now time.Time, job *Job) float64 {
+	if own, found := d.byKey[job.DeferralKey]; found && !now.Before(own.dueAt) {
 		return 1
 	}
-	return newShare
+	return newJobWaitShare
 }
 
 // add records that a job was told to come back after a wait, and returns the
@@ -73,22 +73,22 @@
 	if job.DeferralKey == 0 {
 		return wait, false
 	}
-	if own, found := d.byKey[job.DeferralKey]; found && now.Before(own.at) {
-		return own.at.Sub(now), true
+	if own, found := d.byKey[job.DeferralKey]; found && now.Before(own.dueAt) {
+		return own.dueAt.Sub(now), true
 	}
 	d.remove(job.DeferralKey)
-	if len(d.byKey) >= maxDeferrals || d.byAccount[job.Account] >= maxAccountDeferrals {
+	if len(d.byKey) >= maxDeferrals || d.byAccount[job.Account] >= maxDeferralsPerAccount {
 		return wait, false
 	}
-	d.byKey[job.DeferralKey] = deferral{account: job.Account, at: now.Add(wait), level: job.level(), tokens: job.PromptTokens}
+	d.byKey[job.DeferralKey] = deferral{account: job.Account, dueAt: now.Add(wait), level: job.level(), promptTokens: job.PromptTokens}
 	d.byAccount[job.Account]++
 	return wait, true
 }
 
-// accept ends the deferral of a job that was accepted.
-func (d *deferrals) accept(job *Job) {
+// complete ends the deferral of a job that was accepted.
+func (d *deferrals) complete(job *Job) {
 	if d.remove(job.DeferralKey) {
-		d.count(1)
+		d.updateReturnShare(1)
 	}
 }
 
@@ -106,26 +106,26 @@
 	return true
 }
 
-func (d *deferrals) count(returned float64) {
-	d.returned += returnWeight * (returned - d.returned)
+func (d *deferrals) updateReturnShare(returned float64) {
+	d.returnShare += returnWeight * (returned - d.returnShare)
 }
 
-// ahead sums the prefill in tokens that goes before a job: the deferrals of its
+// tokensAhead sums the prefill in tokens that goes before a job: the deferrals of its
 // level and of more urgent ones, of a job with a deferral only those before
 // its own. Those whose job did not come back are forgotten.
-func (d *deferrals) ahead(now time.Time, job *Job) int {
+func (d *deferrals) tokensAhead(now time.Time, job *Job) int {
 	own, holds := d.byKey[job.DeferralKey]
 	sum := 0
 	for key, other := range d.byKey {
-		if now.Sub(other.at) > deferralGrace {
+		if now.Sub(other.dueAt) > deferralGrace {
 			d.remove(key)
-			d.count(0)
+			d.updateReturnShare(0)
 			continue
 		}
-		if key == job.DeferralKey || other.level > job.level() || holds && !other.at.Before(own.at) {
+		if key == job.DeferralKey || other.level > job.level() || holds && !other.dueAt.Before(own.dueAt) {
 			continue
 		}
-		sum += other.tokens
+		sum += other.promptTokens
 	}
-	return int(float64(sum) * max(minReturnShare, d.returned))
+	return int(float64(sum) * max(minReturnShare, d.returnShare))
 }
--- a/admission/lending.go
+++ b/admission/lending.go
@@ -34,9 +34,9 @@
 // loan is what one entry has of one account. counted is the largest share whose
 // lease may still run, until countedUntil.
 type loan struct {
-	demand                float64
-	share, counted        float64
-	expires, countedUntil time.Time
+	demand                  float64
+	share, committed        float64
+	expires, committedUntil time.Time
 }
 
 // NewLender makes a home that began now.
@@ -55,7 +55,7 @@
 		loans = map[string]*loan{}
 		l.accounts[account] = loans
 	}
-	expire(now, loans)
+	expireLoans(now, loans)
 	own := loans[entry]
 	if own == nil {
 		own = &loan{demand: demand}
@@ -66,7 +66,7 @@
 	for name, other := range loans {
 		total += other.demand
 		if name != entry {
-			free -= other.counted
+			free -= other.committed
 		}
 	}
 	target := 0.0
@@ -79,21 +79,21 @@
 
 func (o *loan) grant(now time.Time, share float64) {
 	o.share, o.expires = share, now.Add(LendingLease)
-	if share >= o.counted {
-		o.counted, o.countedUntil = share, o.expires
+	if share >= o.committed {
+		o.committed, o.committedUntil = share, o.expires
 	}
 }
 
-// expire ends the leases that are over. A lowered share stops being counted at
+// expireLoans ends the leases that are over. A lowered share stops being counted at
 // its old value once the lease of that value has ended.
-func expire(now time.Time, loans map[string]*loan) {
+func expireLoans(now time.Time, loans map[string]*loan) {
 	for name, o := range loans {
 		if now.After(o.expires) {
 			delete(loans, name)
 			continue
 		}
-		if now.After(o.countedUntil) {
-			o.counted, o.countedUntil = o.share, o.expires
+		if now.After(o.committedUntil) {
+			o.committed, o.committedUntil = o.share, o.expires
 		}
 	}
 }
@@ -101,7 +101,7 @@
 // Sweep forgets accounts without a loan.
 func (l *Lender) Sweep(now time.Time) {
 	for account, loans := range l.accounts {
-		expire(now, loans)
+		expireLoans(now, loans)
 		if len(loans) == 0 {
 			delete(l.accounts, account)
 		}
@@ -110,32 +110,32 @@
 
 // Borrower is the borrower's side. It belongs to one thread.
 type Borrower struct {
-	lent map[string]lentShare
+	loans map[string]borrowedShare
 }
 
-type lentShare struct {
+type borrowedShare struct {
 	share   float64
 	expires time.Time
 }
 
 // NewBorrower makes a borrower without loans.
-func NewBorrower() *Borrower { return &Borrower{lent: map[string]lentShare{}} }
+func NewBorrower() *Borrower { return &Borrower{loans: map[string]borrowedShare{}} }
 
 // SetLoan takes in a loan. asked is when it was asked for: the lease is reckoned from
 // there, so that it ends here before it ends at the home.
 func (s *Borrower) SetLoan(asked time.Time, account string, share float64) {
-	s.lent[account] = lentShare{share: share, expires: asked.Add(LendingLease)}
+	s.loans[account] = borrowedShare{share: share, expires: asked.Add(LendingLease)}
 }
 
 // Share is this entry's part of an account's limits with this many entries.
 func (s *Borrower) Share(now time.Time, account string, entries int) float64 {
 	own := StaticShare / float64(max(1, entries))
-	lent, found := s.lent[account]
+	lent, found := s.loans[account]
 	if !found {
 		return own
 	}
 	if now.After(lent.expires) {
-		delete(s.lent, account)
+		delete(s.loans, account)
 		return own
 	}
 	return own + lent.share
--- a/admission/lending_test.go
+++ b/admission/lending_test.go
@@ -24,20 +24,20 @@
 	is.Equal(lender.Lend(later, "a", "n2", 10), lendable/2)
 }
 
-// lentCopy is what a borrower holds.
-type lentCopy struct {
+// heldLoan is what a borrower holds.
+type heldLoan struct {
 	share   float64
 	expires time.Time
 }
 
-// TestLoansNeverExceedTheWhole drives borrowers whose answers are lost or late,
+// TestLoansNeverExceedLendableShare drives borrowers whose answers are lost or late,
 // restarts of the home, and passing time. The shares in use, as the borrowers
 // reckon them, never sum to more than the lent half.
-func TestLoansNeverExceedTheWhole(t *testing.T) {
+func TestLoansNeverExceedLendableShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := testStart
 		lender := NewLender(now)
-		held := map[string]lentCopy{}
+		held := map[string]heldLoan{}
 		entry := func(t *rapid.T) string { return fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "entry")) }
 		pass := func(ms int) { now = now.Add(time.Duration(ms) * time.Millisecond) }
 		t.Repeat(map[string]func(*rapid.T){
@@ -47,7 +47,7 @@
 				share := lender.Lend(now, "a", name, float64(rapid.IntRange(0, 100).Draw(t, "demand")))
 				pass(rapid.IntRange(0, 800).Draw(t, "delay back"))
 				if !rapid.Bool().Draw(t, "answer lost") {
-					held[name] = lentCopy{share, asked.Add(LendingLease)}
+					held[name] = heldLoan{share, asked.Add(LendingLease)}
 				}
 			},
 			"pass":  func(t *rapid.T) { pass(rapid.IntRange(1, 3000).Draw(t, "ms")) },
--- a/admission/level.go
+++ b/admission/level.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// levelOrder ranks (class, band): a longer prompt of a class goes after a
+// levelByClassAndBand ranks (class, band): a longer prompt of a class goes after a
 // shorter one of the next class, because a short prompt costs a long one a few
 // milliseconds, and a long one costs a short one seconds.
-var levelOrder = [classCount][bandCount]Level{
+var levelByClassAndBand = [classCount][bandCount]Level{
 	Urgent: {0, 2, 5, 8},
 	Normal: {1, 3, 6, 9},
 	Bulk:   {4, 7, 10, 11},
@@ -59,7 +59,7 @@
 	if class < Urgent || class > Bulk {
 		class = Bulk
 	}
-	return levelOrder[class][Band(promptTokens)]
+	return levelByClassAndBand[class][Band(promptTokens)]
 }
 
 // Backlog is prefill not yet done, in tokens, by level.
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -20,24 +20,24 @@
 // use.
 type Limiter struct {
 	mu       sync.Mutex
-	accounts map[string]*usage
+	accounts map[string]*accountUsage
 }
 
-type usage struct {
+type accountUsage struct {
 	requests, tokens bucket
 	concurrent       int
-	last             time.Time
+	lastRequest      time.Time
 	arrived          float64 // requests since the last call of Demand
 }
 
 type bucket struct {
-	level  float64
-	filled time.Time
+	available float64
+	updatedAt time.Time
 }
 
 // NewLimiter makes a limiter without any use.
 func NewLimiter() *Limiter {
-	return &Limiter{accounts: map[string]*usage{}}
+	return &Limiter{accounts: map[string]*accountUsage{}}
 }
 
 // Admit counts a request of an account against this entry's share of the limits,
@@ -47,10 +47,10 @@
 	defer l.mu.Unlock()
 	u := l.accounts[account]
 	if u == nil {
-		u = &usage{}
+		u = &accountUsage{}
 		l.accounts[account] = u
 	}
-	u.last = now
+	u.lastRequest = now
 	u.arrived++
 	if limits.Concurrent > 0 && u.concurrent >= max(1, int(float64(limits.Concurrent)*share)) {
 		return result.Refuse(result.TooManyConcurrent, time.Second, "%d requests at once", u.concurrent)
@@ -83,7 +83,7 @@
 	defer l.mu.Unlock()
 	demand := make(map[string]float64, len(l.accounts))
 	for name, u := range l.accounts {
-		if u.concurrent == 0 && now.Sub(u.last) > idle {
+		if u.concurrent == 0 && now.Sub(u.lastRequest) > idle {
 			delete(l.accounts, name)
 			continue
 		}
@@ -101,13 +101,13 @@
 		return 0
 	}
 	size := max(rate*burstSeconds, 1)
-	if b.filled.IsZero() {
-		b.level = size
+	if b.updatedAt.IsZero() {
+		b.available = size
 	} else {
-		b.level = min(size, b.level+rate*now.Sub(b.filled).Seconds())
+		b.available = min(size, b.available+rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.filled = now
-	missing := min(amount, size) - b.level
+	b.updatedAt = now
+	missing := min(amount, size) - b.available
 	if missing <= 0 {
 		return 0
 	}
@@ -116,6 +116,6 @@
 
 func (b *bucket) take(rate, amount float64) {
 	if rate > 0 {
-		b.level -= amount
+		b.available -= amount
 	}
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -84,11 +84,11 @@
 	PromptTokens, OutputTokens int
 	Deadline                   time.Time
 
-	arrived time.Time
-	target  time.Time
-	armed   bool
-	running bool
-	filled  bool // prefill done
+	arrived   time.Time
+	startBy   time.Time
+	ready     bool
+	running   bool
+	prefilled bool // prefill done
 }
 
 func (j *Job) memory() int  { return j.PromptTokens + j.OutputTokens }
@@ -113,33 +113,33 @@
 type Queue struct {
 	config Config
 	// slots is what the power grant allows of MaxRunning.
-	slots    int
-	jobs     map[uint64]*Job
-	waiting  []*Job // by target
-	running  int
-	longs    int
-	held     int
-	filling  map[uint64]*Job // started and not yet prefilled
-	backlog  Backlog
-	inflow   inflow
-	accounts map[string]*account
-	deferred deferrals
-	closed   bool
+	slots       int
+	jobs        map[uint64]*Job
+	waiting     []*Job // by target
+	running     int
+	longRunning int
+	heldTokens  int
+	prefilling  map[uint64]*Job // started and not yet prefilled
+	backlog     Backlog
+	arrivals    arrivalRates
+	accounts    map[string]*accountState
+	deferrals   deferrals
+	closed      bool
 }
 
-// account is what fair queueing remembers of a client account.
-type account struct {
-	// next is when the account's next job counts as arrived: each job moves it
+// accountState is what fair queueing remembers of a client accountState.
+type accountState struct {
+	// nextArrival is when the account's nextArrival job counts as arrived: each job moves it
 	// on by its cost times the accounts that share the endpoint, so that one
 	// account's flood queues behind itself.
-	next time.Time
-	jobs int
+	nextArrival time.Time
+	jobs        int
 }
 
 // NewQueue makes an empty queue.
 func NewQueue(config Config) *Queue {
 	config = config.WithDefaults()
-	return &Queue{config: config, slots: config.MaxRunning, jobs: map[uint64]*Job{}, filling: map[uint64]*Job{}, accounts: map[string]*account{}, deferred: newDeferrals()}
+	return &Queue{config: config, slots: config.MaxRunning, jobs: map[uint64]*Job{}, prefilling: map[uint64]*Job{}, accounts: map[string]*accountState{}, deferrals: newDeferrals()}
 }
 
 // SetSlots bounds the work started at once to what the power grant allows.
@@ -157,23 +157,23 @@
 // Offer accepts a job into the queue or refuses it with a code and with when
 // to come back. An accepted job waits for Arm.
 func (q *Queue) Offer(now time.Time, job Job) Decision {
-	if refusal := q.judge(now, &job); refusal != nil {
+	if refusal := q.check(now, &job); refusal != nil {
 		return *refusal
 	}
-	q.deferred.accept(&job)
+	q.deferrals.complete(&job)
 	job.arrived = now
-	job.target = q.targetOf(now, &job)
+	job.startBy = q.assignStartBy(now, &job)
 	stored := &job
 	q.jobs[job.ID] = stored
 	q.insert(stored)
 	q.backlog[job.level()] += job.PromptTokens
-	q.inflow.add(now, job.level(), job.PromptTokens)
-	return Decision{Accepted: true, Wait: q.wait(now, job.level(), 0)}
+	q.arrivals.add(now, job.level(), job.PromptTokens)
+	return Decision{Accepted: true, Wait: q.estimateWait(now, job.level(), 0)}
 }
 
-// judge refuses a job that may not wait or would end too late; nil accepts it. One
+// check refuses a job that may not wait or would end too late; nil accepts it. One
 // that would be too late at an idle endpoint is not deferred: waiting does not help.
-func (q *Queue) judge(now time.Time, job *Job) *Decision {
+func (q *Queue) check(now time.Time, job *Job) *Decision {
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
 	}
@@ -183,45 +183,45 @@
 	if q.slots == 0 && q.running == 0 {
 		return &Decision{Code: result.NoPower, RetryAfter: time.Second}
 	}
-	wait := q.wait(now, job.level(), q.deferred.ahead(now, job))
-	open := q.deferred.open(now, job)
-	if over := wait - part(open, q.config.MaxWait[job.Class]); over > 0 {
-		return q.comeBack(now, job, result.Overloaded, over)
+	wait := q.estimateWait(now, job.level(), q.deferrals.tokensAhead(now, job))
+	open := q.deferrals.waitShare(now, job)
+	if over := wait - scale(open, q.config.MaxWait[job.Class]); over > 0 {
+		return q.refuseWithRetry(now, job, result.Overloaded, over)
 	}
-	spare := job.Deadline.Sub(now) - q.duration(now, job)
+	spare := job.Deadline.Sub(now) - q.estimateDuration(now, job)
 	if spare < 0 {
 		return &Decision{Code: result.DeadlineUnmeetable, RetryAfter: max(minRetryAfter, wait)}
 	}
-	if over := wait - part(open, spare); over > 0 {
-		return q.comeBack(now, job, result.DeadlineUnmeetable, over)
+	if over := wait - scale(open, spare); over > 0 {
+		return q.refuseWithRetry(now, job, result.DeadlineUnmeetable, over)
 	}
 	return nil
 }
 
-// comeBack refuses a job whose wait is over what it may be, and says when it no
+// refuseWithRetry refuses a job whose wait is over what it may be, and says when it no
 // longer will be.
-func (q *Queue) comeBack(now time.Time, job *Job, code result.Code, over time.Duration) *Decision {
-	after, held := q.deferred.add(now, job, max(minRetryAfter, part(retryMargin, over)))
+func (q *Queue) refuseWithRetry(now time.Time, job *Job, code result.Code, over time.Duration) *Decision {
+	after, held := q.deferrals.add(now, job, max(minRetryAfter, scale(retryAfterFactor, over)))
 	return &Decision{Code: code, RetryAfter: after, Deferred: held}
 }
 
-// wait estimates the time until new work of a level starts its prefill: the
+// estimateWait estimates the time until new work of a level starts its prefill: the
 // backlog that goes before it, at the rate that the work which will come
 // meanwhile and go before it too leaves over. ahead is prefill in tokens that goes
 // before it too and is not in the queue.
-func (q *Queue) wait(now time.Time, level Level, ahead int) time.Duration {
+func (q *Queue) estimateWait(now time.Time, level Level, ahead int) time.Duration {
 	if q.config.PrefillRate == 0 {
 		return 0
 	}
-	return seconds(float64(q.backlog.UpTo(level)+ahead) / q.rate(now, level))
+	return seconds(float64(q.backlog.UpTo(level)+ahead) / q.prefillRate(now, level))
 }
 
-// duration estimates how long a job takes once it starts.
-func (q *Queue) duration(now time.Time, job *Job) time.Duration {
+// estimateDuration estimates how long a job takes once it starts.
+func (q *Queue) estimateDuration(now time.Time, job *Job) time.Duration {
 	if q.config.PrefillRate == 0 {
 		return 0
 	}
-	prefill := float64(job.PromptTokens) / q.rate(now, job.level())
+	prefill := float64(job.PromptTokens) / q.prefillRate(now, job.level())
 	return seconds(prefill + float64(job.OutputTokens)/float64(q.config.DecodeRate))
 }
 
@@ -229,22 +229,22 @@
 // get: below it, an estimate would only say "never".
 const minRateShare = 0.05
 
-// rate is the prefill rate, in tokens a second, that is left for a level.
-func (q *Queue) rate(now time.Time, level Level) float64 {
+// prefillRate is the prefill prefillRate, in tokens a second, that is left for a level.
+func (q *Queue) prefillRate(now time.Time, level Level) float64 {
 	full := float64(q.config.PrefillRate)
-	return max(full*minRateShare, full-q.inflow.before(now, level))
+	return max(full*minRateShare, full-q.arrivals.moreUrgentThan(now, level))
 }
 
-// targetOf gives the time by which a job should start: the earliest goes first,
+// assignStartBy gives the time by which a job should start: the earliest goes first,
 // so that every job's turn comes as it ages.
-func (q *Queue) targetOf(now time.Time, job *Job) time.Time {
+func (q *Queue) assignStartBy(now time.Time, job *Job) time.Time {
 	a := q.accounts[job.Account]
 	if a == nil {
-		a = &account{next: now}
+		a = &accountState{nextArrival: now}
 		q.accounts[job.Account] = a
 	}
 	a.jobs++
-	start := a.next
+	start := a.nextArrival
 	if start.Before(now) {
 		start = now
 	}
@@ -252,12 +252,12 @@
 	if q.config.PrefillRate > 0 {
 		cost = seconds(float64(job.memory()) / float64(q.config.PrefillRate))
 	}
-	a.next = start.Add(cost * time.Duration(len(q.accounts)))
+	a.nextArrival = start.Add(cost * time.Duration(len(q.accounts)))
 	return start.Add(q.config.AgingDelay[job.Class] + cost)
 }
 
 func (q *Queue) insert(job *Job) {
-	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].target.After(job.target) })
+	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].startBy.After(job.startBy) })
 	q.waiting = append(q.waiting, nil)
 	copy(q.waiting[at+1:], q.waiting[at:])
 	q.waiting[at] = job
@@ -266,7 +266,7 @@
 // MarkReady tells that a job's order has arrived, so that it may start.
 func (q *Queue) MarkReady(id uint64) {
 	if job := q.jobs[id]; job != nil {
-		job.armed = true
+		job.ready = true
 	}
 }
 
@@ -281,13 +281,13 @@
 	}
 	blocked := false
 	for i, job := range q.waiting {
-		if !job.armed {
+		if !job.ready {
 			continue
 		}
 		if blocked && Band(job.PromptTokens) > 0 && job.Class != Urgent {
 			continue
 		}
-		if !q.goesFirst(job) {
+		if !q.prefillsSoon(job) {
 			continue
 		}
 		if !q.fits(job) {
@@ -297,24 +297,24 @@
 		q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 		job.running = true
 		q.running++
-		q.held += job.memory()
-		q.filling[job.ID] = job
+		q.heldTokens += job.memory()
+		q.prefilling[job.ID] = job
 		if job.long() {
-			q.longs++
+			q.longRunning++
 		}
 		return job.ID, true
 	}
 	return 0, false
 }
 
-// goesFirst tells whether the engine would come to a job's prefill soon. Work
+// prefillsSoon tells whether the engine would come to a job's prefill soon. Work
 // started earlier than that only takes places and memory while it waits.
-func (q *Queue) goesFirst(job *Job) bool {
+func (q *Queue) prefillsSoon(job *Job) bool {
 	if q.config.PrefillRate == 0 {
 		return true
 	}
 	filling := 0
-	for _, other := range q.filling {
+	for _, other := range q.prefilling {
 		if other.level() <= job.level() {
 			filling++
 		}
@@ -327,16 +327,16 @@
 		return true
 	}
 	if job.long() {
-		return q.longs < q.config.MaxLongRunning && q.held+job.memory() <= q.config.MaxPromptTokens()
+		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memory() <= q.config.MaxPromptTokens()
 	}
-	return q.held+job.memory() <= q.config.MemoryTokens
+	return q.heldTokens+job.memory() <= q.config.MemoryTokens
 }
 
 // MarkPrefilled tells that a running job's prefill is done.
 func (q *Queue) MarkPrefilled(id uint64) {
-	if job := q.jobs[id]; job != nil && !job.filled {
-		job.filled = true
-		delete(q.filling, id)
+	if job := q.jobs[id]; job != nil && !job.prefilled {
+		job.prefilled = true
+		delete(q.prefilling, id)
 		q.backlog[job.level()] -= job.PromptTokens
 	}
 }
@@ -351,12 +351,12 @@
 	delete(q.jobs, id)
 	if job.running {
 		q.running--
-		q.held -= job.memory()
+		q.heldTokens -= job.memory()
 		if job.long() {
-			q.longs--
+			q.longRunning--
 		}
 	} else {
-		q.drop(job)
+		q.removeWaiting(job)
 	}
 	a := q.accounts[job.Account]
 	a.jobs--
@@ -365,7 +365,7 @@
 	}
 }
 
-func (q *Queue) drop(job *Job) {
+func (q *Queue) removeWaiting(job *Job) {
 	for i, other := range q.waiting {
 		if other == job {
 			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
@@ -393,7 +393,7 @@
 func (q *Queue) Report() LoadReport {
 	return LoadReport{
 		Running: q.running, Queued: len(q.waiting),
-		FreeMemoryTokens: q.config.MemoryTokens - q.held, Backlog: q.backlog,
+		FreeMemoryTokens: q.config.MemoryTokens - q.heldTokens, Backlog: q.backlog,
 	}
 }
 
@@ -402,7 +402,7 @@
 	return min(q.config.MaxRunning, q.running+len(q.waiting))
 }
 
-func part(share float64, of time.Duration) time.Duration {
+func scale(share float64, of time.Duration) time.Duration {
 	return time.Duration(share * float64(of))
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestNothingStartsBeforeItsOrder(t *testing.T) {
+func TestJobWaitsForItsRunRequest(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
 	is.True(offer(q, 1, Job{Account: "a", PromptTokens: 1000}).Accepted)
@@ -44,7 +44,7 @@
 	is.Equal(startAll(q), []uint64{1})
 }
 
-func TestUrgentShortGoesBeforeEarlierBulk(t *testing.T) {
+func TestUrgentShortJobGoesBeforeEarlierBulkJob(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
 	q.SetSlots(0)
@@ -60,7 +60,7 @@
 
 // Symptom: a long prompt never starts. Sequence: shorter prompts keep arriving,
 // each more urgent than it. Cause, were it there: ordering by class alone.
-func TestLongWaitGoesBeforeNewUrgentWork(t *testing.T) {
+func TestAgedBulkJobGoesBeforeNewUrgentJob(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
 	bulk := Job{ID: 1, Account: "a", Class: Bulk, PromptTokens: 20_000, Deadline: testStart.Add(time.Hour)}
@@ -83,7 +83,7 @@
 		{"no power", func(q *Queue) { q.SetSlots(0) }, Job{PromptTokens: 1000}, result.NoPower},
 		{"too long", func(*Queue) {}, Job{PromptTokens: 350_000}, result.PromptTooLong},
 		{"too late", func(*Queue) {}, Job{PromptTokens: 100_000, Deadline: testStart.Add(time.Second)}, result.DeadlineUnmeetable},
-		{"overloaded", func(q *Queue) { fill(q, 200) }, Job{Class: Urgent, PromptTokens: 1000}, result.Overloaded},
+		{"overloaded", func(q *Queue) { addUrgentJobs(q, 200) }, Job{Class: Urgent, PromptTokens: 1000}, result.Overloaded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 	}
 }
 
-func fill(q *Queue, jobs int) {
+func addUrgentJobs(q *Queue, jobs int) {
 	for i := range jobs {
 		offer(q, uint64(i+1), Job{Account: "a", Class: Urgent, PromptTokens: 4000})
 	}
@@ -106,7 +106,7 @@
 
 // Symptom: one account's flood makes the others wait. Cause, were it there: first
 // come first served over all accounts.
-func TestFloodQueuesBehindItself(t *testing.T) {
+func TestAccountFloodDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
 	for i := range 20 {
@@ -124,7 +124,7 @@
 
 // Symptom: urgent requests late without a first token, while a long prompt waits
 // for memory. Cause: the long prompt held back all but short work.
-func TestUrgentWorkPassesALongPromptThatWaitsForMemory(t *testing.T) {
+func TestUrgentJobPassesLongPromptThatWaitsForMemory(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
 	for i := range uint64(3) {
--- a/admission/retrywindow.go
+++ b/admission/retrywindow.go
@@ -28,85 +28,85 @@
 	origin   time.Time
 	limits   RetryLimits
 	entries  entryCounts
-	services map[string]*retryService
+	services map[string]*serviceCounts
 }
 
 const (
-	// retrySlots is how many parts a window is counted in; it slides by one part.
-	retrySlots = 10
+	// windowSlots is how many parts a window is counted in; it slides by one part.
+	windowSlots = 10
 	// keptSlots are counted of what a limit holds for: the present part has only begun, so
 	// that without one more the counts would be of less than a window.
-	keptSlots = retrySlots + 1
+	keptSlots = windowSlots + 1
 )
 
-// ring is a number for each part of a window. The zero value has the number 0 for all.
-type ring struct {
-	slot  int64
-	parts [keptSlots]float64
+// slotRing is a number for each part of a window. The zero value has the number 0 for all.
+type slotRing struct {
+	current int64
+	slots   [keptSlots]float64
 }
 
-// at moves on to a part, fills those that begin with a number, and gives the present one.
-func (r *ring) at(slot int64, fill float64) *float64 {
-	for r.slot = max(r.slot, slot-keptSlots); r.slot < slot; {
-		r.slot++
-		r.parts[r.slot%keptSlots] = fill
+// advance moves on to a part, fills those that begin with a number, and gives the present one.
+func (r *slotRing) advance(slot int64, fill float64) *float64 {
+	for r.current = max(r.current, slot-keptSlots); r.current < slot; {
+		r.current++
+		r.slots[r.current%keptSlots] = fill
 	}
-	return &r.parts[r.slot%keptSlots]
+	return &r.slots[r.current%keptSlots]
 }
 
-func (r *ring) sum() float64 {
+func (r *slotRing) sum() float64 {
 	sum := 0.0
-	for _, n := range r.parts {
+	for _, n := range r.slots {
 		sum += n
 	}
 	return sum
 }
 
 // oldest is the number of the part that is not all in the window any more.
-func (r *ring) oldest() float64 { return r.parts[(r.slot+1)%keptSlots] }
+func (r *slotRing) oldest() float64 { return r.slots[(r.current+1)%keptSlots] }
 
-// retryService is what was counted for a service.
-type retryService struct{ requests, repeats ring }
+// serviceCounts is what was counted for a service.
+type serviceCounts struct{ requests, retries slotRing }
 
 // entryCounts keeps the greatest number of entries in each part of a window. None is known
 // at first.
 type entryCounts struct {
-	now  float64
-	most ring
+	current float64
+	maxima  slotRing
 }
 
 // set tells how many there are from now on.
 func (c *entryCounts) set(slot int64, n int) {
-	here := c.most.at(slot, c.now)
-	c.now = float64(n)
-	*here = max(*here, c.now)
+	here := c.maxima.advance(slot, c.current)
+	c.current = float64(n)
+	*here = max(*here, c.current)
 }
 
-// greatest is the greatest number in the window.
-func (c *entryCounts) greatest(slot int64) float64 {
-	c.most.at(slot, c.now)
-	if n := slices.Max(c.most.parts[:]); n > 0 {
+// maximum is the maximum number in the window.
+func (c *entryCounts) maximum(slot int64) float64 {
+	c.maxima.advance(slot, c.current)
+	if n := slices.Max(c.maxima.slots[:]); n > 0 {
 		return n
 	}
-	return unseenEntries
+	return assumedEntries
 }
 
 const (
-	// unseenEntries is how many entries there are taken to be until one knows.
-	unseenEntries = 32
-	// retrySafety is the part of the limits that is used: entries that start know late
+	// assumedEntries is how many entries there are taken to be until one knows.
+	assumedEntries = 32
+	// retrySafetyFactor is the part of the limits that is used: entries that start know late
 	// how many there are, and what one spent before it was started again is not known.
-	retrySafety = 0.8
-	// firstPart is how much of its part of the allowance an entry takes in the first window
+	retrySafetyFactor = 0.8
+	// firstWindowShare is how much of its part of the allowance an entry takes in the first window
 	// of its life: with retrySafety, entries that had spent all before they were started
 	// again, once in a window, stay within the limits. Not nothing, so that an engine that is
 	// gone costs the first callers of a new life no answer.
-	firstPart = 0.2
+	firstWindowShare = 0.2
 )
 
 // NewRetryWindow makes an empty window.
 func NewRetryWindow(now time.Time, limits RetryLimits) *RetryWindow {
-	return &RetryWindow{origin: now, limits: limits, services: map[string]*retryService{}}
+	return &RetryWindow{origin: now, limits: limits, services: map[string]*serviceCounts{}}
 }
 
 // SetLimits changes the limits.
@@ -121,19 +121,19 @@
 func (w *RetryWindow) SetEntries(now time.Time, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.entries.set(w.slot(now), max(n, 1))
+	w.entries.set(w.slotOf(now), max(n, 1))
 }
 
-// slot is the part of a window that a time lies in.
-func (w *RetryWindow) slot(now time.Time) int64 {
-	return int64(now.Sub(w.origin) / (w.limits.Window / retrySlots))
+// slotOf is the part of a window that a time lies in.
+func (w *RetryWindow) slotOf(now time.Time) int64 {
+	return int64(now.Sub(w.origin) / (w.limits.Window / windowSlots))
 }
 
-// allowance is this entry's part of what may be repeated besides the ratio.
-func (w *RetryWindow) allowance(now time.Time) float64 {
-	part := w.limits.Allowance / w.entries.greatest(w.slot(now))
+// allowanceShare is this entry's part of what may be repeated besides the ratio.
+func (w *RetryWindow) allowanceShare(now time.Time) float64 {
+	part := w.limits.Allowance / w.entries.maximum(w.slotOf(now))
 	if now.Sub(w.origin) < w.limits.Window {
-		part *= firstPart
+		part *= firstWindowShare
 	}
 	return part
 }
@@ -142,29 +142,29 @@
 func (w *RetryWindow) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	*w.service(service).requests.at(w.slot(now), 0)++
+	*w.countsOf(service).requests.advance(w.slotOf(now), 0)++
 }
 
 // Take spends one repeat if the limits allow it.
 func (w *RetryWindow) Take(now time.Time, service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, slot := w.service(service), w.slot(now)
-	s.requests.at(slot, 0)
-	spent := s.repeats.at(slot, 0)
-	allowed := retrySafety * (w.limits.Ratio*(s.requests.sum()-s.requests.oldest()) + w.allowance(now))
-	if s.repeats.sum()+1 > allowed {
+	s, slot := w.countsOf(service), w.slotOf(now)
+	s.requests.advance(slot, 0)
+	spent := s.retries.advance(slot, 0)
+	allowed := retrySafetyFactor * (w.limits.Ratio*(s.requests.sum()-s.requests.oldest()) + w.allowanceShare(now))
+	if s.retries.sum()+1 > allowed {
 		return false
 	}
 	*spent++
 	return true
 }
 
-// service finds what was counted for a service.
-func (w *RetryWindow) service(name string) *retryService {
+// countsOf finds what was counted for a countsOf.
+func (w *RetryWindow) countsOf(name string) *serviceCounts {
 	s := w.services[name]
 	if s == nil {
-		s = &retryService{}
+		s = &serviceCounts{}
 		w.services[name] = s
 	}
 	return s
--- a/admission/retrywindow_test.go
+++ b/admission/retrywindow_test.go
@@ -9,7 +9,7 @@
 
 // Whatever the times of requests and wishes to repeat at several entries, in no window
 // do all of them together repeat more than the limits allow.
-func TestRetryWindowsOfSeveralEntriesKeepTheLimits(t *testing.T) {
+func TestRetryWindowsOfSeveralEntriesKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := RetryLimits{Ratio: 0.2, Allowance: 20, Window: 10 * time.Second}
 		start := time.Now()
@@ -49,7 +49,7 @@
 // stopped and started again, and spends a part once more; as it leaves, the others share
 // what is left among fewer. Cause: a new life knew nothing of what the one before had spent,
 // and (the next test) a part followed the number of entries at once.
-func TestRetryWindowsKeepTheLimitsAsEntriesAreStartedAgain(t *testing.T) {
+func TestRetryWindowsKeepLimitsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := RetryLimits{Ratio: 0, Allowance: 100, Window: 10 * time.Second}
 		start := time.Now()
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestAPartOfTheRetryAllowanceGrowsAWindowAfterAnEntryLeft(t *testing.T) {
+func TestAllowanceShareGrowsOneWindowAfterEntriesLeave(t *testing.T) {
 	start := time.Now()
 	w := NewRetryWindow(start, RetryLimits{Allowance: 100, Window: 10 * time.Second})
 	w.SetEntries(start, 4)
@@ -125,7 +125,7 @@
 
 // Symptom: no request is repeated for hours, or all are. Sequence: the time of day
 // jumps. Cause, were it there: counting by the time of day.
-func TestARetryWindowForgets(t *testing.T) {
+func TestRetryWindowSlides(t *testing.T) {
 	start := time.Now()
 	w := NewRetryWindow(start, RetryLimits{Ratio: 0, Allowance: 2, Window: time.Second})
 	w.SetEntries(start, 1)
--- a/admission/semaphore.go
+++ b/admission/semaphore.go
@@ -21,8 +21,8 @@
 
 // waiter is a piece of work that waits for a permit.
 type waiter struct {
-	// order is the time by which waiters are sorted, the earliest first.
-	order    time.Time
+	// priority is the time by which waiters are sorted, the earliest first.
+	priority time.Time
 	admitted chan struct{}
 	index    int // in the heap; -1 once it is admitted
 }
@@ -36,7 +36,7 @@
 		s.mu.Unlock()
 		return nil
 	}
-	w := &waiter{order: order, admitted: make(chan struct{})}
+	w := &waiter{priority: order, admitted: make(chan struct{})}
 	heap.Push(&s.waiting, w)
 	s.mu.Unlock()
 	select {
@@ -52,7 +52,7 @@
 	}
 	// The permit came as the work gave up: it goes to the next, or it would be lost and
 	// every later waiter would wait for good.
-	s.pass()
+	s.releaseLocked()
 	return ctx.Err()
 }
 
@@ -60,11 +60,11 @@
 func (s *Semaphore) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pass()
+	s.releaseLocked()
 }
 
-// pass hands one permit to the first waiter.
-func (s *Semaphore) pass() {
+// releaseLocked hands one permit to the first waiter.
+func (s *Semaphore) releaseLocked() {
 	if len(s.waiting) == 0 {
 		s.held--
 		return
@@ -84,7 +84,7 @@
 type waiters []*waiter
 
 func (w waiters) Len() int           { return len(w) }
-func (w waiters) Less(i, j int) bool { return w[i].order.Before(w[j].order) }
+func (w waiters) Less(i, j int) bool { return w[i].priority.Before(w[j].priority) }
 func (w waiters) Swap(i, j int) {
 	w[i], w[j] = w[j], w[i]
 	w[i].index, w[j].index = i, j
--- a/admission/semaphore_test.go
+++ b/admission/semaphore_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestASemaphoreAdmitsInOrder(t *testing.T) {
+func TestSemaphoreAdmitsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewSemaphore(1)
@@ -38,7 +38,7 @@
 
 // Symptom: nothing is admitted any more. Sequence: the permit comes just as the
 // one that waits gives up. Cause, were it there: the permit is lost with it.
-func TestAPermitIsNotLost(t *testing.T) {
+func TestCancelledWaiterPassesPermitOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for range 200 {
