--- a/admission/deferral.go
+++ b/admission/deferral.go
@@ -4,48 +4,51 @@
 
 const (
 	// maxDeferrals bounds the deferrals of one endpoint, and
-	// maxAccountDeferrals those of one account there, so that a flood of one
-	// account's requests does not put all others off. About 100 bytes each.
+	// maxDeferralsPerAccount those of one client account there, so that a flood of
+	// one account's requests does not delay all others. A deferral takes about 100
+	// bytes.
 	maxDeferrals           = 512
 	maxDeferralsPerAccount = 64
-	// deferralGrace is how long after its time a deferral stands: a caller's
-	// way back, and Retry-After in whole seconds.
+	// deferralGrace is how long a deferral stays valid after its due time. It covers
+	// the caller's network latency and the rounding of Retry-After to whole seconds.
 	deferralGrace = 10 * time.Second
-	// retryAfterFactor is the time to come back over the time by which the wait is too
-	// long: with 1, callers would come back to a queue that bursts have filled again, and
-	// be refused once more.
+	// retryAfterFactor multiplies the time by which the estimated wait is too long
+	// to give the Retry-After of a refusal. With 1, callers would return to a queue
+	// that bursts have filled again, and be refused once more.
 	retryAfterFactor = 2
-	// newJobWaitShare is the part of the longest wait that is open to requests without a
-	// deferral. At 1, too little is left for those who come back; at a half,
-	// urgent requests are refused that would have been in time.
+	// newJobWaitShare is the fraction of the longest allowed wait that jobs without a
+	// deferral may use. At 1, too little is left for the jobs that come back; at 0.5,
+	// urgent requests are refused that would have met their deadline.
 	newJobWaitShare = 2.0 / 3
-	// minReturnShare is the least part of the deferred work that is reckoned to come
-	// back.
+	// minReturnShare is the lower bound of the estimated fraction of deferred jobs that
+	// come back.
 	minReturnShare = 0.1
-	// initialReturnShare is the part reckoned before any was due.
+	// initialReturnShare is that estimate before any deferral was due.
 	initialReturnShare = 0.5
-	// returnWeight is the weight of the last deferral in the mean of those that came
-	// back.
+	// returnWeight is the weight of the latest deferral in the moving average of the
+	// fraction that come back.
 	returnWeight = 0.05
 )
 
-// deferrals are the jobs that were refused here and told when to come back.
-// Their work counts as ahead of jobs that ask later, in the part that callers are
-// seen to come back, and a job that comes back when it was told to may wait longer
-// than a new one.
+// deferrals records the jobs that this endpoint refused with a Retry-After. Their
+// prefill counts as ahead of jobs that are offered later, multiplied by the observed
+// fraction of deferred jobs that come back, and a job that comes back at its due time
+// may wait longer than a new one.
 //
-// Without them a caller who obeys Retry-After meets a queue that newer jobs have
-// filled meanwhile, and is refused again: one would see obeying callers succeed no
-// more often than others. They hold no memory and no place in the batch, only an
-// order among those who ask; a replaced agent forgets them, which costs its
-// callers another refusal.
+// Without deferrals, a caller that obeys Retry-After finds a queue that newer jobs
+// have filled in the meantime and is refused again, so that obeying it gains
+// nothing. A deferral holds no KV cache and no batch slot; it only ranks the job
+// among those that ask. An agent that is replaced loses its deferrals, which costs
+// their callers another refusal.
 type deferrals struct {
 	byKey     map[uint64]deferral
 	byAccount map[string]int
-	// returnShare is the mean share of those deferred that come back, see returnWeight.
+	// returnShare is the moving average of the fraction of deferred jobs that come
+	// back, weighted by returnWeight.
 	returnShare float64
 }
 
+// deferral is one refused job, which is expected back at dueAt.
 type deferral struct {
 	account      string
 	dueAt        time.Time
@@ -57,8 +60,8 @@
 	return deferrals{byKey: map[uint64]deferral{}, byAccount: map[string]int{}, returnShare: initialReturnShare}
 }
 
-// waitShare is the part of the longest wait that is waitShare to a job: all of it for one
-// that comes back when it was told to, or later.
+// waitShare returns the fraction of the longest allowed wait that a job may use: 1
+// for a job that comes back at its due time or later, newJobWaitShare for all others.
 func (d *deferrals) waitShare(now time.Time, job *Job) float64 {
 	if own, found := d.byKey[job.DeferralKey]; found && !now.Before(own.dueAt) {
 		return 1
@@ -66,9 +69,9 @@
 	return newJobWaitShare
 }
 
-// add records that a job was told to come back after a wait, and returns the
-// wait: a job that comes too early is told its old time again. False when it gets
-// no deferral.
+// add records that a job is to come back after wait, and returns the time until then.
+// A job that comes back too early keeps its due time. add returns false if the job
+// gets no deferral: it has no key, or there are too many deferrals.
 func (d *deferrals) add(now time.Time, job *Job, wait time.Duration) (time.Duration, bool) {
 	if job.DeferralKey == 0 {
 		return wait, false
@@ -85,14 +88,15 @@
 	return wait, true
 }
 
-// complete ends the deferral of a job that was accepted.
+// complete ends the deferral of a job that was accepted and counts it as one that
+// came back.
 func (d *deferrals) complete(job *Job) {
 	if d.remove(job.DeferralKey) {
 		d.updateReturnShare(1)
 	}
 }
 
-// remove forgets a deferral; false when there is none.
+// remove deletes a deferral and returns whether there was one.
 func (d *deferrals) remove(key uint64) bool {
 	own, found := d.byKey[key]
 	if !found {
@@ -106,15 +110,17 @@
 	return true
 }
 
+// updateReturnShare adds a deferral to the average: 1 if its job came back, else 0.
 func (d *deferrals) updateReturnShare(returned float64) {
 	d.returnShare += returnWeight * (returned - d.returnShare)
 }
 
-// tokensAhead sums the prefill in tokens that goes before a job: the deferrals of its
-// level and of more urgent ones, of a job with a deferral only those before
-// its own. Those whose job did not come back are forgotten.
+// tokensAhead estimates the deferred prefill, in tokens, that goes before a job. It
+// counts the deferrals of the job's level and of more urgent levels; for a job that has
+// a deferral itself, only those that are due before it. Deferrals whose job did not
+// come back in time are removed.
 func (d *deferrals) tokensAhead(now time.Time, job *Job) int {
-	own, holds := d.byKey[job.DeferralKey]
+	own, deferred := d.byKey[job.DeferralKey]
 	sum := 0
 	for key, other := range d.byKey {
 		if now.Sub(other.dueAt) > deferralGrace {
@@ -122,7 +128,7 @@
 			d.updateReturnShare(0)
 			continue
 		}
-		if key == job.DeferralKey || other.level > job.level() || holds && !other.dueAt.Before(own.dueAt) {
+		if key == job.DeferralKey || other.level > job.level() || deferred && !other.dueAt.Before(own.dueAt) {
 			continue
 		}
 		sum += other.promptTokens
--- a/admission/deferral_test.go
+++ b/admission/deferral_test.go
@@ -10,8 +10,8 @@
 	"aspenyard.example/result"
 )
 
-// queueWithBacklog has a backlog that keeps normal work waiting for the given time; new
-// work may wait 20 s, work with a deferral 30.
+// queueWithBacklog returns a queue whose backlog makes normal jobs wait for the given
+// time. New normal jobs may wait 20 s, those with a deferral 30 s.
 func queueWithBacklog(wait time.Duration) *Queue {
 	maxWait := [classCount]time.Duration{10 * time.Second, 30 * time.Second, time.Minute}
 	q := NewQueue(Config{MaxRunning: 8, MemoryTokens: 400_000, PrefillRate: 10_000, MaxWait: maxWait})
@@ -23,9 +23,8 @@
 	return Job{ID: key, DeferralKey: key, Account: "a", Class: Normal, PromptTokens: 1000}
 }
 
-// Symptom: a caller that obeys Retry-After is refused again and again. Sequence:
-// it is refused; others ask until it comes back; the queue is as long as before.
-// Cause: nothing told the one who had waited from those who had not.
+// Guards against a caller that obeys Retry-After and is refused again and again, because
+// newer jobs fill the queue until it comes back and it is treated like them.
 func TestDeferredJobGoesBeforeNewJobs(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
@@ -36,7 +35,7 @@
 	newer := withDeadline(normalJob(2))
 	is.Equal(q.Offer(at, newer).Code, result.Overloaded)
 	is.True(q.Offer(at, withDeadline(normalJob(1))).Accepted)
-	is.Equal(len(q.deferrals.byKey), 1) // the newer one's
+	is.Equal(len(q.deferrals.byKey), 1) // the newer job's
 }
 
 func withDeadline(job Job) Job {
@@ -47,25 +46,25 @@
 func TestJobWithoutKeyIsNotDeferred(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
-	verdict := q.Offer(testStart, withDeadline(normalJob(0)))
-	is.True(verdict.RetryAfter > 0)
-	is.True(!verdict.Deferred)
+	decision := q.Offer(testStart, withDeadline(normalJob(0)))
+	is.True(decision.RetryAfter > 0)
+	is.True(!decision.Deferred)
 	is.Equal(len(q.deferrals.byKey), 0)
 }
 
-// Symptom: work that can never end in time puts others off. Cause, were it there:
-// it was told to come back like work that only has to wait.
+// Guards against a deferral, which delays other jobs, for a job that can never meet its
+// deadline.
 func TestUnmeetableDeadlineIsNotDeferred(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
-	verdict := q.Offer(testStart, Job{ID: 1, DeferralKey: 1, Account: "a", PromptTokens: 1000, OutputTokens: 2000, Deadline: testStart.Add(time.Second)})
-	is.Equal(verdict.Code, result.DeadlineUnmeetable)
-	is.True(!verdict.Deferred)
+	decision := q.Offer(testStart, Job{ID: 1, DeferralKey: 1, Account: "a", PromptTokens: 1000, OutputTokens: 2000, Deadline: testStart.Add(time.Second)})
+	is.Equal(decision.Code, result.DeadlineUnmeetable)
+	is.True(!decision.Deferred)
 	is.Equal(len(q.deferrals.byKey), 0)
 }
 
-// Symptom: a caller that asks every second is never served. Cause, were it there:
-// each early call put its time off.
+// Guards against a caller that retries every second and is never served, because each
+// early retry moves its due time back.
 func TestEarlyReturnKeepsRetryTime(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
@@ -75,8 +74,9 @@
 	is.Equal(early.RetryAfter, first.RetryAfter-time.Second)
 }
 
-// Symptom: urgent work that would end in time is refused at an idle engine. Cause:
-// the part kept for deferrals was taken from the work's own duration too.
+// Guards against refusing an urgent job at an idle engine where it would meet its
+// deadline: the share kept for deferred jobs must reduce the allowed wait only, not the
+// time for the job itself.
 func TestDeferralShareAppliesToWaitOnly(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
@@ -88,18 +88,19 @@
 func TestDeferralsCountAsAheadUntilExpiry(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
-	verdict := q.Offer(testStart, withDeadline(normalJob(1)))
+	decision := q.Offer(testStart, withDeadline(normalJob(1)))
 	newer := withDeadline(normalJob(2))
 	is.Equal(q.deferrals.tokensAhead(testStart, &newer), int(1000*initialReturnShare))
 	urgent := Job{Account: "b", Class: Urgent, PromptTokens: 1000}
 	is.Equal(q.deferrals.tokensAhead(testStart, &urgent), 0)
-	late := testStart.Add(verdict.RetryAfter + deferralGrace + time.Millisecond)
-	is.Equal(q.deferrals.tokensAhead(late, &newer), 0)
+	expired := testStart.Add(decision.RetryAfter + deferralGrace + time.Millisecond)
+	is.Equal(q.deferrals.tokensAhead(expired, &newer), 0)
 	is.True(q.deferrals.returnShare < initialReturnShare)
 	is.Equal(len(q.deferrals.byAccount), 0)
 }
 
-// Symptom: one account's flood of refused requests puts all others off.
+// Guards against one account's flood of refused requests that delays all other accounts,
+// and against memory that grows with the refusals.
 func TestDeferralsAreBounded(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,39 +7,44 @@
 	"aspenyard.example/result"
 )
 
-// Config holds the bounds of one endpoint's queue.
+// Config configures the queue of one endpoint. WithDefaults gives the defaults.
 type Config struct {
-	// MaxRunning bounds the work started at once; the engine's batch size.
+	// MaxRunning bounds the jobs that run at once: the engine's batch size. Default 1.
 	MaxRunning int
 	// MemoryTokens is the engine's KV cache in tokens; 0 for a plain service.
 	MemoryTokens int
-	// PrefillRate is tokens a second of prefill; 0 for a plain service.
+	// PrefillRate is the engine's prefill rate in tokens per second; 0 for a plain
+	// service.
 	PrefillRate int
-	// DecodeRate is the output tokens a second of one sequence in a full batch;
-	// default 40. Lower refuses more work as too late for its deadline.
+	// DecodeRate is the output rate of one sequence in a full batch, in tokens per
+	// second; default 40. A lower rate refuses more jobs as too late for their
+	// deadline.
 	DecodeRate int
 	// MaxLongRunning bounds the prompts over LongTokens that run at once; default
-	// 2. More keeps memory from short prompts; fewer makes long ones queue.
+	// 2. More of them leave less KV cache to short prompts; fewer make long prompts
+	// wait.
 	MaxLongRunning int
-	// MaxPrefilling bounds the jobs that are started and not yet prefilled; default 4.
-	// More lets the engine's own order decide and takes batch places and memory
-	// from short prompts; fewer may leave the engine without prefill to do. A job
-	// that would go first at the engine is not bounded.
+	// MaxPrefilling bounds the jobs that have started and are not yet prefilled;
+	// default 4. More of them leave the order to the engine and take batch slots and
+	// KV cache from short prompts; fewer may leave the engine without prefill to do.
+	// Only jobs of the same or more urgent levels count, so that a job that the engine
+	// would prefill first is not held back.
 	MaxPrefilling int
-	// AgingDelay is how long work of each class may wait before it goes ahead of
-	// newer work of more urgent classes; defaults 0s, 1s, 10s.
+	// AgingDelay is how long jobs of each class may wait before they go ahead of newer
+	// jobs of more urgent classes; defaults 0s, 1s, 10s.
 	AgingDelay [classCount]time.Duration
-	// MaxWait refuses work whose estimated wait exceeds it, by class; defaults
-	// 10s, 15s, 30s. Shorter refuses earlier and keeps the admitted work faster:
-	// at 10s, 30s, 5m a lasting overload of 1.3 kept long prompts waiting four times
-	// as long, and a tenth more of the bulk work was done at its first asking.
+	// MaxWait is the longest estimated wait, by class, with which a job is accepted;
+	// defaults 10s, 15s, 30s. Shorter waits refuse earlier and keep accepted jobs
+	// faster: with 10s, 30s, 5m, a sustained load of 1.3 times the capacity made long
+	// prompts wait four times as long, while a tenth more of the bulk jobs was accepted
+	// at the first attempt.
 	MaxWait [classCount]time.Duration
-	// ShortPromptReserve is the share of memory that long prompts may not take;
-	// default 0.2.
+	// ShortPromptReserve is the fraction of the KV cache that is kept free of long
+	// prompts; default 0.2.
 	ShortPromptReserve float64
 }
 
-// WithDefaults fills the fields left at zero.
+// WithDefaults returns the config with the defaults in place of fields that are zero.
 func (c Config) WithDefaults() Config {
 	if c.MaxRunning == 0 {
 		c.MaxRunning = 1
@@ -65,57 +70,59 @@
 	return c
 }
 
-// MaxPromptTokens is the largest prompt with its output that one endpoint takes
-// alone, in tokens: its memory less the short prompts' reserve.
+// MaxPromptTokens returns the largest sum of prompt and output, in tokens, that one
+// endpoint accepts: its KV cache without ShortPromptReserve.
 func (c Config) MaxPromptTokens() int {
 	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
-// Job is work that asks to start.
+// Job is a request that asks for a place at the endpoint.
 type Job struct {
 	// ID is the reservation's number.
 	ID uint64
-	// DeferralKey is the same whenever this request comes back to this endpoint; 0: a
-	// refusal makes no deferral, and none is known.
+	// DeferralKey is the same whenever this request comes back to this endpoint. With 0
+	// the job gets no deferral.
 	DeferralKey uint64
 	Account     string
 	Class       Class
-	// PromptTokens and OutputTokens size the job; both are held as memory.
+	// PromptTokens and OutputTokens are the job's size. A running job holds KV cache
+	// for both.
 	PromptTokens, OutputTokens int
 	Deadline                   time.Time
 
 	arrived   time.Time
-	startBy   time.Time
-	ready     bool
+	startBy   time.Time // see assignStartBy
+	ready     bool      // its run request has arrived
 	running   bool
-	prefilled bool // prefill done
+	prefilled bool
 }
 
 func (j *Job) memory() int  { return j.PromptTokens + j.OutputTokens }
 func (j *Job) long() bool   { return Band(j.PromptTokens) == bandCount-1 }
 func (j *Job) level() Level { return LevelOf(j.Class, j.PromptTokens) }
 
-// Decision answers an offer.
+// Decision is the answer to an offered job.
 type Decision struct {
 	Accepted bool
-	// Wait is the estimated time until the work starts.
+	// Wait is the estimated time until an accepted job starts.
 	Wait time.Duration
-	// Code and RetryAfter are set when Accepted is false.
+	// Code and RetryAfter are set if Accepted is false. RetryAfter is 0 if the job can
+	// never be accepted.
 	Code       result.Code
 	RetryAfter time.Duration
-	// Deferred is set when the job will go before later ones if it comes back
-	// here after RetryAfter.
+	// Deferred is set if the refused job goes before later ones when it comes back to
+	// this endpoint after RetryAfter.
 	Deferred bool
 }
 
-// Queue orders one endpoint's work. Not safe for concurrent use: it belongs to
-// the control loop.
+// Queue decides which jobs one endpoint accepts and in which order they start. It is
+// not safe for concurrent use: it belongs to the agent's control thread.
 type Queue struct {
 	config Config
-	// slots is what the power grant allows of MaxRunning.
+	// slots is how many of the MaxRunning slots the power grant allows.
 	slots       int
 	jobs        map[uint64]*Job
-	waiting     []*Job // by target
+	waiting     []*Job // by startBy
 	running     int
 	longRunning int
 	heldTokens  int
@@ -127,35 +134,35 @@
 	closed      bool
 }
 
-// accountState is what fair queueing remembers of a client accountState.
+// accountState is the fair queueing state of a client account.
 type accountState struct {
-	// nextArrival is when the account's nextArrival job counts as arrived: each job moves it
-	// on by its cost times the accounts that share the endpoint, so that one
-	// account's flood queues behind itself.
+	// nextArrival is the virtual arrival time of the account's next job. Each job
+	// advances it by its cost times the number of accounts that share the endpoint, so
+	// that a flood of one account's jobs queues behind itself.
 	nextArrival time.Time
 	jobs        int
 }
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue with all slots of the config allowed.
 func NewQueue(config Config) *Queue {
 	config = config.WithDefaults()
 	return &Queue{config: config, slots: config.MaxRunning, jobs: map[uint64]*Job{}, prefilling: map[uint64]*Job{}, accounts: map[string]*accountState{}, deferrals: newDeferrals()}
 }
 
-// SetSlots bounds the work started at once to what the power grant allows.
-// Running work is not stopped.
+// SetSlots bounds the jobs that run at once to what the power grant allows. Running
+// jobs are not stopped.
 func (q *Queue) SetSlots(slots int) {
 	q.slots = max(0, min(slots, q.config.MaxRunning))
 }
 
-// SetClosed refuses all further offers while the endpoint is leaving.
+// SetClosed sets whether all offers are refused, as while the endpoint is leaving.
 func (q *Queue) SetClosed(closed bool) { q.closed = closed }
 
-// minRetryAfter keeps refused callers from asking again at once.
+// minRetryAfter keeps refused callers from retrying at once.
 const minRetryAfter = 200 * time.Millisecond
 
-// Offer accepts a job into the queue or refuses it with a code and with when
-// to come back. An accepted job waits for Arm.
+// Offer accepts a job into the queue, or refuses it with a code and the time to come
+// back. An accepted job does not start before MarkReady.
 func (q *Queue) Offer(now time.Time, job Job) Decision {
 	if refusal := q.check(now, &job); refusal != nil {
 		return *refusal
@@ -171,8 +178,9 @@
 	return Decision{Accepted: true, Wait: q.estimateWait(now, job.level(), 0)}
 }
 
-// check refuses a job that may not wait or would end too late; nil accepts it. One
-// that would be too late at an idle endpoint is not deferred: waiting does not help.
+// check returns nil for a job that may be accepted, or its refusal: it would wait too
+// long or miss its deadline. A job that would miss its deadline at an idle endpoint too
+// gets no deferral, because waiting does not help it.
 func (q *Queue) check(now time.Time, job *Job) *Decision {
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
@@ -184,31 +192,31 @@
 		return &Decision{Code: result.NoPower, RetryAfter: time.Second}
 	}
 	wait := q.estimateWait(now, job.level(), q.deferrals.tokensAhead(now, job))
-	open := q.deferrals.waitShare(now, job)
-	if over := wait - scale(open, q.config.MaxWait[job.Class]); over > 0 {
-		return q.refuseWithRetry(now, job, result.Overloaded, over)
+	waitShare := q.deferrals.waitShare(now, job)
+	if excess := wait - scale(waitShare, q.config.MaxWait[job.Class]); excess > 0 {
+		return q.refuseWithRetry(now, job, result.Overloaded, excess)
 	}
-	spare := job.Deadline.Sub(now) - q.estimateDuration(now, job)
-	if spare < 0 {
+	slack := job.Deadline.Sub(now) - q.estimateDuration(now, job)
+	if slack < 0 {
 		return &Decision{Code: result.DeadlineUnmeetable, RetryAfter: max(minRetryAfter, wait)}
 	}
-	if over := wait - scale(open, spare); over > 0 {
-		return q.refuseWithRetry(now, job, result.DeadlineUnmeetable, over)
+	if excess := wait - scale(waitShare, slack); excess > 0 {
+		return q.refuseWithRetry(now, job, result.DeadlineUnmeetable, excess)
 	}
 	return nil
 }
 
-// refuseWithRetry refuses a job whose wait is over what it may be, and says when it no
-// longer will be.
-func (q *Queue) refuseWithRetry(now time.Time, job *Job, code result.Code, over time.Duration) *Decision {
-	after, held := q.deferrals.add(now, job, max(minRetryAfter, scale(retryAfterFactor, over)))
-	return &Decision{Code: code, RetryAfter: after, Deferred: held}
+// refuseWithRetry refuses a job whose wait exceeds what it may be by excess, gives it a
+// deferral if possible, and says when to come back.
+func (q *Queue) refuseWithRetry(now time.Time, job *Job, code result.Code, excess time.Duration) *Decision {
+	after, deferred := q.deferrals.add(now, job, max(minRetryAfter, scale(retryAfterFactor, excess)))
+	return &Decision{Code: code, RetryAfter: after, Deferred: deferred}
 }
 
-// estimateWait estimates the time until new work of a level starts its prefill: the
-// backlog that goes before it, at the rate that the work which will come
-// meanwhile and go before it too leaves over. ahead is prefill in tokens that goes
-// before it too and is not in the queue.
+// estimateWait estimates the time until the prefill of a new job of a level starts: the
+// backlog that goes before it, divided by the prefill rate that more urgent arrivals
+// leave to the level. ahead is further prefill, in tokens, that goes before it and is
+// not in the queue.
 func (q *Queue) estimateWait(now time.Time, level Level, ahead int) time.Duration {
 	if q.config.PrefillRate == 0 {
 		return 0
@@ -216,7 +224,7 @@
 	return seconds(float64(q.backlog.UpTo(level)+ahead) / q.prefillRate(now, level))
 }
 
-// estimateDuration estimates how long a job takes once it starts.
+// estimateDuration estimates how long a job takes from its start to its end.
 func (q *Queue) estimateDuration(now time.Time, job *Job) time.Duration {
 	if q.config.PrefillRate == 0 {
 		return 0
@@ -225,18 +233,20 @@
 	return seconds(prefill + float64(job.OutputTokens)/float64(q.config.DecodeRate))
 }
 
-// minRateShare is the least part of the prefill rate that a level is reckoned to
-// get: below it, an estimate would only say "never".
+// minRateShare is the least fraction of the prefill rate that a level is estimated to
+// get. Without this bound, the estimated wait could become infinite.
 const minRateShare = 0.05
 
-// prefillRate is the prefill prefillRate, in tokens a second, that is left for a level.
+// prefillRate returns the prefill rate, in tokens per second, that more urgent arrivals
+// leave to a level.
 func (q *Queue) prefillRate(now time.Time, level Level) float64 {
 	full := float64(q.config.PrefillRate)
 	return max(full*minRateShare, full-q.arrivals.moreUrgentThan(now, level))
 }
 
-// assignStartBy gives the time by which a job should start: the earliest goes first,
-// so that every job's turn comes as it ages.
+// assignStartBy returns the time by which a job should start, and advances its account's
+// virtual arrival time. Jobs start in the order of these times, so that a job cannot
+// starve as it ages.
 func (q *Queue) assignStartBy(now time.Time, job *Job) time.Time {
 	a := q.accounts[job.Account]
 	if a == nil {
@@ -263,18 +273,18 @@
 	q.waiting[at] = job
 }
 
-// MarkReady tells that a job's order has arrived, so that it may start.
+// MarkReady records that a job's run request has arrived, so that it may start.
 func (q *Queue) MarkReady(id uint64) {
 	if job := q.jobs[id]; job != nil {
 		job.ready = true
 	}
 }
 
-// StartNext takes the next job that may start now; false when none may. Jobs whose
-// order has not come are passed over. While the job whose turn it is does not
-// fit the free memory, only short and urgent prompts go past it: else a flow of
-// middling ones would take each piece of memory as it is freed, and the job never
-// fits.
+// StartNext marks the next job that may start now as running and returns its ID, or
+// false if there is none. Jobs whose run request has not arrived are skipped. While the
+// job whose turn it is does not fit into the free KV cache, only short prompts and
+// urgent ones may pass it: a stream of medium-sized prompts would otherwise take all
+// memory as it is freed, and the job would never fit.
 func (q *Queue) StartNext() (uint64, bool) {
 	if q.running >= q.slots {
 		return 0, false
@@ -307,21 +317,23 @@
 	return 0, false
 }
 
-// prefillsSoon tells whether the engine would come to a job's prefill soon. Work
-// started earlier than that only takes places and memory while it waits.
+// prefillsSoon returns whether fewer than MaxPrefilling running jobs go before a job at
+// the engine. A job that starts earlier only holds a slot and KV cache while it waits.
 func (q *Queue) prefillsSoon(job *Job) bool {
 	if q.config.PrefillRate == 0 {
 		return true
 	}
-	filling := 0
+	before := 0
 	for _, other := range q.prefilling {
 		if other.level() <= job.level() {
-			filling++
+			before++
 		}
 	}
-	return filling < q.config.MaxPrefilling
+	return before < q.config.MaxPrefilling
 }
 
+// fits returns whether a job fits into the free KV cache, and a long one into the bounds
+// for long prompts.
 func (q *Queue) fits(job *Job) bool {
 	if q.config.MemoryTokens == 0 {
 		return true
@@ -332,7 +344,7 @@
 	return q.heldTokens+job.memory() <= q.config.MemoryTokens
 }
 
-// MarkPrefilled tells that a running job's prefill is done.
+// MarkPrefilled records that a running job's prefill is done.
 func (q *Queue) MarkPrefilled(id uint64) {
 	if job := q.jobs[id]; job != nil && !job.prefilled {
 		job.prefilled = true
@@ -341,7 +353,7 @@
 	}
 }
 
-// Remove ends a job, running or waiting.
+// Remove deletes a job, running or waiting, and frees what it holds.
 func (q *Queue) Remove(id uint64) {
 	job := q.jobs[id]
 	if job == nil {
@@ -374,7 +386,7 @@
 	}
 }
 
-// Waiting lists the jobs not yet started, in their order.
+// Waiting returns the IDs of the jobs that have not started, in starting order.
 func (q *Queue) Waiting() []uint64 {
 	ids := make([]uint64, 0, len(q.waiting))
 	for _, job := range q.waiting {
@@ -383,13 +395,14 @@
 	return ids
 }
 
-// LoadReport is a queue's load.
+// LoadReport is the load of a queue: running and queued jobs, free KV cache and prefill
+// backlog in tokens.
 type LoadReport struct {
 	Running, Queued, FreeMemoryTokens int
 	Backlog                           Backlog
 }
 
-// Report tells the queue's load.
+// Report returns the queue's present load.
 func (q *Queue) Report() LoadReport {
 	return LoadReport{
 		Running: q.running, Queued: len(q.waiting),
@@ -397,13 +410,13 @@
 	}
 }
 
-// SlotDemand is how many slots the present work could use.
+// SlotDemand returns how many slots the running and waiting jobs could use.
 func (q *Queue) SlotDemand() int {
 	return min(q.config.MaxRunning, q.running+len(q.waiting))
 }
 
-func scale(share float64, of time.Duration) time.Duration {
-	return time.Duration(share * float64(of))
+func scale(factor float64, d time.Duration) time.Duration {
+	return time.Duration(factor * float64(d))
 }
 
 func seconds(s float64) time.Duration {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	q := testQueue()
 	q.SetSlots(0)
-	q.running = 1 // busy, so that offers are not refused for want of power
+	q.running = 1 // with no slots and no running job, offers would be refused with NoPower
 	offer(q, 1, Job{Account: "a", Class: Bulk, PromptTokens: 50_000})
 	offer(q, 2, Job{Account: "b", Class: Urgent, PromptTokens: 1000})
 	q.running = 0
@@ -58,8 +58,8 @@
 	is.Equal(startAll(q), []uint64{2})
 }
 
-// Symptom: a long prompt never starts. Sequence: shorter prompts keep arriving,
-// each more urgent than it. Cause, were it there: ordering by class alone.
+// Guards against a long prompt that never starts while more urgent, shorter ones keep
+// arriving, as with an order by class alone.
 func TestAgedBulkJobGoesBeforeNewUrgentJob(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
@@ -90,10 +90,10 @@
 			is := is.New(t)
 			q := testQueue()
 			c.prepare(q)
-			verdict := offer(q, 1000, c.job)
-			is.True(!verdict.Accepted)
-			is.Equal(verdict.Code, c.code)
-			is.True(verdict.RetryAfter > 0 || c.code == result.PromptTooLong) // a refusal says when to come back
+			decision := offer(q, 1000, c.job)
+			is.True(!decision.Accepted)
+			is.Equal(decision.Code, c.code)
+			is.True(decision.RetryAfter > 0 || c.code == result.PromptTooLong) // a refusal says when to retry
 		})
 	}
 }
@@ -104,8 +104,8 @@
 	}
 }
 
-// Symptom: one account's flood makes the others wait. Cause, were it there: first
-// come first served over all accounts.
+// Guards against one account's flood of jobs that delays the other accounts, as with an
+// order of arrival over all accounts.
 func TestAccountFloodDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
@@ -113,17 +113,17 @@
 		offer(q, uint64(i+1), Job{Account: "large", Class: Normal, PromptTokens: 10_000})
 	}
 	offer(q, 100, Job{Account: "small", Class: Normal, PromptTokens: 10_000})
-	place := 0
+	position := 0
 	for i, id := range q.Waiting() {
 		if id == 100 {
-			place = i
+			position = i
 		}
 	}
-	is.True(place <= 2) // the small account's first job goes before the flood's tail
+	is.True(position <= 2) // the small account's first job goes before most of the flood
 }
 
-// Symptom: urgent requests late without a first token, while a long prompt waits
-// for memory. Cause: the long prompt held back all but short work.
+// Guards against urgent requests that miss their deadline without a first token because a
+// long prompt that waits for KV cache holds back all but short prompts.
 func TestUrgentJobPassesLongPromptThatWaitsForMemory(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
@@ -140,12 +140,12 @@
 	is.True(len(started) > 0 && started[0] == 10)
 }
 
-// TestAccountingAgainstModel drives offers, starts, ends and power limits at
-// random: memory and slots are never over-committed, and all is free at the end.
+// TestAccountingAgainstModel runs random offers, starts, ends and power limits. KV cache
+// and slots are never overcommitted, and the backlog is 0 without jobs.
 func TestAccountingAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := testQueue()
-		live := map[uint64]int{} // running jobs' memory
+		running := map[uint64]int{} // KV cache of the running jobs
 		waiting := map[uint64]int{}
 		next, slots := uint64(0), 8
 		t.Repeat(map[string]func(*rapid.T){
@@ -158,16 +158,16 @@
 					waiting[next] = tokens
 				}
 			},
-			"arm": func(t *rapid.T) { q.MarkReady(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
+			"mark ready": func(t *rapid.T) { q.MarkReady(rapid.Uint64Range(0, next+1).Draw(t, "id")) },
 			"start": func(t *rapid.T) {
 				if id, found := q.StartNext(); found {
 					if _, known := waiting[id]; !known {
-						t.Fatalf("started %d, which does not wait", id)
+						t.Fatalf("started job %d, which is not waiting", id)
 					}
-					live[id] = waiting[id]
+					running[id] = waiting[id]
 					delete(waiting, id)
-					if len(live) > slots {
-						t.Fatalf("%d run with %d slots", len(live), slots)
+					if len(running) > slots {
+						t.Fatalf("%d jobs run with %d slots", len(running), slots)
 					}
 				}
 			},
@@ -175,24 +175,24 @@
 			"remove": func(t *rapid.T) {
 				id := rapid.Uint64Range(0, next+1).Draw(t, "id")
 				q.Remove(id)
-				delete(live, id)
+				delete(running, id)
 				delete(waiting, id)
 			},
 			"slots": func(t *rapid.T) {
-				slots = rapid.IntRange(len(live), 8).Draw(t, "slots")
+				slots = rapid.IntRange(len(running), 8).Draw(t, "slots")
 				q.SetSlots(slots)
 			},
 			"": func(t *rapid.T) {
 				held := 0
-				for _, tokens := range live {
+				for _, tokens := range running {
 					held += tokens
 				}
 				report := q.Report()
-				if held > 400_000 || report.FreeMemoryTokens != 400_000-held || report.Running != len(live) || report.Queued != len(waiting) {
-					t.Fatalf("held %d, %d running, %d waiting; the queue says %+v", held, len(live), len(waiting), report)
+				if held > 400_000 || report.FreeMemoryTokens != 400_000-held || report.Running != len(running) || report.Queued != len(waiting) {
+					t.Fatalf("%d tokens held, %d jobs running, %d waiting, but the queue reports %+v", held, len(running), len(waiting), report)
 				}
-				if len(live)+len(waiting) == 0 && report.Backlog.Total() != 0 {
-					t.Fatalf("a backlog of %d without work", report.Backlog.Total())
+				if len(running)+len(waiting) == 0 && report.Backlog.Total() != 0 {
+					t.Fatalf("a backlog of %d tokens without jobs", report.Backlog.Total())
 				}
 			},
 		})
