--- a/admission/retrywindow.go
+++ b/admission/retrywindow.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// RetryLimits bound what all entries together send again to the endpoints of a
-// service: in any window at most Ratio of its requests plus Allowance.
+// RetryLimits bound the retries that all entries together send to the endpoints of a
+// service: in any Window at most Ratio times its requests, plus Allowance.
 type RetryLimits struct {
 	Ratio, Allowance float64
 	Window           time.Duration
 }
 
-// RetryWindow keeps one entry's part of the limits. Entries do not tell each other
-// what they repeat: each takes the ratio of its own requests, and of the allowance the
-// part that falls to it by the number of entries. So the sum over all entries keeps
-// the limits without a message between them. Safe for concurrent use.
+// RetryWindow enforces one entry's share of the retry limits over a sliding window. Each
+// entry may use the ratio of its own requests and an equal share of the allowance, so
+// that all entries together keep the limits without telling each other about their
+// retries. It is safe for concurrent use.
 //
-// Entries come and go: what one that ended has repeated still counts for a window, at the
-// others and at its own next life. So a part grows only a window after their number fell,
-// and is small in the first window of a life.
+// The retries of an entry that ended still count for a window, and the other entries and
+// its own next incarnation do not know them. Therefore a share of the allowance grows
+// only one window after the number of entries has fallen, and is small in the first
+// window of an incarnation.
 type RetryWindow struct {
 	mu sync.Mutex
-	// origin makes times into numbers; both have a monotonic reading, so that a jump
-	// of the time of day neither empties nor freezes the window.
+	// origin is the start of slot 0. Like the times that are passed in, it has a
+	// monotonic reading, so that a jump of the wall clock neither empties nor freezes the
+	// window.
 	origin   time.Time
 	limits   RetryLimits
 	entries  entryCounts
@@ -32,20 +34,22 @@
 }
 
 const (
-	// windowSlots is how many parts a window is counted in; it slides by one part.
+	// windowSlots is the number of slots in a window, which slides by one slot.
 	windowSlots = 10
-	// keptSlots are counted of what a limit holds for: the present part has only begun, so
-	// that without one more the counts would be of less than a window.
+	// keptSlots is the number of slots that are kept. The current slot has only begun, so
+	// that without one more slot the counts would cover less than a window.
 	keptSlots = windowSlots + 1
 )
 
-// slotRing is a number for each part of a window. The zero value has the number 0 for all.
+// slotRing is a ring buffer with one value for each slot of a window. In the zero value
+// all are 0.
 type slotRing struct {
 	current int64
 	slots   [keptSlots]float64
 }
 
-// advance moves on to a part, fills those that begin with a number, and gives the present one.
+// advance moves on to a slot, sets each slot that begins to fill, and returns the current
+// slot's value.
 func (r *slotRing) advance(slot int64, fill float64) *float64 {
 	for r.current = max(r.current, slot-keptSlots); r.current < slot; {
 		r.current++
@@ -62,27 +66,28 @@
 	return sum
 }
 
-// oldest is the number of the part that is not all in the window any more.
+// oldest returns the value of the slot that is no longer wholly inside the window.
 func (r *slotRing) oldest() float64 { return r.slots[(r.current+1)%keptSlots] }
 
-// serviceCounts is what was counted for a service.
+// serviceCounts counts the requests and the retries of a service.
 type serviceCounts struct{ requests, retries slotRing }
 
-// entryCounts keeps the greatest number of entries in each part of a window. None is known
-// at first.
+// entryCounts keeps the largest number of entries in each slot of a window. The numbers
+// are 0 until one is set.
 type entryCounts struct {
 	current float64
 	maxima  slotRing
 }
 
-// set tells how many there are from now on.
+// set sets the number of entries from the given slot on.
 func (c *entryCounts) set(slot int64, n int) {
-	here := c.maxima.advance(slot, c.current)
+	maximum := c.maxima.advance(slot, c.current)
 	c.current = float64(n)
-	*here = max(*here, c.current)
+	*maximum = max(*maximum, c.current)
 }
 
-// maximum is the maximum number in the window.
+// maximum returns the largest number of entries in the window, or assumedEntries if none
+// was set.
 func (c *entryCounts) maximum(slot int64) float64 {
 	c.maxima.advance(slot, c.current)
 	if n := slices.Max(c.maxima.slots[:]); n > 0 {
@@ -92,75 +97,79 @@
 }
 
 const (
-	// assumedEntries is how many entries there are taken to be until one knows.
+	// assumedEntries is the assumed number of entries while the true one is not known.
 	assumedEntries = 32
-	// retrySafetyFactor is the part of the limits that is used: entries that start know late
-	// how many there are, and what one spent before it was started again is not known.
+	// retrySafetyFactor is the fraction of the limits that is used. The margin covers
+	// that entries learn their number late after a start, and that the retries of an
+	// entry before its restart are not known.
 	retrySafetyFactor = 0.8
-	// firstWindowShare is how much of its part of the allowance an entry takes in the first window
-	// of its life: with retrySafety, entries that had spent all before they were started
-	// again, once in a window, stay within the limits. Not nothing, so that an engine that is
-	// gone costs the first callers of a new life no answer.
+	// firstWindowShare is the fraction of its share of the allowance that an entry may use
+	// in the first window of an incarnation. Together with retrySafetyFactor it keeps the
+	// limits when entries that have used their whole share restart once in a window. It
+	// is not 0, so that a lost engine does not fail the first callers of a new
+	// incarnation.
 	firstWindowShare = 0.2
 )
 
-// NewRetryWindow makes an empty window.
+// NewRetryWindow returns the window of an entry that starts at now, without requests or
+// retries. now must have a monotonic clock reading.
 func NewRetryWindow(now time.Time, limits RetryLimits) *RetryWindow {
 	return &RetryWindow{origin: now, limits: limits, services: map[string]*serviceCounts{}}
 }
 
-// SetLimits changes the limits.
+// SetLimits replaces the limits; what was counted stays.
 func (w *RetryWindow) SetLimits(limits RetryLimits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits = limits
 }
 
-// SetEntries tells how many entries share the limits, those that are leaving included: they
-// still repeat what they have.
+// SetEntries sets how many entries share the limits. Entries that are leaving count too,
+// because they still retry the requests that they have in flight.
 func (w *RetryWindow) SetEntries(now time.Time, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.entries.set(w.slotOf(now), max(n, 1))
 }
 
-// slotOf is the part of a window that a time lies in.
+// slotOf returns the number of the slot that a time lies in.
 func (w *RetryWindow) slotOf(now time.Time) int64 {
 	return int64(now.Sub(w.origin) / (w.limits.Window / windowSlots))
 }
 
-// allowanceShare is this entry's part of what may be repeated besides the ratio.
+// allowanceShare returns this entry's share of the allowance, in retries per window.
 func (w *RetryWindow) allowanceShare(now time.Time) float64 {
-	part := w.limits.Allowance / w.entries.maximum(w.slotOf(now))
+	share := w.limits.Allowance / w.entries.maximum(w.slotOf(now))
 	if now.Sub(w.origin) < w.limits.Window {
-		part *= firstWindowShare
+		share *= firstWindowShare
 	}
-	return part
+	return share
 }
 
-// RecordRequest counts a caller's request for a service.
+// RecordRequest counts a caller's request for a service. Retries are not counted here.
 func (w *RetryWindow) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*w.countsOf(service).requests.advance(w.slotOf(now), 0)++
 }
 
-// Take spends one repeat if the limits allow it.
+// Take counts one retry for a service and returns true if this entry's share of the
+// limits allows it.
 func (w *RetryWindow) Take(now time.Time, service string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s, slot := w.countsOf(service), w.slotOf(now)
 	s.requests.advance(slot, 0)
-	spent := s.retries.advance(slot, 0)
+	used := s.retries.advance(slot, 0)
 	allowed := retrySafetyFactor * (w.limits.Ratio*(s.requests.sum()-s.requests.oldest()) + w.allowanceShare(now))
 	if s.retries.sum()+1 > allowed {
 		return false
 	}
-	*spent++
+	*used++
 	return true
 }
 
-// countsOf finds what was counted for a countsOf.
+// countsOf returns the counts of a service; new ones are 0.
 func (w *RetryWindow) countsOf(name string) *serviceCounts {
 	s := w.services[name]
 	if s == nil {
--- a/admission/retrywindow_test.go
+++ b/admission/retrywindow_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the times of requests and wishes to repeat at several entries, in no window
-// do all of them together repeat more than the limits allow.
+// Checks with requests and retries at random times at several entries that in no window
+// all entries together retry more than the limits allow.
 func TestRetryWindowsOfSeveralEntriesKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := RetryLimits{Ratio: 0.2, Allowance: 20, Window: 10 * time.Second}
@@ -19,7 +19,7 @@
 			windows[i] = NewRetryWindow(start, limits)
 			windows[i].SetEntries(start, entries)
 		}
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
@@ -30,60 +30,60 @@
 				continue
 			}
 			if w.Take(start.Add(now), "s") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			// The requests of a window and of half a window before it count.
-			asked := count(requests, end-limits.Window-limits.Window/2, end)
-			again := count(repeats, end-limits.Window, end)
-			if float64(again) > limits.Ratio*float64(asked)+limits.Allowance {
-				t.Fatalf("%d repeats for %d requests", again, asked)
+			requested := count(requests, end-limits.Window-limits.Window/2, end)
+			retried := count(retries, end-limits.Window, end)
+			if float64(retried) > limits.Ratio*float64(requested)+limits.Allowance {
+				t.Fatalf("%d retries for %d requests", retried, requested)
 			}
 		}
 	})
 }
 
-// Symptom: 47 repeats at a service in 10 s where 46 were allowed, and up to a hundred more
-// (soak, gateways stopped in turn under overload). Sequence: an entry spends its part, is
-// stopped and started again, and spends a part once more; as it leaves, the others share
-// what is left among fewer. Cause: a new life knew nothing of what the one before had spent,
-// and (the next test) a part followed the number of entries at once.
+// Guards against more retries than allowed when entries restart: an entry uses its share,
+// restarts, does not know what its previous incarnation used, and uses a share again.
+// With a share that follows the number of entries at once (see the next test), the others
+// also retry more while it is away. The soak with gateways stopped in turn under overload
+// saw 47 retries at a service in 10 s where 46 were allowed, and up to a hundred more.
 func TestRetryWindowsKeepLimitsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := RetryLimits{Ratio: 0, Allowance: 100, Window: 10 * time.Second}
 		start := time.Now()
 		entries := rapid.IntRange(1, 5).Draw(t, "entries")
 		windows := make([]*RetryWindow, entries)
-		begun := make([]time.Duration, entries) // of the present life
-		back := make([]time.Duration, entries)  // when an entry that is down starts
+		started := make([]time.Duration, entries)   // start of the present incarnation
+		restartAt := make([]time.Duration, entries) // when an entry that is down starts again
 		for i := range windows {
 			windows[i] = NewRetryWindow(start, limits)
 		}
-		var repeats []time.Duration
+		var retries []time.Duration
 		for now := time.Duration(0); now < 60*time.Second; now += 100 * time.Millisecond {
 			at := start.Add(now)
 			for i := range windows {
-				if windows[i] == nil && now >= back[i] {
-					windows[i], begun[i] = NewRetryWindow(at, limits), now
+				if windows[i] == nil && now >= restartAt[i] {
+					windows[i], started[i] = NewRetryWindow(at, limits), now
 				}
 				w := windows[i]
 				if w == nil {
 					continue
 				}
-				w.SetEntries(at, entries) // those that are down are registered for longer than that
-				for w.Take(at, "s") {     // all that it may: the worst that callers can ask for
-					repeats = append(repeats, now)
+				w.SetEntries(at, entries) // the registration of an entry outlasts its restart
+				for w.Take(at, "s") {     // the worst case: every allowed retry is used
+					retries = append(retries, now)
 				}
-				// Each is started again once in a window at most.
-				if now-begun[i] > limits.Window && rapid.IntRange(0, 30).Draw(t, "stop") == 0 {
-					windows[i], back[i] = nil, now+time.Duration(rapid.IntRange(1, 20).Draw(t, "down"))*100*time.Millisecond
+				// Each entry restarts at most once in a window.
+				if now-started[i] > limits.Window && rapid.IntRange(0, 30).Draw(t, "stop") == 0 {
+					windows[i], restartAt[i] = nil, now+time.Duration(rapid.IntRange(1, 20).Draw(t, "down"))*100*time.Millisecond
 				}
 			}
 		}
-		for _, end := range repeats {
-			if n := count(repeats, end-limits.Window+time.Millisecond, end); float64(n) > limits.Allowance {
-				t.Fatalf("%d repeats in the window that ends at %v, %.0f are allowed", n, end, limits.Allowance)
+		for _, end := range retries {
+			if n := count(retries, end-limits.Window+time.Millisecond, end); float64(n) > limits.Allowance {
+				t.Fatalf("%d retries in the window that ends at %v, %.0f are allowed", n, end, limits.Allowance)
 			}
 		}
 	})
@@ -94,22 +94,22 @@
 	w := NewRetryWindow(start, RetryLimits{Allowance: 100, Window: 10 * time.Second})
 	w.SetEntries(start, 4)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	w.SetEntries(at(20), 1) // three left, having spent their parts
-	spent := 0
+	w.SetEntries(at(20), 1) // three left, having used their shares
+	used := 0
 	for w.Take(at(20.9), "s") {
-		spent++
+		used++
 	}
-	if spent != 20 {
-		t.Fatalf("%d repeats, 0.8 of a quarter of 100 are 20", spent)
+	if used != 20 {
+		t.Fatalf("%d retries, want 20, 0.8 of a quarter of 100", used)
 	}
 	if w.Take(at(30.5), "s") {
-		t.Fatal("a repeat in the window in which the whole part was spent")
+		t.Fatal("a retry in the window in which the whole share was used")
 	}
 	for w.Take(at(41), "s") {
-		spent++
+		used++
 	}
-	if spent != 100 {
-		t.Fatalf("%d repeats in the end, the part should have grown to 0.8 of 100", spent)
+	if used != 100 {
+		t.Fatalf("%d retries in the end, want 100: the share should have grown to 0.8 of 100", used)
 	}
 }
 
@@ -123,17 +123,18 @@
 	return n
 }
 
-// Symptom: no request is repeated for hours, or all are. Sequence: the time of day
-// jumps. Cause, were it there: counting by the time of day.
+// Guards against retries that count forever: they no longer count once the window is
+// over. Times have monotonic readings, so that a jump of the wall clock neither denies all
+// retries for hours nor allows them all.
 func TestRetryWindowSlides(t *testing.T) {
 	start := time.Now()
 	w := NewRetryWindow(start, RetryLimits{Ratio: 0, Allowance: 2, Window: time.Second})
 	w.SetEntries(start, 1)
 	start = start.Add(time.Second) // the first window is over
 	if !w.Take(start, "s") || w.Take(start.Add(100*time.Millisecond), "s") {
-		t.Fatal("0.8 of 2 repeats are 1")
+		t.Fatal("0.8 of 2 retries must allow exactly one")
 	}
 	if !w.Take(start.Add(5*time.Second), "s") {
-		t.Fatal("the window is over")
+		t.Fatal("no retry after the window is over")
 	}
 }
