--- a/admission/inflow.go
+++ b/admission/inflow.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// arrivalRateWindow is the time over which the inflow is averaged: long enough to see
-// past one prompt, short enough to follow a burst.
+// arrivalRateWindow is the time constant of the averaged arrival rates: long enough to
+// smooth out a single prompt, short enough to follow a burst.
 const arrivalRateWindow = 10 * time.Second
 
-// arrivalRates averages the prefill tokens a second that arrive, by level, with
-// exponentially falling weight.
+// arrivalRates keeps an exponentially weighted average of the prefill tokens that
+// arrive per second, by level.
 type arrivalRates struct {
 	rates     [LevelCount]float64
 	updatedAt time.Time
@@ -31,7 +31,8 @@
 	}
 }
 
-// moreUrgentThan is the inflow of all levels that go moreUrgentThan a level, without its own.
+// moreUrgentThan returns the arrival rate, in tokens per second, of all levels that go
+// before the given one, without its own.
 func (f *arrivalRates) moreUrgentThan(now time.Time, level Level) float64 {
 	f.decay(now)
 	sum := 0.0
--- a/admission/lending.go
+++ b/admission/lending.go
@@ -2,50 +2,54 @@
 
 import "time"
 
-// A client account's limits hold over all entries. A small part of them is shared
-// out equally and is every entry's own; the rest is lent, for a short time, to the
-// entries where the account's traffic appears. The account's home, an
-// entry that all derive from its name, is the one that lends.
+// A client account's limits hold over all entries together. A small share of them is
+// divided equally among the entries; the rest is lent for a short time to the entries
+// that receive the account's requests. The lender is the account's home, an entry that
+// every entry derives from the account's name.
 //
-// The parts never sum to more than the whole: what is lent stays counted until
-// its lease has ended by the home's clock, which begins later than the
-// borrower's. A new home lends nothing for as long as a lease of the old one may
-// last. Without a home, an entry is left with its own part.
+// The shares are meant never to sum to more than 1. A loan stays counted until its
+// lease has ended by the home's clock, on which it starts later than on the borrower's.
+// A new home lends nothing for as long as a lease of the previous one may last. Without
+// a home, an entry is left with its part of StaticShare.
 const (
-	// StaticShare of the limits is shared equally among the entries.
+	// StaticShare is the fraction of each limit that is divided equally among the
+	// entries.
 	StaticShare = 0.2
-	// LendingLease is how long a loan lasts. Longer survives more lost answers;
-	// shorter follows moving traffic sooner.
+	// LendingLease is how long a loan lasts. A longer lease tolerates more lost
+	// answers; a shorter one follows moving traffic sooner.
 	LendingLease = 2 * time.Second
-	// BorrowInterval is the time between a borrower's requests.
+	// BorrowInterval is the time between two requests of a borrower to a home.
 	BorrowInterval = 500 * time.Millisecond
-	// demandWeight is the weight of the newest demand in its average: a share that
-	// follows each chance fluctuation is lowered and raised all the time, and what
-	// is lowered stays counted for a lease.
+	// demandWeight is the weight of the newest demand in the moving average. A share
+	// that follows every random fluctuation is lowered and raised all the time, and the
+	// difference stays counted for a lease each time it is lowered.
 	demandWeight = 0.2
 )
 
-// Lender is the home's side. It belongs to one thread.
+// Lender is the home's side of lending. It is not safe for concurrent use.
 type Lender struct {
 	started  time.Time
 	accounts map[string]map[string]*loan
 }
 
-// loan is what one entry has of one account. counted is the largest share whose
-// lease may still run, until countedUntil.
+// loan is the share of one account's limits that one entry borrows. committed is the
+// share that is counted as lent until committedUntil; it can be larger than share while
+// the lease of a larger, earlier share may still run.
 type loan struct {
 	demand                  float64
 	share, committed        float64
 	expires, committedUntil time.Time
 }
 
-// NewLender makes a home that began now.
+// NewLender returns the lender of an entry that starts at now. It lends nothing in the
+// first LendingLease.
 func NewLender(now time.Time) *Lender {
 	return &Lender{started: now, accounts: map[string]map[string]*loan{}}
 }
 
-// Lend lends an entry a share of an account, 0 to 1-OwnPart, for LendingLease.
-// demand is the requests a second that arrive there.
+// Lend lends an entry a share of an account's limits for LendingLease and returns the
+// share, 0 to 1-StaticShare. demand is the rate, in requests per second, at which the
+// account's requests arrive at that entry.
 func (l *Lender) Lend(now time.Time, account, entry string, demand float64) float64 {
 	if now.Sub(l.started) < LendingLease {
 		return 0
@@ -69,14 +73,15 @@
 			free -= other.committed
 		}
 	}
-	target := 0.0
+	fair := 0.0
 	if total > 0 {
-		target = (1 - StaticShare) * own.demand / total
+		fair = (1 - StaticShare) * own.demand / total
 	}
-	own.grant(now, max(0, min(target, free)))
+	own.grant(now, max(0, min(fair, free)))
 	return own.share
 }
 
+// grant sets the share and starts its lease.
 func (o *loan) grant(now time.Time, share float64) {
 	o.share, o.expires = share, now.Add(LendingLease)
 	if share >= o.committed {
@@ -84,8 +89,8 @@
 	}
 }
 
-// expireLoans ends the leases that are over. A lowered share stops being counted at
-// its old value once the lease of that value has ended.
+// expireLoans removes the loans whose lease has ended. A share that was lowered is
+// counted at its old value until the lease of that value has ended.
 func expireLoans(now time.Time, loans map[string]*loan) {
 	for name, o := range loans {
 		if now.After(o.expires) {
@@ -98,7 +103,7 @@
 	}
 }
 
-// Sweep forgets accounts without a loan.
+// Sweep removes expired loans, and the accounts that have none left.
 func (l *Lender) Sweep(now time.Time) {
 	for account, loans := range l.accounts {
 		expireLoans(now, loans)
@@ -108,26 +113,29 @@
 	}
 }
 
-// Borrower is the borrower's side. It belongs to one thread.
+// Borrower is the borrower's side of lending: the shares that one entry has borrowed, by
+// account. It is not safe for concurrent use.
 type Borrower struct {
 	loans map[string]borrowedShare
 }
 
+// borrowedShare is a share whose lease ends at expires.
 type borrowedShare struct {
 	share   float64
 	expires time.Time
 }
 
-// NewBorrower makes a borrower without loans.
+// NewBorrower returns a borrower without loans.
 func NewBorrower() *Borrower { return &Borrower{loans: map[string]borrowedShare{}} }
 
-// SetLoan takes in a loan. asked is when it was asked for: the lease is reckoned from
-// there, so that it ends here before it ends at the home.
+// SetLoan records the share that a home has lent. asked is when the request was sent: the
+// lease counts from there, so that it ends here before it ends at the home.
 func (s *Borrower) SetLoan(asked time.Time, account string, share float64) {
 	s.loans[account] = borrowedShare{share: share, expires: asked.Add(LendingLease)}
 }
 
-// Share is this entry's part of an account's limits with this many entries.
+// Share returns the share of an account's limits, 0 to 1, that this entry may use when
+// there are the given number of entries: its part of StaticShare and the borrowed share.
 func (s *Borrower) Share(now time.Time, account string, entries int) float64 {
 	own := StaticShare / float64(max(1, entries))
 	lent, found := s.loans[account]
--- a/admission/lending_test.go
+++ b/admission/lending_test.go
@@ -14,25 +14,25 @@
 	lender := NewLender(testStart)
 	now := testStart.Add(LendingLease)
 	lendable := 1 - StaticShare
-	is.Equal(lender.Lend(testStart, "a", "n1", 10), 0.0)  // a new home waits
-	is.Equal(lender.Lend(now, "a", "n1", 10), lendable)   // all the traffic is there
-	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)        // it is lent to n1 for now
-	is.Equal(lender.Lend(now, "a", "n1", 10), lendable/2) // lowered, still counted whole
+	is.Equal(lender.Lend(testStart, "a", "n1", 10), 0.0)  // a new home lends nothing at first
+	is.Equal(lender.Lend(now, "a", "n1", 10), lendable)   // all the traffic arrives at n1
+	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)        // all is still lent to n1
+	is.Equal(lender.Lend(now, "a", "n1", 10), lendable/2) // lowered, but still counted at the old value
 	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)
 	later := now.Add(LendingLease + time.Millisecond)
 	lender.Lend(now.Add(LendingLease/2), "a", "n1", 10)
 	is.Equal(lender.Lend(later, "a", "n2", 10), lendable/2)
 }
 
-// heldLoan is what a borrower holds.
+// heldLoan is a share that a borrower holds.
 type heldLoan struct {
 	share   float64
 	expires time.Time
 }
 
-// TestLoansNeverExceedLendableShare drives borrowers whose answers are lost or late,
-// restarts of the home, and passing time. The shares in use, as the borrowers
-// reckon them, never sum to more than the lent half.
+// TestLoansNeverExceedLendableShare runs borrowers whose answers are lost or late, restarts
+// of the home and sweeps at random times. The shares that the borrowers take to be theirs
+// never sum to more than the lendable share.
 func TestLoansNeverExceedLendableShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := testStart
@@ -59,13 +59,13 @@
 			},
 			"": func(t *rapid.T) {
 				sum := 0.0
-				for _, copy := range held {
-					if !now.After(copy.expires) {
-						sum += copy.share
+				for _, loan := range held {
+					if !now.After(loan.expires) {
+						sum += loan.share
 					}
 				}
 				if sum > 1-StaticShare+1e-9 {
-					t.Fatalf("%.3f is lent", sum)
+					t.Fatalf("a share of %.3f is lent, of %.3f lendable", sum, 1-StaticShare)
 				}
 			},
 		})
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -7,41 +7,45 @@
 	"aspenyard.example/result"
 )
 
-// Limits bound one client account over all entries; 0: no bound.
+// Limits are a client account's limits over all entries together. A limit of 0 is no
+// limit.
 type Limits struct {
 	RequestsPerSecond, TokensPerSecond float64
 	Concurrent                         int
 }
 
-// burstSeconds is how many seconds of its rate an account may use at once.
+// burstSeconds is the burst size of the token buckets, in seconds of their rate.
 const burstSeconds = 1.0
 
-// Limiter keeps one entry's part of every account's limits. Safe for concurrent
-// use.
+// Limiter enforces one entry's share of every client account's limits. It is safe for
+// concurrent use.
 type Limiter struct {
 	mu       sync.Mutex
 	accounts map[string]*accountUsage
 }
 
+// accountUsage is what one account uses at this entry.
 type accountUsage struct {
 	requests, tokens bucket
 	concurrent       int
 	lastRequest      time.Time
-	arrived          float64 // requests since the last call of Demand
+	arrived          float64 // requests since the last call of TakeDemand
 }
 
+// bucket is a token bucket, whose rate is given with each call.
 type bucket struct {
 	available float64
 	updatedAt time.Time
 }
 
-// NewLimiter makes a limiter without any use.
+// NewLimiter returns a limiter that has seen no requests.
 func NewLimiter() *Limiter {
 	return &Limiter{accounts: map[string]*accountUsage{}}
 }
 
-// Admit counts a request of an account against this entry's share of the limits,
-// 0 to 1, or refuses it. Every admitted request ends with Done.
+// Admit counts a request of an account against this entry's share of the limits, 0 to
+// 1, or refuses it with TooManyConcurrent, RateLimited or TokenLimited. tokens is the
+// size of the request. Done must be called once for every admitted request.
 func (l *Limiter) Admit(now time.Time, account string, limits Limits, share float64, tokens int) *result.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,13 +57,13 @@
 	u.lastRequest = now
 	u.arrived++
 	if limits.Concurrent > 0 && u.concurrent >= max(1, int(float64(limits.Concurrent)*share)) {
-		return result.Refuse(result.TooManyConcurrent, time.Second, "%d requests at once", u.concurrent)
+		return result.Refuse(result.TooManyConcurrent, time.Second, "the client account already has %d requests in flight at this entry", u.concurrent)
 	}
 	if wait := u.requests.wait(now, limits.RequestsPerSecond*share, 1); wait > 0 {
-		return result.Refuse(result.RateLimited, wait, "over %g requests a second", limits.RequestsPerSecond)
+		return result.Refuse(result.RateLimited, wait, "the client account exceeds its limit of %g requests per second", limits.RequestsPerSecond)
 	}
 	if wait := u.tokens.wait(now, limits.TokensPerSecond*share, float64(tokens)); wait > 0 {
-		return result.Refuse(result.TokenLimited, wait, "over %g tokens a second", limits.TokensPerSecond)
+		return result.Refuse(result.TokenLimited, wait, "the client account exceeds its limit of %g tokens per second", limits.TokensPerSecond)
 	}
 	u.requests.take(limits.RequestsPerSecond, 1)
 	u.tokens.take(limits.TokensPerSecond, float64(tokens))
@@ -67,7 +71,7 @@
 	return nil
 }
 
-// Done ends an admitted request.
+// Done ends an admitted request, which no longer counts as in flight.
 func (l *Limiter) Done(account string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,8 +80,8 @@
 	}
 }
 
-// TakeDemand gives the requests that each account sent since the last call, and
-// forgets accounts that have been idle for longer than idle.
+// TakeDemand returns the number of requests that each account sent since the last call,
+// and removes the accounts without a request for longer than idle.
 func (l *Limiter) TakeDemand(now time.Time, idle time.Duration) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,9 +97,9 @@
 	return demand
 }
 
-// wait fills the bucket and tells how long until it holds the amount. An amount
-// over the bucket's size passes once it is full and leaves it in debt, so that a
-// prompt larger than a second's tokens is not refused for ever.
+// wait refills the bucket and returns the time until it holds the amount. An amount
+// larger than the bucket passes once the bucket is full and makes it negative, so that
+// a prompt of more tokens than the burst size is not refused forever.
 func (b *bucket) wait(now time.Time, rate, amount float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -114,6 +118,7 @@
 	return max(time.Millisecond, seconds(missing/rate))
 }
 
+// take removes an amount that wait has allowed.
 func (b *bucket) take(rate, amount float64) {
 	if rate > 0 {
 		b.available -= amount
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -18,8 +18,8 @@
 	refusal := l.Admit(testStart, "a", limits, 1, 100)
 	is.Equal(refusal.Code, result.RateLimited)
 	is.Equal(refusal.Ran, result.RanNo)
-	is.True(l.Admit(testStart.Add(refusal.RetryAfter), "a", limits, 1, 100) == nil) // obeyed, it succeeds
-	is.True(l.Admit(testStart, "b", limits, 1, 100) == nil)                         // another account is not touched
+	is.True(l.Admit(testStart.Add(refusal.RetryAfter), "a", limits, 1, 100) == nil) // a caller that obeys Retry-After succeeds
+	is.True(l.Admit(testStart, "b", limits, 1, 100) == nil)                         // another account has its own limits
 }
 
 func TestConcurrentLimitIsFreedByDone(t *testing.T) {
@@ -32,8 +32,8 @@
 	is.True(l.Admit(testStart, "a", limits, 1, 100) == nil)
 }
 
-// Symptom: a prompt larger than a second's tokens is refused for ever. Cause, were
-// it there: a bucket that must hold the whole amount.
+// Guards against refusing a prompt of more tokens than the burst size forever, because
+// the bucket can never hold the whole amount.
 func TestLargePromptPassesAndLeavesADebt(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter()
@@ -41,7 +41,7 @@
 	is.True(l.Admit(testStart, "a", limits, 1, 10_000) == nil)
 	refusal := l.Admit(testStart, "a", limits, 1, 1)
 	is.Equal(refusal.Code, result.TokenLimited)
-	is.True(refusal.RetryAfter >= 9*time.Second) // the debt is paid first
+	is.True(refusal.RetryAfter >= 9*time.Second) // the bucket has to refill from below zero first
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
@@ -53,7 +53,7 @@
 			retries++
 		}
 	}
-	is.Equal(retries, 10) // nothing succeeds: the store only
+	is.Equal(retries, 10) // without a success, only the initial budget
 	for range 100 {
 		b.RecordSuccess()
 	}
@@ -62,5 +62,5 @@
 			retries++
 		}
 	}
-	is.Equal(retries, 20) // a tenth of the successes
+	is.Equal(retries, 20) // and a tenth of the successes
 }
--- a/admission/semaphore.go
+++ b/admission/semaphore.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Semaphore bounds how much work runs at a time and admits the rest in order. Safe for
-// concurrent use.
+// Semaphore bounds the number of requests that run at once and admits waiting ones by
+// priority. It is safe for concurrent use.
 type Semaphore struct {
 	mu      sync.Mutex
 	limit   int
@@ -16,27 +16,28 @@
 	waiting waiters
 }
 
-// NewSemaphore makes a semaphore with limit permits.
+// NewSemaphore returns a semaphore with the given number of permits, all free.
 func NewSemaphore(limit int) *Semaphore { return &Semaphore{limit: limit} }
 
-// waiter is a piece of work that waits for a permit.
+// waiter is a call of Acquire that waits for a permit.
 type waiter struct {
-	// priority is the time by which waiters are sorted, the earliest first.
+	// priority is the time by which waiters are admitted, the earliest first.
 	priority time.Time
 	admitted chan struct{}
 	index    int // in the heap; -1 once it is admitted
 }
 
-// Acquire waits for a permit, or for ctx to end. Waiters are admitted by order, the
-// earliest first. After nil, Release must be called once.
-func (s *Semaphore) Acquire(ctx context.Context, order time.Time) error {
+// Acquire waits for a permit, or returns the error of ctx when ctx ends first. Waiters
+// are admitted by priority, the earliest time first. After nil, Release must be called
+// once.
+func (s *Semaphore) Acquire(ctx context.Context, priority time.Time) error {
 	s.mu.Lock()
 	if s.held < s.limit {
 		s.held++
 		s.mu.Unlock()
 		return nil
 	}
-	w := &waiter{priority: order, admitted: make(chan struct{})}
+	w := &waiter{priority: priority, admitted: make(chan struct{})}
 	heap.Push(&s.waiting, w)
 	s.mu.Unlock()
 	select {
@@ -50,20 +51,21 @@
 		heap.Remove(&s.waiting, w.index)
 		return ctx.Err()
 	}
-	// The permit came as the work gave up: it goes to the next, or it would be lost and
-	// every later waiter would wait for good.
+	// The permit was granted just as ctx ended. It goes to the next waiter; otherwise it
+	// would be lost and later waiters would wait forever.
 	s.releaseLocked()
 	return ctx.Err()
 }
 
-// Release gives a permit back and admits the next waiter.
+// Release returns a permit and admits the next waiter.
 func (s *Semaphore) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.releaseLocked()
 }
 
-// releaseLocked hands one permit to the first waiter.
+// releaseLocked passes a permit to the first waiter, or frees it if there is none. The
+// calling code holds mu.
 func (s *Semaphore) releaseLocked() {
 	if len(s.waiting) == 0 {
 		s.held--
@@ -73,14 +75,14 @@
 	close(next.admitted)
 }
 
-// Waiting is how many pieces of work wait.
+// Waiting returns how many calls of Acquire wait.
 func (s *Semaphore) Waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiting)
 }
 
-// waiters implements heap.Interface.
+// waiters is a heap of waiters by priority. It implements heap.Interface.
 type waiters []*waiter
 
 func (w waiters) Len() int           { return len(w) }
@@ -90,14 +92,14 @@
 	w[i].index, w[j].index = i, j
 }
 
-// Push implements heap.Interface.
+// Push appends a waiter; called by package heap only.
 func (w *waiters) Push(x any) {
 	added := x.(*waiter)
 	added.index = len(*w)
 	*w = append(*w, added)
 }
 
-// Pop implements heap.Interface.
+// Pop removes the last waiter; called by package heap only.
 func (w *waiters) Pop() any {
 	old := *w
 	last := old[len(old)-1]
