--- a/membership/config.go
+++ b/membership/config.go
@@ -66,9 +66,9 @@
 	defaultForgetAfter    = time.Minute
 	defaultNearEntries    = 8
 	defaultFarEntries     = 2
-	// heartbeatBytes is an agent's heartbeat with its UDP and IP headers, as
+	// agentHeartbeatBytes is an agent's heartbeat with its UDP and IP headers, as
 	// measured by the capacity bench.
-	heartbeatBytes = 223
+	agentHeartbeatBytes = 223
 	// missedBeforeSuspect is how many heartbeats in a row may be lost.
 	missedBeforeSuspect = 4
 )
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -32,17 +32,17 @@
 	// Stats is safe to read from any thread.
 	Stats Stats
 
-	config   Config
-	delegate Delegate
-	state    *state
-	view     atomic.Pointer[View]
-	events   atomic.Pointer[gnet.EventLoop]
-	engine   gnet.Engine
-	sender   *net.UDPConn
-	stopped  chan struct{}
-	stopOnce sync.Once
-	booted   chan struct{}
-	left     atomic.Bool
+	config    Config
+	delegate  Delegate
+	state     *state
+	view      atomic.Pointer[View]
+	eventLoop atomic.Pointer[gnet.EventLoop]
+	engine    gnet.Engine
+	sender    *net.UDPConn
+	stopped   chan struct{}
+	stopOnce  sync.Once
+	booted    chan struct{}
+	leaving   atomic.Bool
 }
 
 // NewLoop makes a loop; Run starts it.
@@ -60,7 +60,7 @@
 func (l *Loop) View() *View { return l.view.Load() }
 
 // Leaving tells whether this node is known to be leaving; safe from any thread.
-func (l *Loop) Leaving() bool { return l.left.Load() }
+func (l *Loop) Leaving() bool { return l.leaving.Load() }
 
 // Run serves until ctx ends.
 func (l *Loop) Run(ctx context.Context) error {
@@ -68,7 +68,7 @@
 		<-ctx.Done()
 		l.stop()
 	}()
-	err := gnet.Run(l, "udp://"+l.config.Listen, gnet.WithTicker(true), gnet.WithMulticore(false), gnet.WithNumEventLoop(1), gnet.WithLogger(silentLogger{}))
+	err := gnet.Run(l, "udp://"+l.config.Listen, gnet.WithTicker(true), gnet.WithMulticore(false), gnet.WithNumEventLoop(1), gnet.WithLogger(discardLogger{}))
 	l.stop()
 	return errors.Wrap(err, "control loop")
 }
@@ -110,7 +110,7 @@
 // OnTick implements gnet.EventHandler. gnet calls it beside the event loop, so
 // the work is passed on to it.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
-	if l.events.Load() == nil {
+	if l.eventLoop.Load() == nil {
 		// The event loop's handle comes with its first datagram: send it one.
 		l.send(l.config.Listen, nil)
 		return l.config.Tick, gnet.None
@@ -121,9 +121,9 @@
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	if l.events.Load() == nil {
+	if l.eventLoop.Load() == nil {
 		events := c.EventLoop()
-		l.events.Store(&events)
+		l.eventLoop.Store(&events)
 	}
 	data, err := c.Next(-1)
 	if err != nil || len(data) == 0 {
@@ -140,20 +140,20 @@
 	l.Stats.ReceivedDatagrams.Add(1)
 	var h wire.Heartbeat
 	if proto.Unmarshal(data, &h) == nil {
-		l.heard(now, &h)
+		l.acceptHeartbeat(now, &h)
 	}
 }
 
 // headerBytes is what IPv4 and UDP add to a datagram.
 const headerBytes = 28
 
-func (l *Loop) heard(now time.Time, h *wire.Heartbeat) {
-	if !l.state.heard(now, h) {
+func (l *Loop) acceptHeartbeat(now time.Time, h *wire.Heartbeat) {
+	if !l.state.acceptHeartbeat(now, h) {
 		return
 	}
 	l.delegate.HandleHeartbeat(now, h)
 	if !h.Reply && l.config.Role == RoleEntry && h.Role == RoleAgent {
-		l.beat(now, []string{h.Addr}, true)
+		l.sendHeartbeat(now, []string{h.Addr}, true)
 	}
 }
 
@@ -161,21 +161,21 @@
 // it on a loop that does not run.
 func (l *Loop) Step(now time.Time) {
 	l.state.tick(now)
-	l.left.Store(l.state.leaving(now))
-	if !now.Before(l.state.nextBeat) {
-		targets := l.state.targets(now)
-		bytes := l.beat(now, targets, false)
-		l.state.nextBeat = now.Add(l.state.beatInterval(len(targets), bytes))
+	l.leaving.Store(l.state.leaving(now))
+	if !now.Before(l.state.nextHeartbeat) {
+		targets := l.state.recipients(now)
+		bytes := l.sendHeartbeat(now, targets, false)
+		l.state.nextHeartbeat = now.Add(l.state.heartbeatInterval(len(targets), bytes))
 	}
-	if l.state.dirty {
-		l.state.dirty = false
+	if l.state.viewChanged {
+		l.state.viewChanged = false
 		l.view.Store(l.state.view())
 	}
 	l.delegate.Tick(now, l.View())
 }
 
-// beat sends one heartbeat to each address and gives its size.
-func (l *Loop) beat(now time.Time, targets []string, reply bool) (bytes int) {
+// sendHeartbeat sends one heartbeat to each address and gives its size.
+func (l *Loop) sendHeartbeat(now time.Time, targets []string, reply bool) (bytes int) {
 	if len(targets) == 0 {
 		return 0
 	}
@@ -183,7 +183,7 @@
 	h := &wire.Heartbeat{
 		Node: l.config.Node, Role: l.config.Role, DataCentre: l.config.DataCentre, Addr: l.config.Advertise,
 		Incarnation: l.config.Incarnation, Sequence: l.state.sequence, Leaving: l.state.leaving(now), Reply: reply,
-		AdvisedIntervalMs: l.state.advised.Milliseconds(), LeavingNodes: l.state.leavingNames,
+		AdvisedIntervalMs: l.state.advisedInterval.Milliseconds(), LeavingNodes: l.state.leavingNames,
 	}
 	l.delegate.FillHeartbeat(now, h)
 	if h.Partial {
@@ -213,36 +213,36 @@
 
 // Leave marks this node as leaving and tells the entries at once.
 func (l *Loop) Leave() {
-	l.left.Store(true)
+	l.leaving.Store(true)
 	l.Post(func() {
-		l.state.asked = true
-		l.beatNow()
+		l.state.leaveRequested = true
+		l.sendHeartbeatNow()
 	})
 }
 
 // Announce sends a heartbeat at once, beside the regular ones.
 func (l *Loop) Announce() {
-	l.Post(l.beatNow)
+	l.Post(l.sendHeartbeatNow)
 }
 
-// beatNow sends a heartbeat beside the regular ones. Control thread.
-func (l *Loop) beatNow() {
+// sendHeartbeatNow sends a heartbeat beside the regular ones. Control thread.
+func (l *Loop) sendHeartbeatNow() {
 	now := time.Now()
-	l.beat(now, l.state.targets(now), false)
+	l.sendHeartbeat(now, l.state.recipients(now), false)
 }
 
 // SetList takes in the platform's list.
 func (l *Loop) SetList(vms []infra.VM) {
-	l.Post(func() { l.state.listed(time.Now(), vms) })
+	l.Post(func() { l.state.applyList(time.Now(), vms) })
 }
 
 // Post runs f on the control thread, some time later. It is dropped once the
 // loop has stopped.
 func (l *Loop) Post(f func()) {
-	events := l.events.Load()
+	events := l.eventLoop.Load()
 	if events == nil {
 		go func() {
-			if l.awaitEvents() {
+			if l.awaitEventLoop() {
 				l.Post(f)
 			}
 		}()
@@ -254,8 +254,8 @@
 	}))
 }
 
-func (l *Loop) awaitEvents() bool {
-	for l.events.Load() == nil {
+func (l *Loop) awaitEventLoop() bool {
+	for l.eventLoop.Load() == nil {
 		select {
 		case <-l.stopped:
 			return false
@@ -283,11 +283,11 @@
 	}
 }
 
-// silentLogger keeps gnet from writing lines that are not JSON.
-type silentLogger struct{}
+// discardLogger keeps gnet from writing lines that are not JSON.
+type discardLogger struct{}
 
-func (silentLogger) Debugf(string, ...any) {}
-func (silentLogger) Infof(string, ...any)  {}
-func (silentLogger) Warnf(string, ...any)  {}
-func (silentLogger) Errorf(string, ...any) {}
-func (silentLogger) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
--- a/membership/state.go
+++ b/membership/state.go
@@ -21,8 +21,8 @@
 	Suspect, Leaving bool
 	// LastHeard is when Last arrived, moved on by this observer's own pauses.
 	LastHeard time.Time
-	// rumoured is when another node last said that the list has this one as leaving.
-	rumoured time.Time
+	// reportedLeavingAt is when another node last said that the list has this one as leaving.
+	reportedLeavingAt time.Time
 	// UnlistedSince is when the list was first read without this node; zero: listed.
 	UnlistedSince time.Time
 }
@@ -59,11 +59,11 @@
 	return m.VM.DataCentre
 }
 
-// heard tells whether the node was heard of lately.
-func (m *Member) heard() bool { return m.LastHeartbeat != nil && !m.Suspect }
+// recentlyHeard tells whether the node was recentlyHeard of lately.
+func (m *Member) recentlyHeard() bool { return m.LastHeartbeat != nil && !m.Suspect }
 
 // Alive tells whether the node was heard of lately and is not leaving.
-func (m *Member) Alive() bool { return m.heard() && !m.Leaving }
+func (m *Member) Alive() bool { return m.recentlyHeard() && !m.Leaving }
 
 // View is an immutable state of the membership.
 type View struct {
@@ -102,7 +102,7 @@
 func (v *View) countEntries(asked func(m *Member) bool) int {
 	count := 0
 	for _, m := range v.Members {
-		if m.Role() == RoleEntry && (m.Listed || m.heard()) && asked(m) {
+		if m.Role() == RoleEntry && (m.Listed || m.recentlyHeard()) && asked(m) {
 			count++
 		}
 	}
@@ -111,36 +111,36 @@
 
 // state is the membership itself. It belongs to the control thread.
 type state struct {
-	config   Config
-	members  map[string]*Member
-	listRead time.Time
-	// asked: this process was told to stop; listedLeaving and rumoured: what the
+	config     Config
+	members    map[string]*Member
+	listReadAt time.Time
+	// leaveRequested: this process was told to stop; listedLeaving and rumoured: what the
 	// platform's list says of this node, as read here and as told by others.
-	asked, listedLeaving bool
-	rumoured             time.Time
-	lastTick             time.Time
-	nextBeat             time.Time
-	sequence             uint64
-	interval             time.Duration
-	dirty                bool
-	// advised and leavingNames are made anew at each tick: every heartbeat
+	leaveRequested, listedLeaving bool
+	reportedLeavingAt             time.Time
+	lastTick                      time.Time
+	nextHeartbeat                 time.Time
+	sequence                      uint64
+	interval                      time.Duration
+	viewChanged                   bool
+	// advisedInterval and leavingNames are made anew at each tick: every heartbeat
 	// received is answered with them, so that making them then would cost each
 	// answer a walk over all members.
-	advised      time.Duration
-	leavingNames []string
-	// reported are the addresses of a round of heartbeats, chosen at targetsAt.
-	reported  []string
-	targetsAt time.Time
-	// beatBytes is the mean size of a heartbeat.
-	beatBytes float64
+	advisedInterval time.Duration
+	leavingNames    []string
+	// recipientAddrs are the addresses of a round of heartbeats, chosen at targetsAt.
+	recipientAddrs     []string
+	recipientsChosenAt time.Time
+	// meanHeartbeatBytes is the mean size of a heartbeat.
+	meanHeartbeatBytes float64
 }
 
 func newState(config Config) *state {
 	return &state{config: config, members: map[string]*Member{}, interval: config.Interval}
 }
 
-// heard accepts a heartbeat unless it is older than what is known.
-func (s *state) heard(now time.Time, h *wire.Heartbeat) bool {
+// acceptHeartbeat accepts a heartbeat unless it is older than what is known.
+func (s *state) acceptHeartbeat(now time.Time, h *wire.Heartbeat) bool {
 	if h.Node == s.config.Node || h.Node == "" {
 		return false
 	}
@@ -151,7 +151,7 @@
 	if member == nil {
 		member = &Member{}
 		s.members[h.Node] = member
-		s.targetsAt = time.Time{}
+		s.recipientsChosenAt = time.Time{}
 	}
 	if last := member.LastHeartbeat; last != nil {
 		// A delayed datagram of an earlier life, or one overtaken on its way, must
@@ -165,10 +165,10 @@
 	}
 	member.LastHeartbeat, member.LastHeard = h, now
 	member.Suspect = false
-	member.judge(now)
-	s.dirty = true
+	member.updateLeaving(now)
+	s.viewChanged = true
 	for _, name := range h.LeavingNodes {
-		s.rumour(now, name)
+		s.recordLeavingReport(now, name)
 	}
 	if h.Role == RoleEntry && s.config.Role == RoleAgent && h.AdvisedIntervalMs > 0 {
 		s.interval = max(s.config.Interval, time.Duration(h.AdvisedIntervalMs)*time.Millisecond)
@@ -176,58 +176,58 @@
 	return true
 }
 
-// rumourLife is how long another node's word about the list counts without being
+// leavingReportTTL is how long another node's word about the list counts without being
 // repeated.
-const rumourLife = 10 * time.Second
+const leavingReportTTL = 10 * time.Second
 
-// judge believes whichever source says "leaving": the node's own last word, the
+// updateLeaving believes whichever source says "leaving": the node's own last word, the
 // list as last read here, or another node's word about the list. Each is taken as
 // it stands now and none is remembered: a VM that is replaced under its old name
 // is still "leaving" in a lagging list, and must get work once the list is right.
-func (m *Member) judge(now time.Time) {
-	m.Leaving = (m.LastHeartbeat != nil && m.LastHeartbeat.Leaving) || (m.Listed && m.VM.Leaving) || recent(now, m.rumoured)
+func (m *Member) updateLeaving(now time.Time) {
+	m.Leaving = (m.LastHeartbeat != nil && m.LastHeartbeat.Leaving) || (m.Listed && m.VM.Leaving) || reportIsRecent(now, m.reportedLeavingAt)
 }
 
-func recent(now, rumoured time.Time) bool {
-	return !rumoured.IsZero() && now.Sub(rumoured) < rumourLife
+func reportIsRecent(now, rumoured time.Time) bool {
+	return !rumoured.IsZero() && now.Sub(rumoured) < leavingReportTTL
 }
 
-// freshList is how recent this node's own reading of the list must be to count
+// freshListAge is how recent this node's own reading of the list must be to count
 // more than another node's word about it, which may come from an older reading.
-const freshList = 3 * time.Second
+const freshListAge = 3 * time.Second
 
-// rumour notes another node's word that the list has a node as leaving.
-func (s *state) rumour(now time.Time, name string) {
-	if !s.listRead.IsZero() && now.Sub(s.listRead) < freshList {
+// recordLeavingReport notes another node's word that the list has a node as leaving.
+func (s *state) recordLeavingReport(now time.Time, name string) {
+	if !s.listReadAt.IsZero() && now.Sub(s.listReadAt) < freshListAge {
 		return
 	}
 	if name == s.config.Node {
-		s.rumoured = now
+		s.reportedLeavingAt = now
 		return
 	}
 	if member := s.members[name]; member != nil {
-		member.rumoured = now
-		member.judge(now)
-		s.dirty = true
+		member.reportedLeavingAt = now
+		member.updateLeaving(now)
+		s.viewChanged = true
 	}
 }
 
 // leaving tells whether this node is leaving, by any source.
 func (s *state) leaving(now time.Time) bool {
-	return s.asked || s.listedLeaving || recent(now, s.rumoured)
+	return s.leaveRequested || s.listedLeaving || reportIsRecent(now, s.reportedLeavingAt)
 }
 
-// listed takes in the platform's list.
-func (s *state) listed(now time.Time, vms []infra.VM) {
-	s.listRead = now
-	s.dirty = true
-	s.targetsAt = time.Time{}
+// applyList takes in the platform's list.
+func (s *state) applyList(now time.Time, vms []infra.VM) {
+	s.listReadAt = now
+	s.viewChanged = true
+	s.recipientsChosenAt = time.Time{}
 	seen := map[string]bool{}
 	for _, vm := range vms {
 		seen[vm.Name] = true
 		if vm.Name == s.config.Node {
 			s.listedLeaving = vm.Leaving
-			s.rumoured = time.Time{}
+			s.reportedLeavingAt = time.Time{}
 			continue
 		}
 		member := s.members[vm.Name]
@@ -236,8 +236,8 @@
 			s.members[vm.Name] = member
 		}
 		member.VM, member.Listed, member.UnlistedSince = vm, true, time.Time{}
-		member.rumoured = time.Time{}
-		member.judge(now)
+		member.reportedLeavingAt = time.Time{}
+		member.updateLeaving(now)
 	}
 	for name, member := range s.members {
 		if seen[name] {
@@ -264,30 +264,30 @@
 		}
 	}
 	s.lastTick = now
-	s.advised = s.advisedInterval()
-	s.leavingNames = s.listLeaving()
+	s.advisedInterval = s.computeAdvisedInterval()
+	s.leavingNames = s.listedLeavingNames()
 	limit := s.suspectAfter()
 	for name, member := range s.members {
 		silent := now.Sub(member.LastHeard)
 		if member.LastHeartbeat != nil && !member.Suspect && silent > limit {
 			member.Suspect = true
-			s.dirty = true
+			s.viewChanged = true
 		}
 		if !member.Listed && silent > s.config.RemoveAfter {
 			delete(s.members, name)
-			s.dirty = true
+			s.viewChanged = true
 		}
 	}
 }
 
 // suspectAfter stretches with the interval that a large fleet needs.
 func (s *state) suspectAfter() time.Duration {
-	return max(s.config.SuspectAfter, missedBeforeSuspect*s.advised)
+	return max(s.config.SuspectAfter, missedBeforeSuspect*s.advisedInterval)
 }
 
-// advisedInterval is what this entry asks of its agents, so that their heartbeats
+// computeAdvisedInterval is what this entry asks of its agents, so that their heartbeats
 // stay within its bytes a second.
-func (s *state) advisedInterval() time.Duration {
+func (s *state) computeAdvisedInterval() time.Duration {
 	if s.config.Role != RoleEntry {
 		return 0
 	}
@@ -297,48 +297,48 @@
 			agents++
 		}
 	}
-	needed := time.Duration(agents*heartbeatBytes) * time.Second / time.Duration(s.config.BytesPerSecond)
+	needed := time.Duration(agents*agentHeartbeatBytes) * time.Second / time.Duration(s.config.BytesPerSecond)
 	return max(s.config.Interval, needed)
 }
 
-// targetsLife is how long the choice of whom to report to stands. Who came or went is
+// recipientsTTL is how long the choice of whom to report to stands. Who came or went is
 // seen at once; the rest is not worth a sort for each heartbeat.
-const targetsLife = time.Second
+const recipientsTTL = time.Second
 
-// targets gives the addresses of a round of heartbeats.
-func (s *state) targets(now time.Time) []string {
-	if s.targetsAt.IsZero() || now.Sub(s.targetsAt) > targetsLife {
-		s.reported, s.targetsAt = s.chooseTargets(), now
+// recipients gives the addresses of a round of heartbeats.
+func (s *state) recipients(now time.Time) []string {
+	if s.recipientsChosenAt.IsZero() || now.Sub(s.recipientsChosenAt) > recipientsTTL {
+		s.recipientAddrs, s.recipientsChosenAt = s.chooseRecipients(), now
 	}
-	return s.reported
+	return s.recipientAddrs
 }
 
-// averagedBeats is over how many heartbeats the size is averaged: whole ones come between
+// heartbeatSizeSamples is over how many heartbeats the size is averaged: whole ones come between
 // many partial ones.
-const averagedBeats = 10
+const heartbeatSizeSamples = 10
 
-// beatInterval is the time to the next round of heartbeats, after one of so many bytes
+// heartbeatInterval is the time to the next round of heartbeats, after one of so many bytes
 // each.
-func (s *state) beatInterval(targets, bytes int) time.Duration {
+func (s *state) heartbeatInterval(targets, bytes int) time.Duration {
 	if s.config.Role != RoleEntry {
 		return s.interval
 	}
-	s.beatBytes += (float64(bytes) - s.beatBytes) / averagedBeats
-	needed := float64(targets) * s.beatBytes / float64(s.config.BytesPerSecond)
+	s.meanHeartbeatBytes += (float64(bytes) - s.meanHeartbeatBytes) / heartbeatSizeSamples
+	needed := float64(targets) * s.meanHeartbeatBytes / float64(s.config.BytesPerSecond)
 	return max(s.config.Interval, time.Duration(needed*float64(time.Second)))
 }
 
-// affordedEntries is to how many entries of each data centre this one can report without
+// affordableEntries is to how many entries of each data centre this one can report without
 // its heartbeats being further apart than LongestInterval.
-func (s *state) affordedEntries(dataCentres int) int {
-	if s.config.Role != RoleEntry || s.config.LongestInterval == 0 || s.beatBytes == 0 {
+func (s *state) affordableEntries(dataCentres int) int {
+	if s.config.Role != RoleEntry || s.config.LongestInterval == 0 || s.meanHeartbeatBytes == 0 {
 		return 0
 	}
 	round := s.config.LongestInterval.Seconds() * float64(s.config.BytesPerSecond)
-	return int(round/s.beatBytes) / max(dataCentres, 1)
+	return int(round/s.meanHeartbeatBytes) / max(dataCentres, 1)
 }
 
-// chooseTargets lists the addresses of a round of heartbeats: some entries of this
+// chooseRecipients lists the addresses of a round of heartbeats: some entries of this
 // data centre and a few of each other one, or all that can be afforded. Everyone reports to
 // entries; agents are answered and need no round of their own.
 //
@@ -349,21 +349,21 @@
 // Which entries is decided by a rendezvous hash, so that each node keeps to its
 // own few, each entry hears of an even share, and the traffic of a node does not
 // grow with the fleet.
-func (s *state) chooseTargets() []string {
+func (s *state) chooseRecipients() []string {
 	byDataCentre := map[string][]*Member{}
 	for _, member := range s.members {
 		if member.Role() == RoleEntry && member.Addr() != "" {
 			byDataCentre[member.DataCentre()] = append(byDataCentre[member.DataCentre()], member)
 		}
 	}
-	afforded := s.affordedEntries(len(byDataCentre))
+	afforded := s.affordableEntries(len(byDataCentre))
 	var targets []string
 	for dataCentre, entries := range byDataCentre {
 		count := s.config.RemoteEntries
 		if dataCentre == s.config.DataCentre {
 			count = s.config.LocalEntries
 		}
-		for _, member := range s.nearest(entries, max(count, afforded)) {
+		for _, member := range s.highestRanked(entries, max(count, afforded)) {
 			targets = append(targets, member.Addr())
 		}
 	}
@@ -373,17 +373,17 @@
 	return targets
 }
 
-// nearest takes the members that the rendezvous hash ranks first for this node.
-func (s *state) nearest(members []*Member, count int) []*Member {
+// highestRanked takes the members that the rendezvous hash ranks first for this node.
+func (s *state) highestRanked(members []*Member, count int) []*Member {
 	sort.Slice(members, func(i, j int) bool {
 		return xxhash.Sum64String(s.config.Node+"\x00"+members[i].Name()) > xxhash.Sum64String(s.config.Node+"\x00"+members[j].Name())
 	})
 	return members[:min(count, len(members))]
 }
 
-// listLeaving names the nodes that the platform's list has as leaving and that
+// listedLeavingNames names the nodes that the platform's list has as leaving and that
 // may not know it yet.
-func (s *state) listLeaving() []string {
+func (s *state) listedLeavingNames() []string {
 	var names []string
 	for name, member := range s.members {
 		if member.Listed && member.VM.Leaving && len(names) < maxLeavingNames {
@@ -397,7 +397,7 @@
 const maxLeavingNames = 16
 
 func (s *state) view() *View {
-	view := &View{Members: make(map[string]*Member, len(s.members)), ListReadAt: s.listRead}
+	view := &View{Members: make(map[string]*Member, len(s.members)), ListReadAt: s.listReadAt}
 	for name, member := range s.members {
 		shown := *member
 		view.Members[name] = &shown
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -23,43 +23,43 @@
 	return newState(config)
 }
 
-func beat(node string, incarnation, sequence uint64) *wire.Heartbeat {
+func testHeartbeat(node string, incarnation, sequence uint64) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Node: node, Role: RoleAgent, DataCentre: "dc1", Addr: "127.0.0.1:2", Incarnation: incarnation, Sequence: sequence,
 	}
 }
 
-// ticks runs the detector every tick over a span of time.
-func (s *state) ticks(from time.Time, span time.Duration) time.Time {
+// runTicks runs the detector every tick over a span of time.
+func (s *state) runTicks(from time.Time, span time.Duration) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(s.config.Tick) {
 		s.tick(now)
 	}
 	return from.Add(span)
 }
 
-func TestSilenceMakesSuspectAndAWordClearsIt(t *testing.T) {
+func TestSilentNodeIsSuspectUntilNextHeartbeat(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
-	is.True(s.heard(testStart, beat("a", 1, 1)))
-	now := s.ticks(testStart, 900*time.Millisecond)
+	is.True(s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 1)))
+	now := s.runTicks(testStart, 900*time.Millisecond)
 	is.True(!s.members["a"].Suspect)
-	now = s.ticks(now, 300*time.Millisecond)
+	now = s.runTicks(now, 300*time.Millisecond)
 	is.True(s.members["a"].Suspect)
-	s.heard(now, beat("a", 1, 2))
+	s.acceptHeartbeat(now, testHeartbeat("a", 1, 2))
 	is.True(!s.members["a"].Suspect)
 }
 
 // Symptom: after an entry was paused, it refuses all work, since every endpoint
 // looks silent. Sequence: the process is stopped for longer than the detector's
 // limit and goes on. Cause, were it there: taking one's own absence for others'.
-func TestOwnPauseSuspectsNobody(t *testing.T) {
+func TestOwnPauseDoesNotSuspectPeers(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
-	s.heard(testStart, beat("a", 1, 1))
-	now := s.ticks(testStart, 200*time.Millisecond)
+	s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 1))
+	now := s.runTicks(testStart, 200*time.Millisecond)
 	s.tick(now.Add(time.Minute)) // the first tick after the pause
 	is.True(!s.members["a"].Suspect)
-	s.ticks(now.Add(time.Minute), 2*time.Second)
+	s.runTicks(now.Add(time.Minute), 2*time.Second)
 	is.True(s.members["a"].Suspect) // real silence still shows
 }
 
@@ -68,13 +68,13 @@
 func TestLateDatagramDoesNotUndoLeaving(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
-	leaving := beat("a", 2, 5)
+	leaving := testHeartbeat("a", 2, 5)
 	leaving.Leaving = true
-	s.heard(testStart, leaving)
-	is.True(!s.heard(testStart, beat("a", 2, 4))) // overtaken
-	is.True(!s.heard(testStart, beat("a", 1, 9))) // an earlier life
+	s.acceptHeartbeat(testStart, leaving)
+	is.True(!s.acceptHeartbeat(testStart, testHeartbeat("a", 2, 4))) // overtaken
+	is.True(!s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 9))) // an earlier life
 	is.True(s.members["a"].Leaving)
-	is.True(s.heard(testStart, beat("a", 3, 1))) // a new life serves
+	is.True(s.acceptHeartbeat(testStart, testHeartbeat("a", 3, 1))) // a new life serves
 	is.True(!s.members["a"].Leaving)
 }
 
@@ -85,129 +85,129 @@
 	is := is.New(t)
 	s := testState(RoleEntry)
 	vm := infra.VM{Name: "a", Role: RoleAgent, Leaving: true}
-	s.listed(testStart, []infra.VM{vm, {Name: "self", Leaving: true}})
-	s.heard(testStart, beat("a", 2, 1))
+	s.applyList(testStart, []infra.VM{vm, {Name: "self", Leaving: true}})
+	s.acceptHeartbeat(testStart, testHeartbeat("a", 2, 1))
 	is.True(s.members["a"].Leaving)
 	is.True(s.leaving(testStart))
 	vm.Leaving = false
-	s.listed(testStart, []infra.VM{vm, {Name: "self"}})
+	s.applyList(testStart, []infra.VM{vm, {Name: "self"}})
 	is.True(!s.members["a"].Leaving)
 	is.True(!s.leaving(testStart))
 }
 
-func TestAnotherNodesWordOfTheListIsBelievedForAWhile(t *testing.T) {
+func TestPeerReportOfLeavingExpires(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleAgent)
-	word := beat("entry", 1, 1)
+	word := testHeartbeat("entry", 1, 1)
 	word.Role, word.LeavingNodes = RoleEntry, []string{"self", "a"}
-	s.heard(testStart, beat("a", 1, 1))
-	s.heard(testStart, word)
+	s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 1))
+	s.acceptHeartbeat(testStart, word)
 	is.True(s.leaving(testStart))
 	is.True(s.members["a"].Leaving)
-	is.True(!s.leaving(testStart.Add(2 * rumourLife)))
+	is.True(!s.leaving(testStart.Add(2 * leavingReportTTL)))
 }
 
 // Symptom: a replaced VM refuses work for seconds after the list is right. Sequence:
 // this node reads the corrected list; another, which has not yet, passes on the old
 // word. Cause: taking another's word over one's own newer reading.
-func TestOwnFreshListCountsMoreThanAnothersWord(t *testing.T) {
+func TestFreshListOverridesPeerReportOfLeaving(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleAgent)
-	s.listed(testStart, []infra.VM{{Name: "self"}})
-	word := beat("entry", 1, 1)
+	s.applyList(testStart, []infra.VM{{Name: "self"}})
+	word := testHeartbeat("entry", 1, 1)
 	word.Role, word.LeavingNodes = RoleEntry, []string{"self"}
-	s.heard(testStart.Add(time.Second), word)
+	s.acceptHeartbeat(testStart.Add(time.Second), word)
 	is.True(!s.leaving(testStart.Add(time.Second)))
-	word = beat("entry", 1, 2)
+	word = testHeartbeat("entry", 1, 2)
 	word.Role, word.LeavingNodes = RoleEntry, []string{"self"}
-	s.heard(testStart.Add(time.Minute), word) // one's own reading is old by now
+	s.acceptHeartbeat(testStart.Add(time.Minute), word) // one's own reading is old by now
 	is.True(s.leaving(testStart.Add(time.Minute)))
 }
 
 func TestUnlistedSinceIsKept(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
-	s.heard(testStart, beat("a", 1, 1))
-	s.listed(testStart, []infra.VM{{Name: "a"}})
+	s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 1))
+	s.applyList(testStart, []infra.VM{{Name: "a"}})
 	is.True(s.members["a"].UnlistedSince.IsZero())
-	s.listed(testStart.Add(time.Second), nil)
-	s.listed(testStart.Add(2*time.Second), nil)
+	s.applyList(testStart.Add(time.Second), nil)
+	s.applyList(testStart.Add(2*time.Second), nil)
 	is.Equal(s.members["a"].UnlistedSince, testStart.Add(time.Second))
 }
 
 // A partial heartbeat keeps what the last whole one said of the node; from a node that is
 // not known it says too little.
-func TestAPartialHeartbeatKeepsWhoItIsFrom(t *testing.T) {
+func TestPartialHeartbeatKeepsNodeIdentity(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
-	is.True(!s.heard(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 1, Partial: true}))
-	whole := beat("a", 1, 2)
+	is.True(!s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 1, Partial: true}))
+	whole := testHeartbeat("a", 1, 2)
 	whole.Role = RoleEntry
-	is.True(s.heard(testStart, whole))
-	is.True(s.heard(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true}))
+	is.True(s.acceptHeartbeat(testStart, whole))
+	is.True(s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true}))
 	is.Equal(s.members["a"].Role(), RoleEntry)
 	is.Equal(s.members["a"].Addr(), "127.0.0.1:2")
-	is.True(!s.heard(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true})) // once more
-	is.Equal(s.targets(testStart), []string{"127.0.0.1:2"})
+	is.True(!s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true})) // once more
+	is.Equal(s.recipients(testStart), []string{"127.0.0.1:2"})
 }
 
 // Heartbeats come less often where there are more of them than their bytes allow.
-func TestHeartbeatsKeepToTheBytes(t *testing.T) {
+func TestHeartbeatIntervalKeepsByteRate(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
 	s.config.BytesPerSecond = 10_000
 	for range 100 {
-		s.beatInterval(4, 100)
+		s.heartbeatInterval(4, 100)
 	}
-	is.Equal(s.beatInterval(4, 100), s.config.Interval)
+	is.Equal(s.heartbeatInterval(4, 100), s.config.Interval)
 	for range 200 {
-		s.beatInterval(100, 100)
+		s.heartbeatInterval(100, 100)
 	}
-	interval := s.beatInterval(100, 100)
+	interval := s.heartbeatInterval(100, 100)
 	is.True(interval > 950*time.Millisecond && interval <= time.Second)
 }
 
-func TestTargetsAreBoundedAndFallBackToSeeds(t *testing.T) {
+func TestRecipientsAreBoundedAndFallBackToSeeds(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleAgent)
-	is.Equal(s.targets(testStart), []string{"127.0.0.1:9"})
+	is.Equal(s.recipients(testStart), []string{"127.0.0.1:9"})
 	var vms []infra.VM
 	for i := range 30 {
 		for _, dc := range []string{"dc1", "dc2"} {
 			vms = append(vms, infra.VM{Name: fmt.Sprint(dc, i), Role: RoleEntry, DataCentre: dc, Addr: fmt.Sprint("10.0.0.1:", i)})
 		}
 	}
-	s.listed(testStart, vms)
-	is.Equal(len(s.targets(testStart)), defaultNearEntries+defaultFarEntries)
+	s.applyList(testStart, vms)
+	is.Equal(len(s.recipients(testStart)), defaultNearEntries+defaultFarEntries)
 }
 
-func TestAdvisedIntervalKeepsToTheBytes(t *testing.T) {
+func TestAdvisedIntervalKeepsByteRate(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
 	for i := range 400 {
-		s.heard(testStart, beat(fmt.Sprint("a", i), 1, 1))
+		s.acceptHeartbeat(testStart, testHeartbeat(fmt.Sprint("a", i), 1, 1))
 	}
 	s.tick(testStart)
-	perSecond := 400 * heartbeatBytes / s.advised.Seconds()
+	perSecond := 400 * agentHeartbeatBytes / s.advisedInterval.Seconds()
 	is.True(perSecond <= float64(s.config.BytesPerSecond)+1)
-	is.True(s.suspectAfter() >= missedBeforeSuspect*s.advised)
+	is.True(s.suspectAfter() >= missedBeforeSuspect*s.advisedInterval)
 }
 
-type silentDelegate struct{}
+type noopDelegate struct{}
 
-func (silentDelegate) FillHeartbeat(time.Time, *wire.Heartbeat)   {}
-func (silentDelegate) HandleHeartbeat(time.Time, *wire.Heartbeat) {}
-func (silentDelegate) Tick(time.Time, *View)                      {}
+func (noopDelegate) FillHeartbeat(time.Time, *wire.Heartbeat)   {}
+func (noopDelegate) HandleHeartbeat(time.Time, *wire.Heartbeat) {}
+func (noopDelegate) Tick(time.Time, *View)                      {}
 
 func FuzzReceive(f *testing.F) {
-	good, err := proto.Marshal(beat("a", 1, 1))
+	good, err := proto.Marshal(testHeartbeat("a", 1, 1))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Add([]byte{})
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		loop := NewLoop(Config{Node: "self", Role: RoleEntry, DataCentre: "dc1", Interval: time.Second, SuspectAfter: time.Second}, silentDelegate{})
+		loop := NewLoop(Config{Node: "self", Role: RoleEntry, DataCentre: "dc1", Interval: time.Second, SuspectAfter: time.Second}, noopDelegate{})
 		loop.Receive(testStart, data)
 		loop.Step(testStart)
 	})
@@ -217,7 +217,7 @@
 // requests, and sends to engines that are in use. Sequence: entries of five data centres, each
 // of which reports to eight of its own and eight of each other one. Cause: whom an entry
 // reports to was a number, whatever the heartbeats take.
-func TestAnEntryReportsToAllThatItsBytesAllow(t *testing.T) {
+func TestEntryReportsToAllPeersWithinByteRate(t *testing.T) {
 	const dataCentres, bytes = 5, 150
 	for _, c := range []struct {
 		entries, least, most int
@@ -231,16 +231,16 @@
 			s := testState(RoleEntry)
 			s.config.LocalEntries, s.config.RemoteEntries, s.config.LongestInterval, s.config.BytesPerSecond = 8, 8, 300*time.Millisecond, 50_000
 			for i := range c.entries - 1 {
-				h := beat(fmt.Sprintf("e-%03d", i), 1, 1)
+				h := testHeartbeat(fmt.Sprintf("e-%03d", i), 1, 1)
 				h.Role, h.DataCentre, h.Addr = RoleEntry, fmt.Sprintf("dc%d", i%dataCentres), fmt.Sprintf("127.0.0.1:%d", 1000+i)
-				is.True(s.heard(testStart, h))
+				is.True(s.acceptHeartbeat(testStart, h))
 			}
-			targets := s.targets(testStart)
+			targets := s.recipients(testStart)
 			for range 200 {
-				s.beatInterval(len(targets), bytes)
+				s.heartbeatInterval(len(targets), bytes)
 			}
-			targets = s.targets(testStart.Add(2 * targetsLife))
-			interval := s.beatInterval(len(targets), bytes)
+			targets = s.recipients(testStart.Add(2 * recipientsTTL))
+			interval := s.heartbeatInterval(len(targets), bytes)
 			is.True(len(targets) >= c.least && len(targets) <= c.most)
 			is.True(interval <= s.config.LongestInterval)
 			is.True(float64(len(targets)*bytes)/interval.Seconds() <= float64(s.config.BytesPerSecond)*1.01)
