--- a/membership/state.go
+++ b/membership/state.go
@@ -10,24 +10,27 @@
 	"aspenyard.example/wire"
 )
 
-// Member is one node in a view.
+// Member is what a view knows of another node.
 type Member struct {
-	// LastHeartbeat is the latest heartbeat accepted; nil when only the list knows it.
+	// LastHeartbeat is the latest accepted heartbeat; nil if only the list has the node.
 	LastHeartbeat *wire.Heartbeat
-	// VM is the platform's line; Listed tells whether there is one.
+	// VM is the node's item in the platform's list; Listed is set while there is one.
 	VM     infra.VM
 	Listed bool
-	// Suspect: silent for too long. Leaving: by its own word or the list's.
+	// Suspect is set if no heartbeat came for too long. Leaving is set if the node or the
+	// platform's list says that the node is leaving.
 	Suspect, Leaving bool
-	// LastHeard is when Last arrived, moved on by this observer's own pauses.
+	// LastHeard is when LastHeartbeat arrived, moved forward by the pauses of this process.
 	LastHeard time.Time
-	// reportedLeavingAt is when another node last said that the list has this one as leaving.
+	// reportedLeavingAt is when another node last reported that the list has this node as
+	// leaving.
 	reportedLeavingAt time.Time
-	// UnlistedSince is when the list was first read without this node; zero: listed.
+	// UnlistedSince is when the list was first read without this node; zero while the node
+	// is listed.
 	UnlistedSince time.Time
 }
 
-// Addr is the node's address.
+// Addr returns the node's heartbeat address.
 func (m *Member) Addr() string {
 	if m.LastHeartbeat != nil {
 		return m.LastHeartbeat.Addr
@@ -35,7 +38,7 @@
 	return m.VM.Addr
 }
 
-// Name is the node's name.
+// Name returns the node's name.
 func (m *Member) Name() string {
 	if m.LastHeartbeat != nil {
 		return m.LastHeartbeat.Node
@@ -43,7 +46,7 @@
 	return m.VM.Name
 }
 
-// Role is the node's role.
+// Role returns the node's role, RoleEntry or RoleAgent.
 func (m *Member) Role() string {
 	if m.LastHeartbeat != nil {
 		return m.LastHeartbeat.Role
@@ -51,7 +54,7 @@
 	return m.VM.Role
 }
 
-// DataCentre is where the node stands.
+// DataCentre returns the node's data centre.
 func (m *Member) DataCentre() string {
 	if m.LastHeartbeat != nil {
 		return m.LastHeartbeat.DataCentre
@@ -59,22 +62,22 @@
 	return m.VM.DataCentre
 }
 
-// recentlyHeard tells whether the node was recentlyHeard of lately.
+// recentlyHeard returns whether the node has sent heartbeats and is not suspect.
 func (m *Member) recentlyHeard() bool { return m.LastHeartbeat != nil && !m.Suspect }
 
-// Alive tells whether the node was heard of lately and is not leaving.
+// Alive returns whether the node has sent heartbeats, is not suspect and is not leaving.
 func (m *Member) Alive() bool { return m.recentlyHeard() && !m.Leaving }
 
-// View is an immutable state of the membership.
+// View is an immutable snapshot of the membership.
 type View struct {
-	// Members by name, this node excluded.
+	// Members holds the other nodes by name.
 	Members map[string]*Member
-	// ListReadAt is when the platform's list was last read; zero: never.
+	// ListReadAt is when the platform's list was last read; zero if it never was.
 	ListReadAt time.Time
 }
 
-// Entries lists the live entries of a data centre ("" for all), this node
-// excluded, by name.
+// Entries returns the entries of a data centre ("" for all) that are alive, sorted by
+// name, without this node.
 func (v *View) Entries(dataCentre string) []*Member {
 	var entries []*Member
 	for _, m := range v.Members {
@@ -86,36 +89,38 @@
 	return entries
 }
 
-// EntryCount counts the entries that may be serving, this node excluded: those
-// that are heard of and those that the platform lists.
+// EntryCount returns the number of other entries that may be serving: those that send
+// heartbeats or are listed by the platform, without those that are leaving.
 func (v *View) EntryCount() int {
 	return v.countEntries(func(m *Member) bool { return !m.Leaving })
 }
 
-// EntryCountWithLeaving counts the entries among which a limit is shared, this node excluded: those
-// of EntryCount and those that are leaving, which still serve what they have.
+// EntryCountWithLeaving returns the number of other entries that share a limit: those of
+// EntryCount and those that are leaving, which still serve their requests in flight.
 func (v *View) EntryCountWithLeaving() int {
 	return v.countEntries(func(*Member) bool { return true })
 }
 
-// countEntries counts, of the entries that are heard of or listed, those that are asked for.
-func (v *View) countEntries(asked func(m *Member) bool) int {
+// countEntries counts the entries that send heartbeats or are listed and that include
+// accepts.
+func (v *View) countEntries(include func(m *Member) bool) int {
 	count := 0
 	for _, m := range v.Members {
-		if m.Role() == RoleEntry && (m.Listed || m.recentlyHeard()) && asked(m) {
+		if m.Role() == RoleEntry && (m.Listed || m.recentlyHeard()) && include(m) {
 			count++
 		}
 	}
 	return count
 }
 
-// state is the membership itself. It belongs to the control thread.
+// state is the membership and the heartbeat schedule of this node. It belongs to the
+// control thread.
 type state struct {
 	config     Config
 	members    map[string]*Member
 	listReadAt time.Time
-	// leaveRequested: this process was told to stop; listedLeaving and rumoured: what the
-	// platform's list says of this node, as read here and as told by others.
+	// leaveRequested is set by Leave, listedLeaving if this node has read in the platform's
+	// list that it is leaving. reportedLeavingAt is when another node last reported so.
 	leaveRequested, listedLeaving bool
 	reportedLeavingAt             time.Time
 	lastTick                      time.Time
@@ -123,15 +128,16 @@
 	sequence                      uint64
 	interval                      time.Duration
 	viewChanged                   bool
-	// advisedInterval and leavingNames are made anew at each tick: every heartbeat
-	// received is answered with them, so that making them then would cost each
-	// answer a walk over all members.
+	// advisedInterval and leavingNames are computed at each tick. Every answer to a
+	// heartbeat carries them, and computing them there would cost a pass over all
+	// members for each answer.
 	advisedInterval time.Duration
 	leavingNames    []string
-	// recipientAddrs are the addresses of a round of heartbeats, chosen at targetsAt.
+	// recipientAddrs are the addresses that heartbeats are sent to, as chosen at
+	// recipientsChosenAt; zero if they must be chosen again.
 	recipientAddrs     []string
 	recipientsChosenAt time.Time
-	// meanHeartbeatBytes is the mean size of a heartbeat.
+	// meanHeartbeatBytes is the moving average of the size of sent heartbeats.
 	meanHeartbeatBytes float64
 }
 
@@ -139,14 +145,15 @@
 	return &state{config: config, members: map[string]*Member{}, interval: config.Interval}
 }
 
-// acceptHeartbeat accepts a heartbeat unless it is older than what is known.
+// acceptHeartbeat applies a heartbeat and returns true, unless it is outdated, is this
+// node's own, or is a partial one of a node that is not known.
 func (s *state) acceptHeartbeat(now time.Time, h *wire.Heartbeat) bool {
 	if h.Node == s.config.Node || h.Node == "" {
 		return false
 	}
 	member := s.members[h.Node]
 	if h.Partial && (member == nil || member.LastHeartbeat == nil) {
-		return false // who it is comes with the next whole one
+		return false // the next full heartbeat identifies the node
 	}
 	if member == nil {
 		member = &Member{}
@@ -154,8 +161,8 @@
 		s.recipientsChosenAt = time.Time{}
 	}
 	if last := member.LastHeartbeat; last != nil {
-		// A delayed datagram of an earlier life, or one overtaken on its way, must
-		// not bring back an old state such as "not leaving".
+		// A datagram of an earlier incarnation, or one that a later one has overtaken,
+		// must not restore an old state such as "not leaving".
 		if h.Incarnation < last.Incarnation || (h.Incarnation == last.Incarnation && h.Sequence <= last.Sequence) {
 			return false
 		}
@@ -176,27 +183,27 @@
 	return true
 }
 
-// leavingReportTTL is how long another node's word about the list counts without being
-// repeated.
+// leavingReportTTL is how long another node's report that a node is listed as leaving
+// counts if it is not repeated.
 const leavingReportTTL = 10 * time.Second
 
-// updateLeaving believes whichever source says "leaving": the node's own last word, the
-// list as last read here, or another node's word about the list. Each is taken as
-// it stands now and none is remembered: a VM that is replaced under its old name
-// is still "leaving" in a lagging list, and must get work once the list is right.
+// updateLeaving sets Leaving if any source says so: the node's last heartbeat, the list as
+// last read here, or another node's recent report of the list. Only the latest state of
+// each source counts: a VM that is replaced under its old name is still "leaving" in a
+// lagging list, and must get requests once the list is corrected.
 func (m *Member) updateLeaving(now time.Time) {
 	m.Leaving = (m.LastHeartbeat != nil && m.LastHeartbeat.Leaving) || (m.Listed && m.VM.Leaving) || reportIsRecent(now, m.reportedLeavingAt)
 }
 
-func reportIsRecent(now, rumoured time.Time) bool {
-	return !rumoured.IsZero() && now.Sub(rumoured) < leavingReportTTL
+func reportIsRecent(now, reportedAt time.Time) bool {
+	return !reportedAt.IsZero() && now.Sub(reportedAt) < leavingReportTTL
 }
 
-// freshListAge is how recent this node's own reading of the list must be to count
-// more than another node's word about it, which may come from an older reading.
+// freshListAge is the age up to which this node's own reading of the list overrides other
+// nodes' reports, which may come from an older reading.
 const freshListAge = 3 * time.Second
 
-// recordLeavingReport notes another node's word that the list has a node as leaving.
+// recordLeavingReport records another node's report that the list has a node as leaving.
 func (s *state) recordLeavingReport(now time.Time, name string) {
 	if !s.listReadAt.IsZero() && now.Sub(s.listReadAt) < freshListAge {
 		return
@@ -212,12 +219,12 @@
 	}
 }
 
-// leaving tells whether this node is leaving, by any source.
+// leaving returns whether this node is leaving, by any source.
 func (s *state) leaving(now time.Time) bool {
 	return s.leaveRequested || s.listedLeaving || reportIsRecent(now, s.reportedLeavingAt)
 }
 
-// applyList takes in the platform's list.
+// applyList replaces what is known from the platform's list.
 func (s *state) applyList(now time.Time, vms []infra.VM) {
 	s.listReadAt = now
 	s.viewChanged = true
@@ -252,9 +259,9 @@
 
 // tick runs the failure detector.
 //
-// When this process was itself paused, all others look silent afterwards. The
-// gap between two ticks shows the pause, and every member's last heartbeat is
-// moved on by it, so that nobody is suspected for this node's own absence.
+// After a pause of this process all other nodes look silent. The gap between two ticks
+// shows the pause, and every member's LastHeard is moved forward by it, so that no node
+// is suspected because of this one's pause.
 func (s *state) tick(now time.Time) {
 	if !s.lastTick.IsZero() {
 		if pause := now.Sub(s.lastTick) - s.config.Tick; pause > s.config.Tick {
@@ -268,25 +275,26 @@
 	s.leavingNames = s.listedLeavingNames()
 	limit := s.suspectAfter()
 	for name, member := range s.members {
-		silent := now.Sub(member.LastHeard)
-		if member.LastHeartbeat != nil && !member.Suspect && silent > limit {
+		silence := now.Sub(member.LastHeard)
+		if member.LastHeartbeat != nil && !member.Suspect && silence > limit {
 			member.Suspect = true
 			s.viewChanged = true
 		}
-		if !member.Listed && silent > s.config.RemoveAfter {
+		if !member.Listed && silence > s.config.RemoveAfter {
 			delete(s.members, name)
 			s.viewChanged = true
 		}
 	}
 }
 
-// suspectAfter stretches with the interval that a large fleet needs.
+// suspectAfter returns the time without a heartbeat after which a node is suspect. It
+// grows with the longer interval that a large fleet needs.
 func (s *state) suspectAfter() time.Duration {
 	return max(s.config.SuspectAfter, missedBeforeSuspect*s.advisedInterval)
 }
 
-// computeAdvisedInterval is what this entry asks of its agents, so that their heartbeats
-// stay within its bytes a second.
+// computeAdvisedInterval returns the heartbeat interval that an entry advises its agents
+// of, so that their heartbeats stay within BytesPerSecond. It is 0 on an agent.
 func (s *state) computeAdvisedInterval() time.Duration {
 	if s.config.Role != RoleEntry {
 		return 0
@@ -301,11 +309,11 @@
 	return max(s.config.Interval, needed)
 }
 
-// recipientsTTL is how long the choice of whom to report to stands. Who came or went is
-// seen at once; the rest is not worth a sort for each heartbeat.
+// recipientsTTL is how long the chosen recipients are kept. New members and a new list
+// change them at once; other changes are not worth a sort for each heartbeat.
 const recipientsTTL = time.Second
 
-// recipients gives the addresses of a round of heartbeats.
+// recipients returns the addresses that a round of heartbeats is sent to.
 func (s *state) recipients(now time.Time) []string {
 	if s.recipientsChosenAt.IsZero() || now.Sub(s.recipientsChosenAt) > recipientsTTL {
 		s.recipientAddrs, s.recipientsChosenAt = s.chooseRecipients(), now
@@ -313,42 +321,43 @@
 	return s.recipientAddrs
 }
 
-// heartbeatSizeSamples is over how many heartbeats the size is averaged: whole ones come between
-// many partial ones.
+// heartbeatSizeSamples is the number of heartbeats over which their size is averaged,
+// since full ones come between many partial ones.
 const heartbeatSizeSamples = 10
 
-// heartbeatInterval is the time to the next round of heartbeats, after one of so many bytes
-// each.
-func (s *state) heartbeatInterval(targets, bytes int) time.Duration {
+// heartbeatInterval returns the time until the next round of heartbeats, after a round of
+// one heartbeat of the given size to each recipient.
+func (s *state) heartbeatInterval(recipients, bytes int) time.Duration {
 	if s.config.Role != RoleEntry {
 		return s.interval
 	}
 	s.meanHeartbeatBytes += (float64(bytes) - s.meanHeartbeatBytes) / heartbeatSizeSamples
-	needed := float64(targets) * s.meanHeartbeatBytes / float64(s.config.BytesPerSecond)
+	needed := float64(recipients) * s.meanHeartbeatBytes / float64(s.config.BytesPerSecond)
 	return max(s.config.Interval, time.Duration(needed*float64(time.Second)))
 }
 
-// affordableEntries is to how many entries of each data centre this one can report without
-// its heartbeats being further apart than LongestInterval.
+// affordableEntries returns to how many entries of each data centre this entry can report
+// at LongestInterval within BytesPerSecond.
 func (s *state) affordableEntries(dataCentres int) int {
 	if s.config.Role != RoleEntry || s.config.LongestInterval == 0 || s.meanHeartbeatBytes == 0 {
 		return 0
 	}
-	round := s.config.LongestInterval.Seconds() * float64(s.config.BytesPerSecond)
-	return int(round/s.meanHeartbeatBytes) / max(dataCentres, 1)
+	roundBytes := s.config.LongestInterval.Seconds() * float64(s.config.BytesPerSecond)
+	return int(roundBytes/s.meanHeartbeatBytes) / max(dataCentres, 1)
 }
 
-// chooseRecipients lists the addresses of a round of heartbeats: some entries of this
-// data centre and a few of each other one, or all that can be afforded. Everyone reports to
-// entries; agents are answered and need no round of their own.
+// chooseRecipients returns the addresses that a round of heartbeats is sent to: entries of
+// this data centre and of each other one, as many as LocalEntries and RemoteEntries say
+// or as affordableEntries allows. All nodes report to entries; agents get answers instead
+// of rounds of heartbeats.
 //
-// Entries that hear of a part of the others multiply it up to all, and two that hear of
-// different ones send to the same engines: an entry that knows all others' work serves more
-// than one that knows of it sooner.
+// An entry that hears only some of the others extrapolates their load to all, and two
+// entries that hear different ones send to the same engines. It serves more requests to
+// know the load of all others late than that of some sooner.
 //
-// Which entries is decided by a rendezvous hash, so that each node keeps to its
-// own few, each entry hears of an even share, and the traffic of a node does not
-// grow with the fleet.
+// Rendezvous hashing chooses the entries, so that each node keeps its recipients, every
+// entry receives an even share of the heartbeats, and the traffic of a node does not grow
+// with the fleet.
 func (s *state) chooseRecipients() []string {
 	byDataCentre := map[string][]*Member{}
 	for _, member := range s.members {
@@ -356,24 +365,25 @@
 			byDataCentre[member.DataCentre()] = append(byDataCentre[member.DataCentre()], member)
 		}
 	}
-	afforded := s.affordableEntries(len(byDataCentre))
-	var targets []string
+	affordable := s.affordableEntries(len(byDataCentre))
+	var recipients []string
 	for dataCentre, entries := range byDataCentre {
 		count := s.config.RemoteEntries
 		if dataCentre == s.config.DataCentre {
 			count = s.config.LocalEntries
 		}
-		for _, member := range s.highestRanked(entries, max(count, afforded)) {
-			targets = append(targets, member.Addr())
+		for _, member := range s.highestRanked(entries, max(count, affordable)) {
+			recipients = append(recipients, member.Addr())
 		}
 	}
-	if len(targets) == 0 {
+	if len(recipients) == 0 {
 		return s.config.Seeds
 	}
-	return targets
+	return recipients
 }
 
-// highestRanked takes the members that the rendezvous hash ranks first for this node.
+// highestRanked returns the members that the rendezvous hash ranks first for this node, at
+// most count of them. It sorts members in place.
 func (s *state) highestRanked(members []*Member, count int) []*Member {
 	sort.Slice(members, func(i, j int) bool {
 		return xxhash.Sum64String(s.config.Node+"\x00"+members[i].Name()) > xxhash.Sum64String(s.config.Node+"\x00"+members[j].Name())
@@ -381,8 +391,8 @@
 	return members[:min(count, len(members))]
 }
 
-// listedLeavingNames names the nodes that the platform's list has as leaving and that
-// may not know it yet.
+// listedLeavingNames returns the nodes that the platform's list has as leaving, at most
+// maxLeavingNames. They may not know it yet themselves.
 func (s *state) listedLeavingNames() []string {
 	var names []string
 	for name, member := range s.members {
@@ -396,11 +406,12 @@
 // maxLeavingNames keeps a heartbeat within one datagram.
 const maxLeavingNames = 16
 
+// view returns a copy of the membership for publishing.
 func (s *state) view() *View {
 	view := &View{Members: make(map[string]*Member, len(s.members)), ListReadAt: s.listReadAt}
 	for name, member := range s.members {
-		shown := *member
-		view.Members[name] = &shown
+		published := *member
+		view.Members[name] = &published
 	}
 	return view
 }
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// runTicks runs the detector every tick over a span of time.
+// runTicks runs the failure detector every tick over a span of time and returns its end.
 func (s *state) runTicks(from time.Time, span time.Duration) time.Time {
 	for now := from; now.Before(from.Add(span)); now = now.Add(s.config.Tick) {
 		s.tick(now)
@@ -49,9 +49,9 @@
 	is.True(!s.members["a"].Suspect)
 }
 
-// Symptom: after an entry was paused, it refuses all work, since every endpoint
-// looks silent. Sequence: the process is stopped for longer than the detector's
-// limit and goes on. Cause, were it there: taking one's own absence for others'.
+// Guards against an entry that refuses all requests after it was paused for longer than
+// the failure detector's limit, because it takes its own pause for the silence of every
+// endpoint.
 func TestOwnPauseDoesNotSuspectPeers(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
@@ -60,11 +60,11 @@
 	s.tick(now.Add(time.Minute)) // the first tick after the pause
 	is.True(!s.members["a"].Suspect)
 	s.runTicks(now.Add(time.Minute), 2*time.Second)
-	is.True(s.members["a"].Suspect) // real silence still shows
+	is.True(s.members["a"].Suspect) // real silence is still detected
 }
 
-// Symptom: a leaving endpoint gets work again. Sequence: a datagram from before it
-// said so arrives late. Cause, were it there: taking datagrams as they come.
+// Guards against an endpoint that is leaving and gets requests again, because a datagram
+// from before it said so arrives late.
 func TestLateDatagramDoesNotUndoLeaving(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
@@ -72,15 +72,14 @@
 	leaving.Leaving = true
 	s.acceptHeartbeat(testStart, leaving)
 	is.True(!s.acceptHeartbeat(testStart, testHeartbeat("a", 2, 4))) // overtaken
-	is.True(!s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 9))) // an earlier life
+	is.True(!s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 9))) // an earlier incarnation
 	is.True(s.members["a"].Leaving)
-	is.True(s.acceptHeartbeat(testStart, testHeartbeat("a", 3, 1))) // a new life serves
+	is.True(s.acceptHeartbeat(testStart, testHeartbeat("a", 3, 1))) // a new incarnation serves
 	is.True(!s.members["a"].Leaving)
 }
 
-// Symptom: a replaced VM never gets work. Sequence: the list still has its name as
-// leaving when the new process starts, and is then corrected. Cause: remembering
-// the list's old word.
+// Guards against a replaced VM that never gets requests: the list still has its name as
+// leaving when the new process starts, and the corrected list must end that.
 func TestCorrectedListEndsLeaving(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
@@ -98,29 +97,29 @@
 func TestPeerReportOfLeavingExpires(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleAgent)
-	word := testHeartbeat("entry", 1, 1)
-	word.Role, word.LeavingNodes = RoleEntry, []string{"self", "a"}
+	report := testHeartbeat("entry", 1, 1)
+	report.Role, report.LeavingNodes = RoleEntry, []string{"self", "a"}
 	s.acceptHeartbeat(testStart, testHeartbeat("a", 1, 1))
-	s.acceptHeartbeat(testStart, word)
+	s.acceptHeartbeat(testStart, report)
 	is.True(s.leaving(testStart))
 	is.True(s.members["a"].Leaving)
 	is.True(!s.leaving(testStart.Add(2 * leavingReportTTL)))
 }
 
-// Symptom: a replaced VM refuses work for seconds after the list is right. Sequence:
-// this node reads the corrected list; another, which has not yet, passes on the old
-// word. Cause: taking another's word over one's own newer reading.
+// Guards against a replaced VM that refuses requests for seconds after the list is
+// corrected: this node has read the corrected list, and another, which has not, still
+// reports the old state.
 func TestFreshListOverridesPeerReportOfLeaving(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleAgent)
 	s.applyList(testStart, []infra.VM{{Name: "self"}})
-	word := testHeartbeat("entry", 1, 1)
-	word.Role, word.LeavingNodes = RoleEntry, []string{"self"}
-	s.acceptHeartbeat(testStart.Add(time.Second), word)
+	report := testHeartbeat("entry", 1, 1)
+	report.Role, report.LeavingNodes = RoleEntry, []string{"self"}
+	s.acceptHeartbeat(testStart.Add(time.Second), report)
 	is.True(!s.leaving(testStart.Add(time.Second)))
-	word = testHeartbeat("entry", 1, 2)
-	word.Role, word.LeavingNodes = RoleEntry, []string{"self"}
-	s.acceptHeartbeat(testStart.Add(time.Minute), word) // one's own reading is old by now
+	report = testHeartbeat("entry", 1, 2)
+	report.Role, report.LeavingNodes = RoleEntry, []string{"self"}
+	s.acceptHeartbeat(testStart.Add(time.Minute), report) // this node's own reading is old by now
 	is.True(s.leaving(testStart.Add(time.Minute)))
 }
 
@@ -135,23 +134,24 @@
 	is.Equal(s.members["a"].UnlistedSince, testStart.Add(time.Second))
 }
 
-// A partial heartbeat keeps what the last whole one said of the node; from a node that is
-// not known it says too little.
+// A partial heartbeat keeps the identity that the last full one gave the node. From an
+// unknown node it is ignored.
 func TestPartialHeartbeatKeepsNodeIdentity(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
 	is.True(!s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 1, Partial: true}))
-	whole := testHeartbeat("a", 1, 2)
-	whole.Role = RoleEntry
-	is.True(s.acceptHeartbeat(testStart, whole))
+	full := testHeartbeat("a", 1, 2)
+	full.Role = RoleEntry
+	is.True(s.acceptHeartbeat(testStart, full))
 	is.True(s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true}))
 	is.Equal(s.members["a"].Role(), RoleEntry)
 	is.Equal(s.members["a"].Addr(), "127.0.0.1:2")
-	is.True(!s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true})) // once more
+	is.True(!s.acceptHeartbeat(testStart, &wire.Heartbeat{Node: "a", Incarnation: 1, Sequence: 3, Partial: true})) // a duplicate
 	is.Equal(s.recipients(testStart), []string{"127.0.0.1:2"})
 }
 
-// Heartbeats come less often where there are more of them than their bytes allow.
+// The heartbeat interval grows when there are more recipients than BytesPerSecond allows
+// at the configured one.
 func TestHeartbeatIntervalKeepsByteRate(t *testing.T) {
 	is := is.New(t)
 	s := testState(RoleEntry)
@@ -213,12 +213,12 @@
 	})
 }
 
-// Symptom: at sixty entries each knows of two thirds of the others, sees none of the rest's
-// requests, and sends to engines that are in use. Sequence: entries of five data centres, each
-// of which reports to eight of its own and eight of each other one. Cause: whom an entry
-// reports to was a number, whatever the heartbeats take.
+// Guards against entries that know only some of the others while BytesPerSecond allows
+// reports to all. With sixty entries in five data centres, each of which reported to eight
+// per data centre, an entry knew two thirds of the others, did not see the requests of the
+// rest, and sent to engines that were in use.
 func TestEntryReportsToAllPeersWithinByteRate(t *testing.T) {
-	const dataCentres, bytes = 5, 150
+	const dataCentres, heartbeatBytes = 5, 150
 	for _, c := range []struct {
 		entries, least, most int
 	}{
@@ -235,15 +235,15 @@
 				h.Role, h.DataCentre, h.Addr = RoleEntry, fmt.Sprintf("dc%d", i%dataCentres), fmt.Sprintf("127.0.0.1:%d", 1000+i)
 				is.True(s.acceptHeartbeat(testStart, h))
 			}
-			targets := s.recipients(testStart)
+			recipients := s.recipients(testStart)
 			for range 200 {
-				s.heartbeatInterval(len(targets), bytes)
+				s.heartbeatInterval(len(recipients), heartbeatBytes)
 			}
-			targets = s.recipients(testStart.Add(2 * recipientsTTL))
-			interval := s.heartbeatInterval(len(targets), bytes)
-			is.True(len(targets) >= c.least && len(targets) <= c.most)
+			recipients = s.recipients(testStart.Add(2 * recipientsTTL))
+			interval := s.heartbeatInterval(len(recipients), heartbeatBytes)
+			is.True(len(recipients) >= c.least && len(recipients) <= c.most)
 			is.True(interval <= s.config.LongestInterval)
-			is.True(float64(len(targets)*bytes)/interval.Seconds() <= float64(s.config.BytesPerSecond)*1.01)
+			is.True(float64(len(recipients)*heartbeatBytes)/interval.Seconds() <= float64(s.config.BytesPerSecond)*1.01)
 		})
 	}
 }
