--- a/membership/config.go
+++ b/membership/config.go
@@ -1,11 +1,11 @@
 // Package membership runs a node's control loop: one thread that owns the
 // heartbeats, the timers and all control state, and publishes immutable views
-// for the threads that carry traffic.
+// for the threads that serve requests.
 //
-// It tells who is there by two sources: the nodes' own heartbeats, and the
-// platform's lagging list of VMs. Whichever says first that a node is leaving is
-// believed. Nothing that must hold depends on this knowledge: a wrong or stale
-// view sends a request to an agent that refuses it.
+// It learns the other nodes from two sources: their own heartbeats, and the platform's
+// list of VMs, which lags. A node counts as leaving as soon as one of them says so. No
+// guarantee depends on this knowledge: with a wrong or stale view, a request is sent to
+// an agent that refuses it.
 package membership
 
 import (
@@ -14,47 +14,49 @@
 	"aspenyard.example/wire"
 )
 
-// Config of a control loop.
+// Config configures a control loop.
 type Config struct {
 	// Node, Role and DataCentre identify this process; Role is RoleEntry or
 	// RoleAgent.
 	Node, Role, DataCentre string
-	// Listen is the UDP address for heartbeats; Advertise is the address told to
-	// others.
+	// Listen is the UDP address for heartbeats; Advertise is the address that other
+	// nodes send to.
 	Listen, Advertise string
-	// Incarnation rises with each life of the node.
+	// Incarnation numbers the incarnations of the node and rises with each start.
 	Incarnation uint64
-	// Interval between heartbeats. Shorter finds failures sooner and costs each
-	// entry one datagram per agent and interval.
+	// Interval is the time between heartbeats. A shorter one detects failures sooner;
+	// each entry receives one datagram per agent and interval.
 	Interval time.Duration
-	// SuspectAfter is the silence after which a node is suspect. Shorter moves
-	// work away sooner; longer forgives more lost datagrams. At least four
-	// intervals, so that one of four may be lost without consequence.
+	// SuspectAfter is the time without a heartbeat after which a node is suspect. A
+	// shorter one moves requests away sooner; a longer one tolerates more lost
+	// datagrams. It must be at least four intervals, so that one heartbeat in four
+	// may be lost without consequence.
 	SuspectAfter time.Duration
-	// RemoveAfter is the silence after which a node that the platform does not
-	// list either is dropped from the view.
+	// RemoveAfter is the time without a heartbeat after which a node that the platform
+	// does not list either is removed from the view. Default one minute.
 	RemoveAfter time.Duration
-	// Tick is the period of timers and of publishing views; default 50ms.
+	// Tick is the period of the timers and of publishing views; default 50ms.
 	Tick time.Duration
-	// BytesPerSecond bounds what heartbeats cost a receiving entry: it advises
-	// its agents of a longer interval when they are many, and takes a longer one itself
-	// when it reports to many others. Default 4,000.
+	// BytesPerSecond bounds the heartbeats that an entry receives from its agents and
+	// sends to other entries, in bytes per second each: it advises its agents of a
+	// longer interval when there are many, and uses a longer one itself when it reports
+	// to many entries. Default 4,000.
 	BytesPerSecond int
-	// LocalEntries and RemoteEntries are how many entries a node reports to in its own data
-	// centre and in each other one; defaults 8 and 2. More of them know more of the
-	// node's load, and receive more heartbeats.
+	// LocalEntries and RemoteEntries are how many entries a node reports to in its own
+	// data centre and in each other one; defaults 8 and 2. With more, more entries know
+	// the node's load, and each receives more heartbeats.
 	LocalEntries, RemoteEntries int
-	// LongestInterval is how far an entry's heartbeats to other entries may be apart where
-	// they are many: it reports to as many of them as BytesPerSecond allow at that interval,
-	// at least NearEntries and FarEntries, and to all where these are fewer. Longer lets
-	// more entries know of each other, of an older state. 0: to NearEntries and FarEntries
-	// alone.
+	// LongestInterval is the interval at which an entry may send heartbeats in order to
+	// reach more entries: it reports to as many as BytesPerSecond allows at that
+	// interval, or to all if there are fewer, but at least to LocalEntries and
+	// RemoteEntries. With a longer interval, more entries know each other's state, but
+	// know it later. With 0, an entry reports to LocalEntries and RemoteEntries only.
 	LongestInterval time.Duration
-	// Seeds are entries' addresses to use before the platform's list is known.
+	// Seeds are addresses of entries to report to while no entry is known.
 	Seeds []string
 }
 
-// The roles.
+// The roles of a node.
 const (
 	RoleEntry = "entry"
 	RoleAgent = "agent"
@@ -66,10 +68,11 @@
 	defaultForgetAfter    = time.Minute
 	defaultNearEntries    = 8
 	defaultFarEntries     = 2
-	// agentHeartbeatBytes is an agent's heartbeat with its UDP and IP headers, as
-	// measured by the capacity bench.
+	// agentHeartbeatBytes is the size of an agent's heartbeat with its UDP and IP
+	// headers, as measured by the capacity bench.
 	agentHeartbeatBytes = 223
-	// missedBeforeSuspect is how many heartbeats in a row may be lost.
+	// missedBeforeSuspect is how many heartbeats in a row a node may miss before it is
+	// suspect.
 	missedBeforeSuspect = 4
 )
 
@@ -91,13 +94,13 @@
 	}
 }
 
-// Delegate is the role's part of the control state. All methods run on the
-// control thread.
+// Delegate holds the control state of a role: entry, gateway or agent. All methods run
+// on the control thread.
 type Delegate interface {
-	// FillHeartbeat adds the role's own state to a heartbeat about to be sent.
+	// FillHeartbeat adds the role's state to a heartbeat before it is sent.
 	FillHeartbeat(now time.Time, h *wire.Heartbeat)
-	// HandleHeartbeat tells of an accepted heartbeat.
+	// HandleHeartbeat is called for each accepted heartbeat of another node.
 	HandleHeartbeat(now time.Time, h *wire.Heartbeat)
-	// Tick runs the role's timers; members is the present view.
+	// Tick runs the role's timers; members is the current view.
 	Tick(now time.Time, members *View)
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -8,12 +8,12 @@
 	"aspenyard.example/infra"
 )
 
-// maxListBackoff bounds how far the wait between failed reads grows.
+// maxListBackoff is the largest factor by which failed reads lengthen the interval.
 const maxListBackoff = 16
 
-// PollList reads the platform's list every interval until ctx ends. After
-// failures it waits longer, with jitter, so that the platform's return does not
-// meet all nodes at once.
+// PollList reads the platform's list of VMs every interval until ctx ends. After
+// failures it waits longer, with jitter, so that a platform that recovers is not hit by
+// all nodes at once.
 func (l *Loop) PollList(ctx context.Context, list infra.VMList, interval time.Duration) {
 	factor := 1
 	for ctx.Err() == nil {
@@ -29,17 +29,17 @@
 	}
 }
 
-// listReadsPerSecond is what the whole fleet may take of the platform's reads
-// for its list.
+// listReadsPerSecond bounds the list reads per second of the whole fleet.
 const listReadsPerSecond = 100
 
-// listInterval stretches the interval so that the fleet stays within its reads.
+// listInterval returns the configured interval, or a longer one that keeps a large fleet
+// within listReadsPerSecond.
 func (l *Loop) listInterval(configured time.Duration) time.Duration {
 	fleet := time.Duration(len(l.View().Members) + 1)
 	return max(configured, fleet*time.Second/listReadsPerSecond)
 }
 
-// Sleep waits, or returns when ctx ends.
+// Sleep returns after wait, or as soon as ctx ends.
 func Sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -17,25 +17,27 @@
 	"aspenyard.example/wire"
 )
 
-// ErrStopped is returned by Do once the loop has stopped.
+// ErrStopped is the error of Do once the loop has stopped.
 var ErrStopped = errors.New("membership: control loop stopped")
 
-// Stats counts the loop's traffic.
+// Stats counts the heartbeat traffic of a loop. Bytes include the IP and UDP headers.
 type Stats struct {
 	SentBytes, ReceivedBytes, SentDatagrams, ReceivedDatagrams atomic.Uint64
 }
 
-// Loop is a node's control thread: one gnet event loop over UDP.
+// Loop is a node's control thread: one gnet event loop over UDP. Its methods are safe for
+// concurrent use unless they say that they belong to the control thread.
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	// Stats is safe to read from any thread.
+	// Stats may be read on any thread.
 	Stats Stats
 
-	config    Config
-	delegate  Delegate
-	state     *state
-	view      atomic.Pointer[View]
+	config   Config
+	delegate Delegate
+	state    *state
+	view     atomic.Pointer[View]
+	// eventLoop is nil until the first datagram arrives, see OnTick.
 	eventLoop atomic.Pointer[gnet.EventLoop]
 	engine    gnet.Engine
 	sender    *net.UDPConn
@@ -45,7 +47,7 @@
 	leaving   atomic.Bool
 }
 
-// NewLoop makes a loop; Run starts it.
+// NewLoop returns a control loop, which does not run before Run.
 func NewLoop(config Config, delegate Delegate) *Loop {
 	config.setDefaults()
 	l := &Loop{
@@ -56,13 +58,14 @@
 	return l
 }
 
-// View is the latest published view; safe from any thread.
+// View returns the latest published view. It is never nil.
 func (l *Loop) View() *View { return l.view.Load() }
 
-// Leaving tells whether this node is known to be leaving; safe from any thread.
+// Leaving returns whether this node is leaving: by its own Leave, by the platform's list,
+// or by what another node has read in that list.
 func (l *Loop) Leaving() bool { return l.leaving.Load() }
 
-// Run serves until ctx ends.
+// Run runs the loop until ctx ends. It fails if the loop cannot listen.
 func (l *Loop) Run(ctx context.Context) error {
 	go func() {
 		<-ctx.Done()
@@ -84,8 +87,8 @@
 	})
 }
 
-// OnBoot implements gnet.EventHandler: it takes a second handle of the socket,
-// to send from the address that is listened on.
+// OnBoot implements gnet.EventHandler. It duplicates the socket's descriptor, so that
+// heartbeats are sent from the address that the loop listens on.
 func (l *Loop) OnBoot(engine gnet.Engine) gnet.Action {
 	l.engine = engine
 	fd, err := engine.Dup()
@@ -107,11 +110,12 @@
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. gnet calls it beside the event loop, so
-// the work is passed on to it.
+// OnTick implements gnet.EventHandler. gnet calls it on another thread than the event
+// loop's, so it posts the work to the event loop.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
 	if l.eventLoop.Load() == nil {
-		// The event loop's handle comes with its first datagram: send it one.
+		// gnet gives the event loop's handle with a datagram only, so the loop sends one
+		// to itself.
 		l.send(l.config.Listen, nil)
 		return l.config.Tick, gnet.None
 	}
@@ -119,11 +123,11 @@
 	return l.config.Tick, gnet.None
 }
 
-// OnTraffic implements gnet.EventHandler.
+// OnTraffic implements gnet.EventHandler. It handles one datagram.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
 	if l.eventLoop.Load() == nil {
-		events := c.EventLoop()
-		l.eventLoop.Store(&events)
+		eventLoop := c.EventLoop()
+		l.eventLoop.Store(&eventLoop)
 	}
 	data, err := c.Next(-1)
 	if err != nil || len(data) == 0 {
@@ -133,8 +137,8 @@
 	return gnet.None
 }
 
-// Receive takes in one datagram. Control thread; the benches call it on a loop
-// that does not run.
+// Receive handles one datagram; one that is not a heartbeat is ignored. It belongs to the
+// control thread; the benches call it on a loop that does not run.
 func (l *Loop) Receive(now time.Time, data []byte) {
 	l.Stats.ReceivedBytes.Add(uint64(len(data) + headerBytes))
 	l.Stats.ReceivedDatagrams.Add(1)
@@ -144,9 +148,11 @@
 	}
 }
 
-// headerBytes is what IPv4 and UDP add to a datagram.
+// headerBytes is the size of the IPv4 and UDP headers of a datagram.
 const headerBytes = 28
 
+// acceptHeartbeat passes a heartbeat that is not outdated to the delegate. An entry answers
+// each heartbeat of an agent.
 func (l *Loop) acceptHeartbeat(now time.Time, h *wire.Heartbeat) {
 	if !l.state.acceptHeartbeat(now, h) {
 		return
@@ -157,15 +163,15 @@
 	}
 }
 
-// Step runs the timers and publishes the view. Control thread; the benches call
-// it on a loop that does not run.
+// Step runs the timers, sends the heartbeats that are due and publishes the view. It
+// belongs to the control thread; the benches call it on a loop that does not run.
 func (l *Loop) Step(now time.Time) {
 	l.state.tick(now)
 	l.leaving.Store(l.state.leaving(now))
 	if !now.Before(l.state.nextHeartbeat) {
-		targets := l.state.recipients(now)
-		bytes := l.sendHeartbeat(now, targets, false)
-		l.state.nextHeartbeat = now.Add(l.state.heartbeatInterval(len(targets), bytes))
+		recipients := l.state.recipients(now)
+		bytes := l.sendHeartbeat(now, recipients, false)
+		l.state.nextHeartbeat = now.Add(l.state.heartbeatInterval(len(recipients), bytes))
 	}
 	if l.state.viewChanged {
 		l.state.viewChanged = false
@@ -174,9 +180,10 @@
 	l.delegate.Tick(now, l.View())
 }
 
-// sendHeartbeat sends one heartbeat to each address and gives its size.
-func (l *Loop) sendHeartbeat(now time.Time, targets []string, reply bool) (bytes int) {
-	if len(targets) == 0 {
+// sendHeartbeat sends one heartbeat to each address and returns its size in bytes, with
+// headers.
+func (l *Loop) sendHeartbeat(now time.Time, recipients []string, reply bool) (bytes int) {
+	if len(recipients) == 0 {
 		return 0
 	}
 	l.state.sequence++
@@ -193,25 +200,25 @@
 	if err != nil {
 		return 0
 	}
-	for _, target := range targets {
-		l.send(target, data)
+	for _, recipient := range recipients {
+		l.send(recipient, data)
 	}
 	return len(data) + headerBytes
 }
 
-func (l *Loop) send(target string, data []byte) {
-	addr, err := netip.ParseAddrPort(target)
+func (l *Loop) send(recipient string, data []byte) {
+	addr, err := netip.ParseAddrPort(recipient)
 	if err != nil || l.sender == nil {
 		return
 	}
-	// A datagram that cannot be sent is the same as one that is lost.
+	// An error counts as a lost datagram.
 	if _, err := l.sender.WriteToUDPAddrPort(data, addr); err == nil {
 		l.Stats.SentBytes.Add(uint64(len(data) + headerBytes))
 		l.Stats.SentDatagrams.Add(1)
 	}
 }
 
-// Leave marks this node as leaving and tells the entries at once.
+// Leave marks this node as leaving and sends a heartbeat that says so at once.
 func (l *Loop) Leave() {
 	l.leaving.Store(true)
 	l.Post(func() {
@@ -220,27 +227,28 @@
 	})
 }
 
-// Announce sends a heartbeat at once, beside the regular ones.
+// Announce sends a heartbeat at once, in addition to the regular ones.
 func (l *Loop) Announce() {
 	l.Post(l.sendHeartbeatNow)
 }
 
-// sendHeartbeatNow sends a heartbeat beside the regular ones. Control thread.
+// sendHeartbeatNow sends a heartbeat in addition to the regular ones. It belongs to the
+// control thread.
 func (l *Loop) sendHeartbeatNow() {
 	now := time.Now()
 	l.sendHeartbeat(now, l.state.recipients(now), false)
 }
 
-// SetList takes in the platform's list.
+// SetList replaces the list of VMs that the platform knows.
 func (l *Loop) SetList(vms []infra.VM) {
 	l.Post(func() { l.state.applyList(time.Now(), vms) })
 }
 
-// Post runs f on the control thread, some time later. It is dropped once the
-// loop has stopped.
+// Post runs f on the control thread at some later time and does not wait for it. Once the
+// loop has stopped, f is dropped.
 func (l *Loop) Post(f func()) {
-	events := l.eventLoop.Load()
-	if events == nil {
+	eventLoop := l.eventLoop.Load()
+	if eventLoop == nil {
 		go func() {
 			if l.awaitEventLoop() {
 				l.Post(f)
@@ -248,12 +256,14 @@
 		}()
 		return
 	}
-	_ = (*events).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+	_ = (*eventLoop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		f()
 		return nil
 	}))
 }
 
+// awaitEventLoop waits for the event loop's handle. It returns false if the loop stops
+// first.
 func (l *Loop) awaitEventLoop() bool {
 	for l.eventLoop.Load() == nil {
 		select {
@@ -265,8 +275,8 @@
 	return true
 }
 
-// Do runs f on the control thread and waits for it. Errors: the context's, or
-// ErrStopped; f may still run after the context's end.
+// Do runs f on the control thread and waits for it. It fails with the error of ctx, after
+// which f may still run, or with ErrStopped.
 func (l *Loop) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	l.Post(func() {
@@ -283,7 +293,7 @@
 	}
 }
 
-// discardLogger keeps gnet from writing lines that are not JSON.
+// discardLogger discards gnet's log lines, which are not JSON like the node's own.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
