--- a/attempt/claim_test.go
+++ b/attempt/claim_test.go
@@ -30,23 +30,23 @@
 
 // world is a store with one key, an agent's table, and entries that act on what
 // they last read, however old.
-type claimWorld struct {
-	table    *Table
-	lives    uint64
-	stored   *Claim
-	revision int
-	views    []claimView
-	runs     int
-	orders   []Reservation // claimed, on their way, may arrive late or twice
-	attempts int
+type claimModel struct {
+	table       *Table
+	incarnation uint64
+	stored      *Claim
+	revision    int
+	views       []entryView
+	runs        int
+	runRequests []Reservation // claimed, on their way, may arrive late or twice
+	attempts    int
 }
 
-type claimView struct {
-	claim    *Claim
-	revision int
-	denied   bool // the agent said that the claim's order did not run
-	granted  Reservation
-	reserved bool
+type entryView struct {
+	claim           *Claim
+	revision        int
+	confirmedNotRun bool // the agent said that the claim's order did not run
+	granted         Reservation
+	reserved        bool
 }
 
 // TestClaimsRunAtMostOnce has several entries read, reserve, claim, order, take
@@ -54,13 +54,13 @@
 // between any two steps, and the agent replaced. The key runs at most once.
 func TestClaimsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &claimWorld{lives: 1, table: NewTable(1, testLease, testRetention), views: make([]claimView, 3)}
+		w := &claimModel{incarnation: 1, table: NewTable(1, testLease, testRetention), views: make([]entryView, 3)}
 		now := testStart
-		entry := func(t *rapid.T) *claimView { return &w.views[rapid.IntRange(0, 2).Draw(t, "entry")] }
+		entry := func(t *rapid.T) *entryView { return &w.views[rapid.IntRange(0, 2).Draw(t, "entry")] }
 		t.Repeat(map[string]func(*rapid.T){
 			"read": func(t *rapid.T) {
 				v := entry(t)
-				v.claim, v.revision, v.denied = w.stored, w.revision, false
+				v.claim, v.revision, v.confirmedNotRun = w.stored, w.revision, false
 			},
 			"reserve": func(t *rapid.T) {
 				v := entry(t)
@@ -70,7 +70,7 @@
 				v := entry(t)
 				if v.claim != nil && ActionFor(v.claim, "d") == AskAgent {
 					state, _ := w.table.Peek(now, v.claim.Reservation)
-					v.denied = state == DidNotRun
+					v.confirmedNotRun = state == DidNotRun
 				}
 			},
 			"claim": func(t *rapid.T) {
@@ -86,18 +86,18 @@
 				w.record(v, state)
 			},
 			"deliver": func(t *rapid.T) {
-				if len(w.orders) == 0 {
+				if len(w.runRequests) == 0 {
 					return
 				}
-				r := rapid.SampledFrom(w.orders).Draw(t, "order")
+				r := rapid.SampledFrom(w.runRequests).Draw(t, "order")
 				if w.table.Accept(now, r) && w.table.Start(r) {
 					w.runs++
 				}
 			},
 			"replace agent": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "chance") == 0 {
-					w.lives++
-					w.table = NewTable(w.lives, testLease, testRetention)
+					w.incarnation++
+					w.table = NewTable(w.incarnation, testLease, testRetention)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -110,25 +110,25 @@
 }
 
 // claim is an entry's compare-and-swap of its own claim; the order follows.
-func (w *claimWorld) claim(v *claimView) {
+func (w *claimModel) claim(v *entryView) {
 	w.attempts++
 	next := &Claim{Digest: "d", Attempt: string(rune('a' + w.attempts)), State: ClaimClaimed, Reservation: v.granted}
-	if v.revision != w.revision || !MayReplace(w.stored, next, v.denied || w.stored == nil || w.stored.State == ClaimNotRun) {
+	if v.revision != w.revision || !MayReplace(w.stored, next, v.confirmedNotRun || w.stored == nil || w.stored.State == ClaimNotRun) {
 		return
 	}
 	w.stored, w.revision = next, w.revision+1
 	v.claim, v.revision, v.reserved = next, w.revision, false
-	w.orders = append(w.orders, next.Reservation)
+	w.runRequests = append(w.runRequests, next.Reservation)
 }
 
 // record writes what became of a claim, as an entry may that knows it.
-func (w *claimWorld) record(v *claimView, state ClaimState) {
+func (w *claimModel) record(v *entryView, state ClaimState) {
 	if v.claim == nil || v.revision != w.revision {
 		return
 	}
 	next := *v.claim
 	next.State = state
-	if MayReplace(w.stored, &next, v.denied) {
+	if MayReplace(w.stored, &next, v.confirmedNotRun) {
 		w.stored, w.revision = &next, w.revision+1
 	}
 }
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -24,17 +24,17 @@
 	// crashesToQuarantine is how many lives of endpoints must have ended while a request was open
 	// there. One or two happen to requests that had nothing to do with it.
 	crashesToQuarantine = 3
-	// crashesKept of a request are remembered, the last ones: some may count no more once an answer
+	// maxCrashesKept of a request are remembered, the last ones: some may count no more once an answer
 	// is heard of that came before the others.
-	crashesKept = 2 * crashesToQuarantine
-	// findingLife is how long a finding counts: no longer at one node than at another, so that what
+	maxCrashesKept = 2 * crashesToQuarantine
+	// findingTTL is how long a finding counts: no longer at one node than at another, so that what
 	// they tell each other does not keep it alive.
-	findingLife = time.Hour
+	findingTTL = time.Hour
 	// maxSuspects bounds the memory: about 150 bytes each.
 	maxSuspects = 4096
-	// freshAge is how old a finding may be to be told between two whole reports: several such
+	// freshFindingAge is how old a finding may be to be told between two whole reports: several such
 	// reports may be lost.
-	freshAge = 500 * time.Millisecond
+	freshFindingAge = 500 * time.Millisecond
 )
 
 // Quarantine finds requests under which endpoints crash again and again, and says which must not
@@ -45,8 +45,8 @@
 	suspects map[Fingerprint]*suspect
 	// scopes counts the suspects by the scope of their fingerprints.
 	scopes map[uint64]int
-	// next is where the next whole report begins.
-	next int
+	// nextReport is where the nextReport whole report begins.
+	nextReport int
 }
 
 // suspect is what is known of a request during which an endpoint crashed.
@@ -60,8 +60,8 @@
 type crash struct {
 	endpoint uint32
 	at       time.Time
-	// own is set for what this node has seen itself.
-	own bool
+	// local is set for what this node has seen itself.
+	local bool
 }
 
 // NewQuarantine makes one that knows of no crash.
@@ -71,9 +71,9 @@
 
 func (s *suspect) quarantined() bool { return len(s.crashes) >= crashesToQuarantine }
 
-// shared tells whether nodes pass on what others have found: requests that only one endpoint
+// shareable tells whether nodes pass on what others have found: requests that only one endpoint
 // crashed with are many whenever one crashes.
-func (s *suspect) shared() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
+func (s *suspect) shareable() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
 
 // HasSuspect tells whether any request of a scope is known; the body need not be read otherwise.
 func (q *Quarantine) HasSuspect(scope uint64) bool {
@@ -98,7 +98,7 @@
 		return 0
 	}
 	decisive := s.crashes[len(s.crashes)-crashesToQuarantine]
-	return max(decisive.at.Add(findingLife).Sub(now), 0)
+	return max(decisive.at.Add(findingTTL).Sub(now), 0)
 }
 
 // RecordCrash notes that the life of an endpoint ended while a request was open there. It tells with
@@ -106,7 +106,7 @@
 func (q *Quarantine) RecordCrash(now time.Time, request Fingerprint, endpoint uint32) (crashes int, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	quarantined = q.add(now, request, crash{endpoint: endpoint, at: now, own: true})
+	quarantined = q.addCrash(now, request, crash{endpoint: endpoint, at: now, local: true})
 	if s := q.suspects[request]; s != nil {
 		crashes = len(s.crashes)
 	}
@@ -124,7 +124,7 @@
 	}
 	for _, c := range s.crashes {
 		endpoints = append(endpoints, c.endpoint)
-		own = own || c.own
+		own = own || c.local
 	}
 	return endpoints, own
 }
@@ -133,7 +133,7 @@
 func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.answer(request, now)
+	q.applyAnswer(request, now)
 }
 
 // Merge takes in what another node has found. It gives the requests that are in quarantine because
@@ -144,23 +144,23 @@
 	var quarantined []Fingerprint
 	for _, f := range findings {
 		at := now.Add(-f.Age)
-		if f.Age < 0 || f.Age >= findingLife {
+		if f.Age < 0 || f.Age >= findingTTL {
 			continue
 		}
 		if f.Endpoint == Answered {
-			q.answer(f.Request, at)
-		} else if q.add(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
+			q.applyAnswer(f.Request, at)
+		} else if q.addCrash(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
 			quarantined = append(quarantined, f.Request)
 		}
 	}
 	return quarantined
 }
 
-// add adds a crash; it tells whether the request is in quarantine because of it.
-func (q *Quarantine) add(now time.Time, request Fingerprint, c crash) bool {
+// addCrash adds a crash; it tells whether the request is in quarantine because of it.
+func (q *Quarantine) addCrash(now time.Time, request Fingerprint, c crash) bool {
 	s := q.suspects[request]
 	if s == nil {
-		s = q.begin(now, request)
+		s = q.addSuspect(now, request)
 	}
 	known := slices.ContainsFunc(s.crashes, func(k crash) bool { return k.endpoint == c.endpoint })
 	if known || !c.at.After(s.answered) {
@@ -169,12 +169,12 @@
 	before := s.quarantined()
 	s.crashes = append(s.crashes, c)
 	slices.SortFunc(s.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
-	s.crashes = s.crashes[max(len(s.crashes)-crashesKept, 0):]
+	s.crashes = s.crashes[max(len(s.crashes)-maxCrashesKept, 0):]
 	return !before && s.quarantined()
 }
 
-// answer drops the crashes before an answer. Requests that are not suspects need none.
-func (q *Quarantine) answer(request Fingerprint, at time.Time) {
+// applyAnswer drops the crashes before an applyAnswer. Requests that are not suspects need none.
+func (q *Quarantine) applyAnswer(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
 		return
@@ -183,11 +183,11 @@
 	s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return !c.at.After(at) })
 }
 
-// begin makes a suspect, in place of an old one where there are too many.
-func (q *Quarantine) begin(now time.Time, request Fingerprint) *suspect {
+// addSuspect makes a suspect, in place of an old one where there are too many.
+func (q *Quarantine) addSuspect(now time.Time, request Fingerprint) *suspect {
 	q.expire(now)
 	if len(q.suspects) >= maxSuspects {
-		q.drop(q.evictionCandidate())
+		q.removeSuspect(q.evictionCandidate())
 	}
 	s := &suspect{}
 	q.suspects[request] = s
@@ -203,7 +203,7 @@
 	for request, s := range q.suspects {
 		switch {
 		case found == nil, found.quarantined() && !s.quarantined(),
-			found.quarantined() == s.quarantined() && s.newest().Before(found.newest()):
+			found.quarantined() == s.quarantined() && s.lastFindingAt().Before(found.lastFindingAt()):
 			least, found = request, s
 		}
 	}
@@ -212,24 +212,24 @@
 
 // expire forgets findings that are too old.
 func (q *Quarantine) expire(now time.Time) {
-	old := func(at time.Time) bool { return now.Sub(at) >= findingLife }
+	old := func(at time.Time) bool { return now.Sub(at) >= findingTTL }
 	for request, s := range q.suspects {
 		s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return old(c.at) })
 		if len(s.crashes) == 0 && old(s.answered) {
-			q.drop(request)
+			q.removeSuspect(request)
 		}
 	}
 }
 
-// newest is when a suspect's last finding was made.
-func (s *suspect) newest() time.Time {
+// lastFindingAt is when a suspect's last finding was made.
+func (s *suspect) lastFindingAt() time.Time {
 	if len(s.crashes) > 0 {
 		return s.crashes[len(s.crashes)-1].at
 	}
 	return s.answered
 }
 
-func (q *Quarantine) drop(request Fingerprint) {
+func (q *Quarantine) removeSuspect(request Fingerprint) {
 	delete(q.suspects, request)
 	if q.scopes[request.Scope]--; q.scopes[request.Scope] <= 0 {
 		delete(q.scopes, request.Scope)
@@ -258,7 +258,7 @@
 	var list []Finding
 	for request, s := range q.suspects {
 		for _, f := range s.findings(now, request) {
-			if whole || f.Age <= freshAge {
+			if whole || f.Age <= freshFindingAge {
 				list = append(list, f)
 			}
 		}
@@ -269,8 +269,8 @@
 	slices.SortFunc(list, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Request.Scope, b.Request.Scope), cmp.Compare(a.Request.Body, b.Request.Body), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	from := q.next % len(list)
-	q.next = from + most
+	from := q.nextReport % len(list)
+	q.nextReport = from + most
 	return append(list[from:], list[:from]...)[:most]
 }
 
@@ -281,7 +281,7 @@
 		list = append(list, Finding{request, Answered, now.Sub(s.answered)})
 	}
 	for _, c := range s.crashes {
-		if c.own || s.shared() {
+		if c.local || s.shareable() {
 			list = append(list, Finding{request, c.endpoint, now.Sub(c.at)})
 		}
 	}
--- a/attempt/quarantine_test.go
+++ b/attempt/quarantine_test.go
@@ -11,17 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-var quarantineNow = time.Now()
+var quarantineStart = time.Now()
 
-func printOf(body string) Fingerprint {
+func fingerprintOf(body string) Fingerprint {
 	return Fingerprint{FingerprintScope("acme", "POST", "front.example", "/a", len(body)), FingerprintBody([]byte(body))}
 }
 
 // Copies have one fingerprint; another caller, path or body has another.
-func TestAFingerprintNamesWhatIsAskedAndByWhom(t *testing.T) {
+func TestFingerprintIdentifiesRequestAndCaller(t *testing.T) {
 	is := is.New(t)
-	is.Equal(printOf("a"), printOf("a"))
-	is.True(printOf("a") != printOf("b"))
+	is.Equal(fingerprintOf("a"), fingerprintOf("a"))
+	is.True(fingerprintOf("a") != fingerprintOf("b"))
 	scopes := map[uint64]bool{}
 	for _, s := range []struct {
 		account, method, host, target string
@@ -33,65 +33,65 @@
 }
 
 // Guards against a request that is refused though it had nothing to do with one or two crashes.
-func TestTwoCrashesAreForgiven(t *testing.T) {
+func TestTwoCrashesDoNotQuarantine(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
 	is.True(q.Empty())
 	for range 3 { // one life counts once
-		q.RecordCrash(quarantineNow, printOf("a"), 1)
+		q.RecordCrash(quarantineStart, fingerprintOf("a"), 1)
 	}
-	crashes, held := q.RecordCrash(quarantineNow, printOf("a"), 2)
+	crashes, held := q.RecordCrash(quarantineStart, fingerprintOf("a"), 2)
 	is.Equal(crashes, 2)
 	is.True(!held)
-	is.Equal(q.Remaining(quarantineNow, printOf("a")), time.Duration(0))
-	_, held = q.RecordCrash(quarantineNow, printOf("a"), 3)
+	is.Equal(q.Remaining(quarantineStart, fingerprintOf("a")), time.Duration(0))
+	_, held = q.RecordCrash(quarantineStart, fingerprintOf("a"), 3)
 	is.True(held)
-	is.Equal(q.Remaining(quarantineNow, printOf("a")), findingLife)
-	is.Equal(q.Remaining(quarantineNow, printOf("b")), time.Duration(0)) // another request
-	is.True(q.HasSuspect(printOf("a").Scope))
-	is.True(!q.HasSuspect(printOf("longer").Scope))
+	is.Equal(q.Remaining(quarantineStart, fingerprintOf("a")), findingTTL)
+	is.Equal(q.Remaining(quarantineStart, fingerprintOf("b")), time.Duration(0)) // another request
+	is.True(q.HasSuspect(fingerprintOf("a").Scope))
+	is.True(!q.HasSuspect(fingerprintOf("longer").Scope))
 }
 
 // Guards against refusing a request that is asked for often and was under way at several crashes.
-func TestAnAnswerClearsARequest(t *testing.T) {
+func TestAnswerClearsEarlierCrashes(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
-	q.RecordCrash(quarantineNow, printOf("a"), 1)
-	q.RecordCrash(quarantineNow, printOf("a"), 2)
-	q.RecordAnswer(quarantineNow.Add(time.Second), printOf("a"))
-	crashes, held := q.RecordCrash(quarantineNow.Add(2*time.Second), printOf("a"), 3)
+	q.RecordCrash(quarantineStart, fingerprintOf("a"), 1)
+	q.RecordCrash(quarantineStart, fingerprintOf("a"), 2)
+	q.RecordAnswer(quarantineStart.Add(time.Second), fingerprintOf("a"))
+	crashes, held := q.RecordCrash(quarantineStart.Add(2*time.Second), fingerprintOf("a"), 3)
 	is.Equal(crashes, 1)
 	is.True(!held)
 	// what another node tells late of the time before does not count either
-	is.Equal(len(q.Merge(quarantineNow.Add(2*time.Second), []Finding{{printOf("a"), 4, 2 * time.Second}, {printOf("a"), 5, 2 * time.Second}})), 0)
-	is.Equal(q.Remaining(quarantineNow.Add(2*time.Second), printOf("a")), time.Duration(0))
+	is.Equal(len(q.Merge(quarantineStart.Add(2*time.Second), []Finding{{fingerprintOf("a"), 4, 2 * time.Second}, {fingerprintOf("a"), 5, 2 * time.Second}})), 0)
+	is.Equal(q.Remaining(quarantineStart.Add(2*time.Second), fingerprintOf("a")), time.Duration(0))
 }
 
 // Guards against nodes that keep a finding alive by telling each other of it.
-func TestFindingsEndEverywhereAtOnce(t *testing.T) {
+func TestFindingsExpireOnAllNodesTogether(t *testing.T) {
 	is := is.New(t)
 	a, b := NewQuarantine(), NewQuarantine()
 	for life := range uint32(3) {
-		a.RecordCrash(quarantineNow, printOf("a"), life+1)
+		a.RecordCrash(quarantineStart, fingerprintOf("a"), life+1)
 	}
-	for at := quarantineNow; at.Sub(quarantineNow) < 2*findingLife; at = at.Add(time.Minute) {
+	for at := quarantineStart; at.Sub(quarantineStart) < 2*findingTTL; at = at.Add(time.Minute) {
 		b.Merge(at, a.Findings(at, true, 100))
 		a.Merge(at, b.Findings(at, true, 100))
-		is.Equal(a.Remaining(at, printOf("a")) > 0, at.Sub(quarantineNow) < findingLife)
+		is.Equal(a.Remaining(at, fingerprintOf("a")) > 0, at.Sub(quarantineStart) < findingTTL)
 	}
 	is.True(a.Empty() && b.Empty())
 }
 
 // Guards against a metric that shows requests in quarantine after their time, on a node without peers.
-func TestWhatIsCountedExpires(t *testing.T) {
+func TestCountsLeaveOutExpiredFindings(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
 	for life := range uint32(crashesToQuarantine) {
-		q.RecordCrash(quarantineNow, printOf("a"), life+1)
+		q.RecordCrash(quarantineStart, fingerprintOf("a"), life+1)
 	}
-	suspects, held := q.Counts(quarantineNow.Add(findingLife - 1))
+	suspects, held := q.Counts(quarantineStart.Add(findingTTL - 1))
 	is.Equal([]int{suspects, held}, []int{1, 1})
-	suspects, held = q.Counts(quarantineNow.Add(findingLife))
+	suspects, held = q.Counts(quarantineStart.Add(findingTTL))
 	is.Equal([]int{suspects, held}, []int{0, 0})
 }
 
@@ -100,17 +100,17 @@
 	is := is.New(t)
 	q := NewQuarantine()
 	for life := range uint32(3) {
-		q.RecordCrash(quarantineNow, printOf("kept"), life+1)
+		q.RecordCrash(quarantineStart, fingerprintOf("kept"), life+1)
 	}
 	for i := range 10_000 {
-		q.RecordCrash(quarantineNow.Add(time.Duration(i)), printOf(fmt.Sprint("n", i)), uint32(i+1))
+		q.RecordCrash(quarantineStart.Add(time.Duration(i)), fingerprintOf(fmt.Sprint("n", i)), uint32(i+1))
 	}
-	suspects, held := q.Counts(quarantineNow)
+	suspects, held := q.Counts(quarantineStart)
 	is.Equal(suspects, maxSuspects)
 	is.Equal(held, 1) // what is in quarantine goes last
 	told := map[Finding]bool{}
 	for range maxSuspects/32 + 2 {
-		list := q.Findings(quarantineNow, true, 32)
+		list := q.Findings(quarantineStart, true, 32)
 		is.Equal(len(list), 32)
 		for _, f := range list {
 			told[f] = true
@@ -120,25 +120,25 @@
 }
 
 // What one endpoint's crash makes of the requests that were open there is told by who saw it alone.
-func TestAFindingIsPassedOnOnceItIsNoSingleOne(t *testing.T) {
+func TestPeerFindingIsForwardedAfterSecondCrash(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
-	q.Merge(quarantineNow, []Finding{{printOf("a"), 1, 0}})
-	is.Equal(len(q.Findings(quarantineNow, true, 100)), 0)
-	q.RecordCrash(quarantineNow, printOf("a"), 2)
-	is.Equal(len(q.Findings(quarantineNow, false, 100)), 2)
-	is.Equal(len(q.Findings(quarantineNow.Add(2*freshAge), false, 100)), 0)
-	is.Equal(len(q.Findings(quarantineNow.Add(2*freshAge), true, 100)), 2)
+	q.Merge(quarantineStart, []Finding{{fingerprintOf("a"), 1, 0}})
+	is.Equal(len(q.Findings(quarantineStart, true, 100)), 0)
+	q.RecordCrash(quarantineStart, fingerprintOf("a"), 2)
+	is.Equal(len(q.Findings(quarantineStart, false, 100)), 2)
+	is.Equal(len(q.Findings(quarantineStart.Add(2*freshFindingAge), false, 100)), 0)
+	is.Equal(len(q.Findings(quarantineStart.Add(2*freshFindingAge), true, 100)), 2)
 }
 
 // Nodes that see crashes and answers and tell each other in any order, with losses, refuse a request
 // only after three lives ended since its last answer, and agree once all have been heard.
-func TestNodesAgreeOnWhatIsInQuarantine(t *testing.T) {
+func TestNodesAgreeOnQuarantine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []*Quarantine{NewQuarantine(), NewQuarantine(), NewQuarantine()}
-		requests := []Fingerprint{printOf("a"), printOf("b")}
+		requests := []Fingerprint{fingerprintOf("a"), fingerprintOf("b")}
 		since := map[Fingerprint]map[uint32]bool{requests[0]: {}, requests[1]: {}}
-		now, lives := quarantineNow, uint32(0)
+		now, lives := quarantineStart, uint32(0)
 		tell := func(from, to int) { nodes[to].Merge(now, nodes[from].Findings(now, true, 100)) }
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(10 * time.Millisecond)
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -46,18 +46,18 @@
 	// Repeatable requests may run more than once.
 	Repeatable bool
 	// MaxArrivals is how many endpoints the request may reach.
-	MaxArrivals int
-	arrivals    int
-	unsent      int
-	helpers     int
-	mayHaveRun  bool
+	MaxArrivals    int
+	arrivals       int
+	unsent         int
+	helperFailures int
+	mayHaveRun     bool
 }
 
 // maxUnsent bounds how many endpoints are tried that no connection reaches.
 const maxUnsent = 4
 
-// maxHelpers bounds how often a request is sent again because a helper failed.
-const maxHelpers = 3
+// maxHelperFailures bounds how often a request is sent again because a helper failed.
+const maxHelperFailures = 3
 
 // Arrivals is how many endpoints the request has reached.
 func (r *Retrier) Arrivals() int { return r.arrivals }
@@ -78,12 +78,12 @@
 	case NotExecuted:
 		r.arrivals++
 	case HelperFailed:
-		r.helpers++
+		r.helperFailures++
 	default:
 		r.arrivals++
 		r.mayHaveRun = true
 	}
-	if r.mayAgain() && (r.arrivals+r.helpers == 0 || budget()) {
+	if r.mayRetry() && (r.arrivals+r.helperFailures == 0 || budget()) {
 		return Retry
 	}
 	switch {
@@ -95,11 +95,11 @@
 	return Refuse
 }
 
-func (r *Retrier) mayAgain() bool {
+func (r *Retrier) mayRetry() bool {
 	if r.mayHaveRun && !r.Repeatable {
 		return false
 	}
-	return r.arrivals < r.MaxArrivals && r.unsent < maxUnsent && r.helpers <= maxHelpers
+	return r.arrivals < r.MaxArrivals && r.unsent < maxUnsent && r.helperFailures <= maxHelperFailures
 }
 
 // String gives the step's name in logs.
--- a/attempt/retrier_test.go
+++ b/attempt/retrier_test.go
@@ -9,7 +9,7 @@
 
 // A request runs at most once unless it may be repeated, reaches no more endpoints than
 // it may, and is refused only while it certainly has not run; whatever endpoints do.
-func TestARetrierKeepsItsPromises(t *testing.T) {
+func TestRetrierInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Retrier{Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxArrivals: rapid.IntRange(1, 4).Draw(t, "arrivals")}
 		reached, ran, sends := 0, false, 0
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestTheBudgetIsAskedOnlyForARepeat(t *testing.T) {
+func TestRetryBudgetIsAskedOnlyOnRetries(t *testing.T) {
 	is := is.New(t)
 	never := func() bool { t.Fatal("asked"); return false }
 	c := Retrier{Repeatable: true, MaxArrivals: 2}
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -53,7 +53,7 @@
 	incarnation uint64
 	lease       time.Duration
 	retention   time.Duration
-	last        uint64
+	lastNumber  uint64
 	// forgotten is the highest number of a started attempt that was dropped. At
 	// or below it, an unknown number may have run.
 	forgotten uint64
@@ -69,13 +69,13 @@
 
 // Reserve issues a reservation. Its lease starts now.
 func (t *Table) Reserve(now time.Time) Reservation {
-	t.last++
+	t.lastNumber++
 	r := &record{
-		reservation: Reservation{Incarnation: t.incarnation, Number: t.last},
+		reservation: Reservation{Incarnation: t.incarnation, Number: t.lastNumber},
 		state:       Reserved,
 		expires:     now.Add(t.lease),
 	}
-	t.records[t.last] = r
+	t.records[t.lastNumber] = r
 	heap.Push(&t.expiry, r)
 	return r.reservation
 }
@@ -138,7 +138,7 @@
 // Withdraw cancels a reservation that has not started and returns DidNotRun, or
 // tells the true state.
 func (t *Table) Withdraw(reservation Reservation) (State, Outcome) {
-	if reservation.Incarnation != t.incarnation || reservation.Number == 0 || reservation.Number > t.last {
+	if reservation.Incarnation != t.incarnation || reservation.Number == 0 || reservation.Number > t.lastNumber {
 		return Forgotten, nil
 	}
 	r := t.records[reservation.Number]
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -18,7 +18,7 @@
 // Symptom: a call told "did not run" runs. Sequence: the order waits in the socket
 // of a paused agent; its lease lapses; the agent goes on and reads the order
 // before any sweep has run. Cause, were it there: trusting the sweep alone.
-func TestLapsedOrderIsRefusedBeforeTheSweep(t *testing.T) {
+func TestExpiredReservationIsRefusedBeforeSweep(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	r := table.Reserve(testStart)
@@ -30,7 +30,7 @@
 
 // Symptom: two runs. Sequence: an order is delivered twice. Cause, were it there:
 // a start that does not use up its reservation.
-func TestOrderStartsOnce(t *testing.T) {
+func TestReservationStartsOnce(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	r := table.Reserve(testStart)
@@ -43,7 +43,7 @@
 // Symptom: "did not run" of a call that ran an hour ago. Sequence: the outcome is
 // dropped after its retention, then somebody asks. Cause, were it there: an
 // unknown number taken for one that never started.
-func TestDroppedOutcomeIsForgottenAndNotDenied(t *testing.T) {
+func TestDroppedOutcomeIsForgotten(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	ran := table.Reserve(testStart)
@@ -60,13 +60,13 @@
 // tableModel is what must hold, kept beside the table: which orders started, and
 // of which the table has said that they did not run.
 type tableModel struct {
-	table    *Table
-	now      time.Time
-	issued   []Reservation
-	started  map[Reservation]int
-	denied   map[Reservation]bool
-	finished map[Reservation]bool
-	lives    uint64
+	table          *Table
+	now            time.Time
+	issued         []Reservation
+	started        map[Reservation]int
+	reportedNotRun map[Reservation]bool
+	finished       map[Reservation]bool
+	incarnation    uint64
 }
 
 // TestTableAgainstModel drives random orders, repeats, delays, withdrawals,
@@ -75,8 +75,8 @@
 func TestTableAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &tableModel{
-			now: testStart, lives: 1, table: NewTable(1, testLease, testRetention), started: map[Reservation]int{},
-			denied: map[Reservation]bool{}, finished: map[Reservation]bool{},
+			now: testStart, incarnation: 1, table: NewTable(1, testLease, testRetention), started: map[Reservation]int{},
+			reportedNotRun: map[Reservation]bool{}, finished: map[Reservation]bool{},
 		}
 		pick := func(t *rapid.T) Reservation {
 			if len(m.issued) == 0 {
@@ -97,16 +97,16 @@
 				m.table.Finish(m.now, r, r.Number)
 				m.finished[r] = m.started[r] > 0
 			},
-			"withdraw": func(t *rapid.T) { m.ask(t, pick(t), false) },
-			"peek":     func(t *rapid.T) { m.ask(t, pick(t), true) },
+			"withdraw": func(t *rapid.T) { m.query(t, pick(t), false) },
+			"peek":     func(t *rapid.T) { m.query(t, pick(t), true) },
 			"pass": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 30_000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"sweep": func(*rapid.T) { m.table.Sweep(m.now) },
 			"restart": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "chance") == 0 {
-					m.lives++
-					m.table = NewTable(m.lives, testLease, testRetention)
+					m.incarnation++
+					m.table = NewTable(m.incarnation, testLease, testRetention)
 				}
 			},
 			"": m.check,
@@ -114,7 +114,7 @@
 	})
 }
 
-func (m *tableModel) ask(t *rapid.T, r Reservation, peek bool) {
+func (m *tableModel) query(t *rapid.T, r Reservation, peek bool) {
 	var state State
 	var outcome Outcome
 	if peek {
@@ -124,7 +124,7 @@
 	}
 	switch state {
 	case DidNotRun:
-		m.denied[r] = true
+		m.reportedNotRun[r] = true
 	case Finished:
 		if !m.finished[r] || outcome != r.Number {
 			t.Fatalf("%v: told finished with %v", r, outcome)
@@ -141,7 +141,7 @@
 		if times > 1 {
 			t.Fatalf("%v started %d times", r, times)
 		}
-		if m.denied[r] {
+		if m.reportedNotRun[r] {
 			t.Fatalf("%v started and was denied", r)
 		}
 	}
