--- a/attempt/claim.go
+++ b/attempt/claim.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// ClaimState is what a claim in the store says of its request.
+// ClaimState is the state of a request as its claim in the store has it.
 type ClaimState string
 
-// The states. A claim moves from Claimed to any other. From NotRun, and from
-// Claimed once the agent has confirmed that the order did not and will not run,
-// it may be claimed again by a new attempt. Done is final. Unknown becomes Done
-// only by the word of whoever received the outcome.
+// The states of a claim. ClaimClaimed may change to any other state. A new attempt may
+// claim the request again from ClaimNotRun, and from ClaimClaimed once the agent has
+// confirmed that the request did not and will not run. ClaimDone is final. ClaimUnknown
+// changes to ClaimDone only through the entry that received the outcome.
 const (
 	ClaimClaimed ClaimState = "claimed"
 	ClaimDone    ClaimState = "done"
@@ -22,41 +22,44 @@
 	ClaimUnknown ClaimState = "unknown"
 )
 
-// Claim is the record of a request that may run at most once, as the platform's
-// store holds it. It is written by compare-and-swap before the order is sent,
-// and names the one reservation that the order may use: whoever finds the claim
-// can ask the one agent that knows what became of it.
+// Claim is the record in the platform's store of a request that may run at most once. It
+// is written by compare-and-swap before the run request is sent, and names the only
+// reservation that the run request may use. An entry that finds the claim can ask the one
+// agent that knows the outcome.
 type Claim struct {
-	// Digest identifies the request's content: the same key with other content
-	// is the caller's error.
+	// Digest identifies the request's content. The same key with other content is an
+	// error of the caller.
 	Digest string `json:"digest"`
-	// Attempt is unique to the entry's try, so that a lost answer of the store is
-	// settled by reading back.
+	// Attempt is the unique ID of the attempt. If the store's answer to a write is lost,
+	// reading the claim back shows whether the write succeeded.
 	Attempt   string     `json:"attempt"`
 	RequestID string     `json:"request_id"`
 	State     ClaimState `json:"state"`
-	// Endpoint and Addr name the agent; Reservation the place it gave.
+	// Endpoint and Addr identify the agent, Reservation the reservation that it gave.
+	// Reservation is stored under the names of its Go fields.
 	Endpoint    string      `json:"endpoint"`
 	Addr        string      `json:"addr"`
 	Reservation Reservation `json:"reservation"`
-	// Outcome is set when State is ClaimDone.
+	// Outcome is set if State is ClaimDone.
 	Outcome *ClaimOutcome `json:"outcome,omitempty"`
 }
 
-// ClaimOutcome is what the caller was told, or would have been.
+// ClaimOutcome is the answer that the caller received or would have received: its result
+// code, and the status and body of the service.
 type ClaimOutcome struct {
 	Code          int    `json:"code"`
 	ServiceStatus int    `json:"service_status"`
 	Body          []byte `json:"body"`
 }
 
-// ClaimKey is a claim's key in the store.
+// ClaimKey returns the store key of the claim for a client account's idempotency key.
 func ClaimKey(account, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + idempotencyKey))
 	return "claims/" + hex.EncodeToString(sum[:])
 }
 
-// Digest identifies a request's content.
+// Digest returns the digest of a request's content: the hexadecimal SHA-256 of its kind and
+// body.
 func Digest(kind string, body []byte) string {
 	hash := sha256.New()
 	hash.Write([]byte(kind + "\x00"))
@@ -64,7 +67,8 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// DecodeClaim reads a claim; nil for no data.
+// DecodeClaim decodes a claim from the store. It returns nil for no data, and an error for
+// data that is not JSON.
 func DecodeClaim(data []byte) (*Claim, error) {
 	if len(data) == 0 {
 		return nil, nil
@@ -73,30 +77,31 @@
 	return &claim, errors.Wrap(json.Unmarshal(data, &claim), "claim")
 }
 
-// Encode writes a claim.
+// Encode encodes a claim for the store, as JSON.
 func (c *Claim) Encode() ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, errors.WithStack(err)
 }
 
-// ClaimAction is what an entry must do on finding a claim.
+// ClaimAction is what an entry must do with a request, given the claim that it found.
 type ClaimAction int
 
-// The judgements.
+// The actions.
 const (
-	// Proceed: nobody has run it; claim it.
+	// Proceed: the request has not run; claim it.
 	Proceed ClaimAction = iota
-	// Mismatch: the key belongs to another request.
+	// Mismatch: refuse, because the key belongs to another request.
 	Mismatch
-	// Replay: give the recorded outcome.
+	// Replay: answer with the recorded outcome.
 	Replay
-	// AskAgent: the agent that the claim names knows.
+	// AskAgent: ask the agent that the claim names what became of the request.
 	AskAgent
-	// ReportUnknown: nobody can know.
+	// ReportUnknown: answer that no node can tell whether the request ran.
 	ReportUnknown
 )
 
-// ActionFor decides on a claim found in the store, or nil for none.
+// ActionFor returns what to do with a request of the given digest whose claim was found in
+// the store; claim is nil if there was none.
 func ActionFor(claim *Claim, digest string) ClaimAction {
 	switch {
 	case claim == nil:
@@ -113,9 +118,10 @@
 	return AskAgent
 }
 
-// MayReplace tells whether a claim may be overwritten by next. Every write of a
-// claim is checked by it, so that no path can undo an outcome or start a second
-// run. confirmed is set when the agent said that old's order did not run.
+// MayReplace returns whether next may overwrite the claim old, which is nil if there is
+// none. Every write of a claim is checked by it, so that no code path can undo an outcome
+// or start a second run. confirmed is set if the agent has confirmed that the run request
+// of old did not and will not run.
 func MayReplace(old, next *Claim, confirmed bool) bool {
 	if old == nil {
 		return next.State == ClaimClaimed
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -1,12 +1,13 @@
-// Package attempt decides what an agent may say about one attempt at a request:
-// whether it did not run, runs, has finished, or is no longer known. It is pure:
-// time comes in as an argument and nothing is sent from here.
+// Package attempt tracks the attempts of requests and decides what may be said about them
+// and done with them: Table holds an agent's reservations and tells whether an attempt did
+// not run, runs, has finished or is no longer known; Claim makes a request run at most
+// once; Retrier decides on retries; Quarantine detects requests that crash endpoints. The
+// package reads no clock and does no I/O: the time is an argument.
 //
-// The agent issues a reservation number before any order can be given, and an
-// order starts only if it names a live reservation. A number that is withdrawn
-// or has lapsed is simply forgotten, because an unknown number never starts
-// anything. So "did not run" needs no tombstone that would have to outlive
-// every delayed message.
+// An agent issues a reservation number before it can receive a run request, and a run
+// request starts only if it names a valid reservation. A number that was withdrawn or has
+// expired is deleted, because an unknown number never starts anything. So "did not run"
+// needs no tombstone, which would have to be kept longer than any message can be delayed.
 package attempt
 
 import (
@@ -14,20 +15,22 @@
 	"time"
 )
 
-// Reservation names one reservation of one agent's life.
+// Reservation identifies a reservation of one incarnation of an agent. Its field names are
+// part of the stored claims.
 type Reservation struct {
-	// Incarnation is the agent's life; a new one issues and honours none of the
-	// numbers of the lives before.
+	// Incarnation is that of the agent. A new incarnation accepts no number of an
+	// earlier one.
 	Incarnation uint64
-	// Number rises from 1 and is never reused.
+	// Number rises from 1 and is not reused within an incarnation.
 	Number uint64
 }
 
-// State is what the agent knows of a reservation.
+// State is the state of a reservation, as far as the agent knows it.
 type State int
 
-// DidNotRun is final. Forgotten means that the agent cannot tell: the number
-// belongs to another incarnation, or its record was dropped after retention.
+// The states. DidNotRun is final: the request did not run and will not. Forgotten means
+// that the agent cannot tell: the number belongs to another incarnation, or its record was
+// deleted after the retention time.
 const (
 	DidNotRun State = iota + 1
 	Reserved
@@ -36,38 +39,39 @@
 	Forgotten
 )
 
-// Outcome is how a started attempt ended; the agent stores what it told.
+// Outcome is the outcome of a started attempt. The agent stores the answer that it gave.
 type Outcome any
 
+// record is what the table holds of one reservation.
 type record struct {
 	reservation Reservation
 	state       State
 	expires     time.Time
 	outcome     Outcome
-	index       int
+	index       int // in the expiry heap; -1 if it does not expire
 }
 
-// Table holds an agent's attempts. Not safe for concurrent use: it belongs to
-// the control loop.
+// Table holds the attempts of one incarnation of an agent. It is not safe for concurrent
+// use: it belongs to the control thread.
 type Table struct {
 	incarnation uint64
 	lease       time.Duration
 	retention   time.Duration
 	lastNumber  uint64
-	// forgotten is the highest number of a started attempt that was dropped. At
-	// or below it, an unknown number may have run.
+	// forgotten is the highest number of a started attempt that was deleted. An unknown
+	// number up to it may have run.
 	forgotten uint64
 	records   map[uint64]*record
 	expiry    expiryHeap
 }
 
-// NewTable makes the table of a new incarnation. lease is how long a
-// reservation waits for its order; retention how long an outcome is kept.
+// NewTable returns the empty table of a new incarnation. lease is how long a reservation
+// is valid without a run request, retention how long an outcome is kept.
 func NewTable(incarnation uint64, lease, retention time.Duration) *Table {
 	return &Table{incarnation: incarnation, lease: lease, retention: retention, records: map[uint64]*record{}}
 }
 
-// Reserve issues a reservation. Its lease starts now.
+// Reserve issues a reservation, whose lease starts at now.
 func (t *Table) Reserve(now time.Time) Reservation {
 	t.lastNumber++
 	r := &record{
@@ -80,12 +84,12 @@
 	return r.reservation
 }
 
-// Accept turns a reservation into a queued order: its lease no longer lapses,
-// since from here the order's own stream keeps it. It tells whether the order
-// may go on; false means it never starts, whenever it arrives.
+// Accept accepts the run request of a reservation, whose lease then no longer expires: the
+// stream of the run request keeps it open instead. Accept returns false if the run request
+// must never start, because its reservation is unknown, expired or already used.
 //
-// An order can sit in a socket while this process is frozen. The clock goes on
-// meanwhile, so the lapsed lease is seen here even if no sweep has run since.
+// A run request can wait in a socket while this process is suspended. The clock goes on
+// meanwhile, so an expired lease is detected here even if no sweep has run since.
 func (t *Table) Accept(now time.Time, reservation Reservation) bool {
 	r := t.find(reservation)
 	if r == nil || r.state != Reserved || r.index < 0 || now.After(r.expires) {
@@ -95,8 +99,8 @@
 	return true
 }
 
-// Start marks the moment from which the work may run. Only one caller ever gets
-// true for a reservation.
+// Start marks an accepted attempt as running. It returns true once for a reservation; only
+// then may the request run.
 func (t *Table) Start(reservation Reservation) bool {
 	r := t.find(reservation)
 	if r == nil || r.state != Reserved || r.index >= 0 {
@@ -106,7 +110,7 @@
 	return true
 }
 
-// Finish records the outcome of a started attempt and keeps it for retention.
+// Finish records the outcome of a started attempt, which is kept for the retention time.
 func (t *Table) Finish(now time.Time, reservation Reservation, outcome Outcome) {
 	r := t.find(reservation)
 	if r == nil || r.state != Running {
@@ -118,14 +122,15 @@
 	heap.Push(&t.expiry, r)
 }
 
-// Discard ends a claimed order that never started.
+// Discard deletes a reservation that has not started.
 func (t *Table) Discard(reservation Reservation) {
 	if r := t.find(reservation); r != nil && r.state == Reserved {
 		t.remove(r)
 	}
 }
 
-// Peek tells the state of a reservation and changes nothing.
+// Peek returns the state of a reservation and its outcome if it has finished. Unlike
+// Withdraw it leaves a valid reservation as it is; one whose lease has expired is deleted.
 func (t *Table) Peek(now time.Time, reservation Reservation) (State, Outcome) {
 	if r := t.find(reservation); r != nil && r.state == Reserved {
 		if r.index < 0 || !now.After(r.expires) {
@@ -135,8 +140,8 @@
 	return t.Withdraw(reservation)
 }
 
-// Withdraw cancels a reservation that has not started and returns DidNotRun, or
-// tells the true state.
+// Withdraw deletes a reservation that has not started and returns DidNotRun. Otherwise it
+// returns the reservation's state, and its outcome if it has finished.
 func (t *Table) Withdraw(reservation Reservation) (State, Outcome) {
 	if reservation.Incarnation != t.incarnation || reservation.Number == 0 || reservation.Number > t.lastNumber {
 		return Forgotten, nil
@@ -155,26 +160,26 @@
 	return r.state, r.outcome
 }
 
-// Sweep drops lapsed reservations and old outcomes, and returns the former so
-// that their memory is freed.
+// Sweep deletes expired reservations and outcomes past their retention time. It returns
+// the expired reservations, so that the calling code can free what they hold.
 func (t *Table) Sweep(now time.Time) []Reservation {
-	var lapsed []Reservation
+	var expired []Reservation
 	for len(t.expiry) > 0 && now.After(t.expiry[0].expires) {
 		r := t.expiry[0]
 		if r.state == Reserved {
-			lapsed = append(lapsed, r.reservation)
+			expired = append(expired, r.reservation)
 		} else {
 			t.forgotten = max(t.forgotten, r.reservation.Number)
 		}
 		t.remove(r)
 	}
-	return lapsed
+	return expired
 }
 
-// Len counts the attempts known.
+// Len returns the number of attempts in the table, finished ones included.
 func (t *Table) Len() int { return len(t.records) }
 
-// Open counts the attempts that are reserved or running.
+// Open returns the number of attempts that are reserved or running.
 func (t *Table) Open() int {
 	n := 0
 	for _, r := range t.records {
@@ -199,7 +204,8 @@
 	delete(t.records, r.reservation.Number)
 }
 
-// expiryHeap orders records by expiry; index is -1 for a record outside it.
+// expiryHeap is a heap of records by expiry. It implements heap.Interface and keeps the
+// records' index.
 type expiryHeap []*record
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -15,21 +15,20 @@
 
 var testStart = time.Unix(1_780_000_000, 0)
 
-// Symptom: a call told "did not run" runs. Sequence: the order waits in the socket
-// of a paused agent; its lease lapses; the agent goes on and reads the order
-// before any sweep has run. Cause, were it there: trusting the sweep alone.
+// Guards against a request that runs after the agent has said that it did not. The run
+// request waits in the socket of a paused agent until its lease has expired, and the agent
+// reads it before any sweep has run.
 func TestExpiredReservationIsRefusedBeforeSweep(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
 	r := table.Reserve(testStart)
-	is.True(!table.Accept(testStart.Add(testLease+time.Millisecond), r)) // lapsed
+	is.True(!table.Accept(testStart.Add(testLease+time.Millisecond), r)) // expired
 	is.Equal(table.Sweep(testStart.Add(2*testLease)), []Reservation{r})
 	state, _ := table.Withdraw(r)
 	is.Equal(state, DidNotRun)
 }
 
-// Symptom: two runs. Sequence: an order is delivered twice. Cause, were it there:
-// a start that does not use up its reservation.
+// Guards against a second run when a run request is delivered twice.
 func TestReservationStartsOnce(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
@@ -40,9 +39,8 @@
 	is.True(!table.Start(r))
 }
 
-// Symptom: "did not run" of a call that ran an hour ago. Sequence: the outcome is
-// dropped after its retention, then somebody asks. Cause, were it there: an
-// unknown number taken for one that never started.
+// Guards against the answer "did not run" for a request that ran, once its outcome is
+// deleted after the retention time and its number is unknown.
 func TestDroppedOutcomeIsForgotten(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(1, testLease, testRetention)
@@ -54,11 +52,11 @@
 	state, _ := table.Withdraw(ran)
 	is.Equal(state, Forgotten)
 	other, _ := table.Withdraw(Reservation{Incarnation: 2, Number: 1})
-	is.Equal(other, Forgotten) // another life's number
+	is.Equal(other, Forgotten) // a number of another incarnation
 }
 
-// tableModel is what must hold, kept beside the table: which orders started, and
-// of which the table has said that they did not run.
+// tableModel records what the table has done: which reservations started and finished, and
+// which of them it has reported as not run.
 type tableModel struct {
 	table          *Table
 	now            time.Time
@@ -69,9 +67,9 @@
 	incarnation    uint64
 }
 
-// TestTableAgainstModel drives random orders, repeats, delays, withdrawals,
-// sweeps, and restarts of the agent. No reservation starts twice, and none starts
-// after, or before, it was said that it did not run.
+// TestTableAgainstModel runs random reservations, run requests, delays, withdrawals, sweeps
+// and restarts of the agent. No reservation starts twice, and none that is reported as not
+// run has started or starts later.
 func TestTableAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &tableModel{
@@ -127,11 +125,11 @@
 		m.reportedNotRun[r] = true
 	case Finished:
 		if !m.finished[r] || outcome != r.Number {
-			t.Fatalf("%v: told finished with %v", r, outcome)
+			t.Fatalf("%v: reported as finished with outcome %v", r, outcome)
 		}
 	case Running:
 		if m.started[r] == 0 {
-			t.Fatalf("%v: told running, never started", r)
+			t.Fatalf("%v: reported as running, but never started", r)
 		}
 	}
 }
@@ -142,7 +140,7 @@
 			t.Fatalf("%v started %d times", r, times)
 		}
 		if m.reportedNotRun[r] {
-			t.Fatalf("%v started and was denied", r)
+			t.Fatalf("%v started and was reported as not run", r)
 		}
 	}
 }
