--- a/attempt/fingerprint.go
+++ b/attempt/fingerprint.go
@@ -6,18 +6,20 @@
 	"fmt"
 )
 
-// Fingerprint names a request by its caller and what it asks, so that copies of it are known
-// whatever their IDs are and wherever they come. Both halves are cut from SHA-256: nobody can make
-// a request that has another one's.
+// Fingerprint identifies a request by its client account and its content, so that copies of it
+// are recognised whatever their request IDs are and whichever entry receives them. Both halves
+// are truncated SHA-256 digests, so that nobody can make a request with the fingerprint of
+// another.
 type Fingerprint struct {
-	// Scope is of everything but the body, Body of the body.
+	// Scope covers everything but the body, Body the body.
 	Scope, Body uint64
 }
 
-// String gives the fingerprint in logs.
+// String returns the fingerprint as 32 hexadecimal digits, as it stands in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x%016x", f.Scope, f.Body) }
 
-// FingerprintScope is the part of a fingerprint that needs no reading of the body.
+// FingerprintScope returns the half of a fingerprint that can be computed without reading the
+// body: it covers the account, the method, the host, the target and the body's length.
 func FingerprintScope(account, method, host, target string, bodyBytes int) uint64 {
 	digest := sha256.New()
 	for _, part := range []string{account, method, host, target} {
@@ -28,7 +30,7 @@
 	return binary.LittleEndian.Uint64(digest.Sum(nil))
 }
 
-// FingerprintBody is the part of a fingerprint that stands for the body.
+// FingerprintBody returns the half of a fingerprint that covers the body.
 func FingerprintBody(body []byte) uint64 {
 	digest := sha256.Sum256(body)
 	return binary.LittleEndian.Uint64(digest[:])
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -7,89 +7,95 @@
 	"time"
 )
 
-// Finding is what became of one run of a request: the endpoint's process ended during it, or the
-// request was answered whole.
+// Finding is the result of one run of a request, as far as the quarantine is concerned: the
+// endpoint crashed during the run, or answered the request completely.
 type Finding struct {
 	Request Fingerprint
-	// Endpoint is a hash of the life of the endpoint that ended; Answered for an answer.
+	// Endpoint is a hash of the endpoint's incarnation that crashed, or Answered.
 	Endpoint uint32
-	// Age is how long ago it was.
+	// Age is how long ago the run ended.
 	Age time.Duration
 }
 
-// Answered stands in a finding's Endpoint for a request that was answered whole.
+// Answered is the value of Finding.Endpoint for a request that was answered completely.
 const Answered uint32 = 0
 
 const (
-	// crashesToQuarantine is how many lives of endpoints must have ended while a request was open
-	// there. One or two happen to requests that had nothing to do with it.
+	// crashesToQuarantine is the number of endpoint incarnations that must have crashed while a
+	// request was in flight there. One or two also happen to requests that did not cause the
+	// crash.
 	crashesToQuarantine = 3
-	// maxCrashesKept of a request are remembered, the last ones: some may count no more once an answer
-	// is heard of that came before the others.
+	// maxCrashesKept is how many crashes of a request are kept, the latest ones. They are more than
+	// crashesToQuarantine, because an answer that another node reports late cancels the crashes
+	// before it.
 	maxCrashesKept = 2 * crashesToQuarantine
-	// findingTTL is how long a finding counts: no longer at one node than at another, so that what
-	// they tell each other does not keep it alive.
+	// findingTTL is how long a finding counts after the end of the run. It ends at the same time
+	// on all nodes, so that they do not keep a finding alive by reporting it to each other.
 	findingTTL = time.Hour
-	// maxSuspects bounds the memory: about 150 bytes each.
+	// maxSuspects bounds the memory, about 150 bytes for each suspect.
 	maxSuspects = 4096
-	// freshFindingAge is how old a finding may be to be told between two whole reports: several such
-	// reports may be lost.
+	// freshFindingAge is the age up to which a finding is repeated in the reports between two full
+	// ones, since several of these may be lost.
 	freshFindingAge = 500 * time.Millisecond
 )
 
-// Quarantine finds requests under which endpoints crash again and again, and says which must not
-// be sent to any more. Nodes tell each other their findings; the order in which these come and
-// how often does not matter. Safe for concurrent use.
+// Quarantine detects requests that make endpoints crash repeatedly, and tells which requests must
+// not be sent any more. Nodes exchange their findings; the order in which findings arrive and how
+// often does not matter. It is safe for concurrent use.
 type Quarantine struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// scopes counts the suspects by the scope of their fingerprints.
+	// scopes counts the suspects by the Scope of their fingerprints.
 	scopes map[uint64]int
-	// nextReport is where the nextReport whole report begins.
+	// nextReport is the index of the finding at which the next report begins if not all findings
+	// fit into one.
 	nextReport int
 }
 
-// suspect is what is known of a request during which an endpoint crashed.
+// suspect is a request during which an endpoint has crashed.
 type suspect struct {
-	// crashes are in the order of their times.
+	// crashes are sorted by time.
 	crashes []crash
-	// answered is when it was last answered whole, zero: never; crashes before it do not count.
+	// answered is when the request was last answered completely, or zero. Crashes before it do
+	// not count.
 	answered time.Time
 }
 
+// crash is a crash of one incarnation of an endpoint, given by its hash.
 type crash struct {
 	endpoint uint32
 	at       time.Time
-	// local is set for what this node has seen itself.
+	// local is set if this node observed the crash itself.
 	local bool
 }
 
-// NewQuarantine makes one that knows of no crash.
+// NewQuarantine returns a quarantine without suspects.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{suspects: map[Fingerprint]*suspect{}, scopes: map[uint64]int{}}
 }
 
 func (s *suspect) quarantined() bool { return len(s.crashes) >= crashesToQuarantine }
 
-// shareable tells whether nodes pass on what others have found: requests that only one endpoint
-// crashed with are many whenever one crashes.
+// shareable returns whether this node forwards crashes that other nodes observed. It does not
+// while there is only one crash: every crash makes suspects of all requests in flight there.
 func (s *suspect) shareable() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
 
-// HasSuspect tells whether any request of a scope is known; the body need not be read otherwise.
+// HasSuspect returns whether any request with the given fingerprint scope is a suspect. If not,
+// the body need not be hashed.
 func (q *Quarantine) HasSuspect(scope uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.scopes[scope] > 0
 }
 
-// Empty tells whether nothing is known of any request.
+// Empty returns whether there are no suspects.
 func (q *Quarantine) Empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.suspects) == 0
 }
 
-// Remaining tells for how long a request must not be sent; 0: it may be.
+// Remaining returns for how long a request stays in quarantine; 0 if it may be sent.
 func (q *Quarantine) Remaining(now time.Time, request Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,8 +107,9 @@
 	return max(decisive.at.Add(findingTTL).Sub(now), 0)
 }
 
-// RecordCrash notes that the life of an endpoint ended while a request was open there. It tells with
-// how many lives that has happened, and whether the request is in quarantine because of this one.
+// RecordCrash records that an endpoint crashed while a request was in flight there; endpoint is
+// the hash of its incarnation. It returns the number of crashes that count for the request, and
+// whether this one put the request into quarantine.
 func (q *Quarantine) RecordCrash(now time.Time, request Fingerprint, endpoint uint32) (crashes int, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -113,9 +120,9 @@
 	return crashes, quarantined
 }
 
-// CrashedEndpoints gives the endpoints that crashed under a request, and tells whether this node has seen
-// one of them crash.
-func (q *Quarantine) CrashedEndpoints(request Fingerprint) (endpoints []uint32, own bool) {
+// CrashedEndpoints returns the hashes of the endpoint incarnations that crashed during a request,
+// and whether this node observed one of the crashes itself.
+func (q *Quarantine) CrashedEndpoints(request Fingerprint) (endpoints []uint32, local bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.suspects[request]
@@ -124,20 +131,20 @@
 	}
 	for _, c := range s.crashes {
 		endpoints = append(endpoints, c.endpoint)
-		own = own || c.local
+		local = local || c.local
 	}
-	return endpoints, own
+	return endpoints, local
 }
 
-// RecordAnswer notes that a request was answered whole: it does not crash every endpoint.
+// RecordAnswer records that a request was answered completely. The crashes before do not count
+// any more, since the request does not crash every endpoint.
 func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.applyAnswer(request, now)
 }
 
-// Merge takes in what another node has found. It gives the requests that are in quarantine because
-// of it.
+// Merge adds the findings of another node. It returns the requests that they put into quarantine.
 func (q *Quarantine) Merge(now time.Time, findings []Finding) []Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -156,7 +163,8 @@
 	return quarantined
 }
 
-// addCrash adds a crash; it tells whether the request is in quarantine because of it.
+// addCrash adds a crash and returns whether it put the request into quarantine. A crash of the
+// same incarnation counts once, and one before the last answer not at all.
 func (q *Quarantine) addCrash(now time.Time, request Fingerprint, c crash) bool {
 	s := q.suspects[request]
 	if s == nil {
@@ -173,7 +181,8 @@
 	return !before && s.quarantined()
 }
 
-// applyAnswer drops the crashes before an applyAnswer. Requests that are not suspects need none.
+// applyAnswer removes the crashes before an answer. An answer to a request that is not a suspect
+// is ignored.
 func (q *Quarantine) applyAnswer(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
@@ -183,7 +192,7 @@
 	s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return !c.at.After(at) })
 }
 
-// addSuspect makes a suspect, in place of an old one where there are too many.
+// addSuspect adds a suspect, and evicts another if there are too many.
 func (q *Quarantine) addSuspect(now time.Time, request Fingerprint) *suspect {
 	q.expire(now)
 	if len(q.suspects) >= maxSuspects {
@@ -195,22 +204,22 @@
 	return s
 }
 
-// evictionCandidate is the suspect to forget first: of those that are not in quarantine, or else of all,
-// the one whose last finding is the oldest.
+// evictionCandidate returns the suspect to remove first: the one whose last finding is the oldest
+// among those that are not in quarantine, or among all if all are.
 func (q *Quarantine) evictionCandidate() Fingerprint {
-	var least Fingerprint
+	var candidate Fingerprint
 	var found *suspect
 	for request, s := range q.suspects {
 		switch {
 		case found == nil, found.quarantined() && !s.quarantined(),
 			found.quarantined() == s.quarantined() && s.lastFindingAt().Before(found.lastFindingAt()):
-			least, found = request, s
+			candidate, found = request, s
 		}
 	}
-	return least
+	return candidate
 }
 
-// expire forgets findings that are too old.
+// expire removes the findings that are older than findingTTL.
 func (q *Quarantine) expire(now time.Time) {
 	old := func(at time.Time) bool { return now.Sub(at) >= findingTTL }
 	for request, s := range q.suspects {
@@ -221,7 +230,7 @@
 	}
 }
 
-// lastFindingAt is when a suspect's last finding was made.
+// lastFindingAt returns the time of a suspect's last crash, or of its answer if none counts.
 func (s *suspect) lastFindingAt() time.Time {
 	if len(s.crashes) > 0 {
 		return s.crashes[len(s.crashes)-1].at
@@ -236,7 +245,7 @@
 	}
 }
 
-// Counts tells how many requests are suspects, and how many of these in quarantine.
+// Counts returns the number of suspects, and how many of them are in quarantine.
 func (q *Quarantine) Counts(now time.Time) (suspects, quarantined int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -249,32 +258,32 @@
 	return len(q.suspects), quarantined
 }
 
-// Findings gives what to tell other nodes, at most so many findings: what is fresh, or with whole
-// all of it, in turns where it is more.
-func (q *Quarantine) Findings(now time.Time, whole bool, most int) []Finding {
+// Findings returns the findings to report to other nodes, at most limit: all of them if full is
+// set, else the fresh ones. If there are more, successive calls return them in turn.
+func (q *Quarantine) Findings(now time.Time, full bool, limit int) []Finding {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.expire(now)
 	var list []Finding
 	for request, s := range q.suspects {
 		for _, f := range s.findings(now, request) {
-			if whole || f.Age <= freshFindingAge {
+			if full || f.Age <= freshFindingAge {
 				list = append(list, f)
 			}
 		}
 	}
-	if len(list) <= most {
+	if len(list) <= limit {
 		return list
 	}
 	slices.SortFunc(list, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Request.Scope, b.Request.Scope), cmp.Compare(a.Request.Body, b.Request.Body), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	from := q.nextReport % len(list)
-	q.nextReport = from + most
-	return append(list[from:], list[:from]...)[:most]
+	q.nextReport = from + limit
+	return append(list[from:], list[:from]...)[:limit]
 }
 
-// findings lists what a node tells of a suspect.
+// findings returns the findings of a suspect that this node reports to others.
 func (s *suspect) findings(now time.Time, request Fingerprint) []Finding {
 	var list []Finding
 	if !s.answered.IsZero() {
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -1,51 +1,50 @@
 package attempt
 
-// SendOutcome is what became of sending a request to one endpoint.
+// SendOutcome is the outcome of one attempt: of sending a request to one endpoint.
 type SendOutcome int
 
 // The outcomes, from "certainly did not run" to "has run".
 const (
-	// NotSent: no connection stood, so no byte of the request left.
+	// NotSent: there was no connection, so no byte of the request was sent.
 	NotSent SendOutcome = iota
-	// NotExecuted: the endpoint said that it did not run the request.
+	// NotExecuted: the endpoint answered that it did not run the request.
 	NotExecuted
-	// HelperFailed: the endpoint said that it did not run the request because another
-	// endpoint that was to help did not. It may be sent to the same endpoint again.
+	// HelperFailed: the endpoint answered that it did not run the request because a
+	// helper did not do its part. The request may be sent to the same endpoint again.
 	HelperFailed
-	// Broken: there is no whole answer; the request may have run.
+	// Broken: there is no complete answer; the request may have run.
 	Broken
-	// Failed: the endpoint answered whole that it failed; the request has run.
+	// Failed: the endpoint answered completely that it failed; the request has run.
 	Failed
 )
 
-// String gives the outcome's name in logs and metrics.
+// String returns the outcome's name in logs and metrics.
 func (o SendOutcome) String() string {
 	return [...]string{"not_sent", "not_executed", "helper_failed", "broken", "failed"}[o]
 }
 
-// RetryAction is what to do after an outcome.
+// RetryAction is what to do after an attempt.
 type RetryAction int
 
-// What to do next.
+// The actions.
 const (
-	// Retry to another endpoint.
+	// Retry: send the request to an endpoint again.
 	Retry RetryAction = iota
-	// Refuse: the request has not run and will not; the caller may come back.
+	// Refuse: the request has not run and will not; the caller may retry.
 	Refuse
-	// Fail: the request may have run; nothing may be promised.
+	// Fail: the request may have run, and the caller is told so.
 	Fail
-	// PassOn the endpoint's own failure.
+	// PassOn: answer the caller with the endpoint's own failure.
 	PassOn
 )
 
-// Retrier follows one request from endpoint to endpoint. It decides whether the
-// request may be sent again and what its caller may be told. Only what certainly did
-// not run, or may run again, is ever sent twice; only what certainly did not run is
-// refused.
+// Retrier tracks the attempts of one request. It decides whether the request may be
+// retried and what its caller may be told. A request is retried only if it certainly did
+// not run or is idempotent, and refused only if it certainly did not run.
 type Retrier struct {
-	// Repeatable requests may run more than once.
+	// Repeatable is set if the request is idempotent and may run more than once.
 	Repeatable bool
-	// MaxArrivals is how many endpoints the request may reach.
+	// MaxArrivals is the number of endpoints that the request may reach.
 	MaxArrivals    int
 	arrivals       int
 	unsent         int
@@ -53,25 +52,27 @@
 	mayHaveRun     bool
 }
 
-// maxUnsent bounds how many endpoints are tried that no connection reaches.
+// maxUnsent bounds the attempts that fail without a connection.
 const maxUnsent = 4
 
-// maxHelperFailures bounds how often a request is sent again because a helper failed.
+// maxHelperFailures bounds how often a request is retried because a helper failed.
 const maxHelperFailures = 3
 
-// Arrivals is how many endpoints the request has reached.
+// Arrivals returns how many endpoints the request has reached. Attempts that ended with
+// NotSent or HelperFailed do not count.
 func (r *Retrier) Arrivals() int { return r.arrivals }
 
-// MayHaveRun tells whether the request may have run.
+// MayHaveRun returns whether the request may have run in any attempt so far.
 func (r *Retrier) MayHaveRun() bool { return r.mayHaveRun }
 
-// CanRetryAfterNext tells whether the request, once sent to the next endpoint, could still go
-// on at another if that one broke off.
+// CanRetryAfterNext returns whether the request could still be retried if the next attempt
+// ended with Broken.
 func (r *Retrier) CanRetryAfterNext() bool { return r.Repeatable && r.arrivals+1 < r.MaxArrivals }
 
-// Decide decides what follows an outcome. budget is asked, and spent, only when the
-// request would reach another endpoint.
-func (r *Retrier) Decide(o SendOutcome, budget func() bool) RetryAction {
+// Decide records the outcome of an attempt and returns what to do next. takeBudget takes a
+// retry from the budget; it is called only if the request has reached an endpoint and may
+// be retried.
+func (r *Retrier) Decide(o SendOutcome, takeBudget func() bool) RetryAction {
 	switch o {
 	case NotSent:
 		r.unsent++
@@ -83,7 +84,7 @@
 		r.arrivals++
 		r.mayHaveRun = true
 	}
-	if r.mayRetry() && (r.arrivals+r.helperFailures == 0 || budget()) {
+	if r.mayRetry() && (r.arrivals+r.helperFailures == 0 || takeBudget()) {
 		return Retry
 	}
 	switch {
@@ -95,6 +96,7 @@
 	return Refuse
 }
 
+// mayRetry returns whether the request may be sent again, apart from the retry budget.
 func (r *Retrier) mayRetry() bool {
 	if r.mayHaveRun && !r.Repeatable {
 		return false
@@ -102,7 +104,7 @@
 	return r.arrivals < r.MaxArrivals && r.unsent < maxUnsent && r.helperFailures <= maxHelperFailures
 }
 
-// String gives the step's name in logs.
+// String returns the action's name in logs.
 func (n RetryAction) String() string {
 	return [...]string{"send_again", "refuse", "fail", "pass_on"}[n]
 }
--- a/attempt/retrier_test.go
+++ b/attempt/retrier_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// A request runs at most once unless it may be repeated, reaches no more endpoints than
-// it may, and is refused only while it certainly has not run; whatever endpoints do.
+// Whatever the endpoints do, a request runs at most once unless it is idempotent, reaches
+// at most MaxArrivals endpoints, and is refused only if it certainly has not run.
 func TestRetrierInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Retrier{Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxArrivals: rapid.IntRange(1, 4).Draw(t, "arrivals")}
+		r := Retrier{Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxArrivals: rapid.IntRange(1, 4).Draw(t, "arrivals")}
 		reached, ran, sends := 0, false, 0
 		for {
 			sends++
 			outcome := rapid.SampledFrom([]SendOutcome{NotSent, NotExecuted, HelperFailed, Broken, Failed}).Draw(t, "outcome")
 			if outcome >= Broken {
-				if ran && !c.Repeatable {
-					t.Fatal("ran twice")
+				if ran && !r.Repeatable {
+					t.Fatal("a request that is not repeatable ran twice")
 				}
 				ran = true
 			}
@@ -27,24 +27,24 @@
 			}
 			asked := false
 			budget := rapid.Bool().Draw(t, "budget")
-			next := c.Decide(outcome, func() bool { asked = true; return budget })
-			if next == Retry {
-				if reached >= c.MaxArrivals {
-					t.Fatal("reached more endpoints than it may")
+			action := r.Decide(outcome, func() bool { asked = true; return budget })
+			if action == Retry {
+				if reached >= r.MaxArrivals {
+					t.Fatal("reached more than MaxArrivals endpoints")
 				}
 				if asked && !budget {
-					t.Fatal("sent again without budget")
+					t.Fatal("retried without budget")
 				}
 				if sends > 20 {
-					t.Fatal("does not end")
+					t.Fatal("retried without end")
 				}
 				continue
 			}
-			if next == Refuse && ran {
-				t.Fatal("refused, and it may have run")
+			if action == Refuse && ran {
+				t.Fatal("refused a request that may have run")
 			}
-			if next != Refuse && !ran {
-				t.Fatal("failed, and it has not run")
+			if action != Refuse && !ran {
+				t.Fatal("failed a request that has not run instead of refusing it")
 			}
 			return
 		}
@@ -53,10 +53,10 @@
 
 func TestRetryBudgetIsAskedOnlyOnRetries(t *testing.T) {
 	is := is.New(t)
-	never := func() bool { t.Fatal("asked"); return false }
-	c := Retrier{Repeatable: true, MaxArrivals: 2}
-	is.Equal(c.Decide(NotSent, never), Retry) // no endpoint has seen it
-	is.Equal(c.Decide(Broken, func() bool { return false }), Fail)
-	once := Retrier{MaxArrivals: 2}
-	is.Equal(once.Decide(Broken, never), Fail) // it must not run again, budget or not
+	never := func() bool { t.Fatal("the budget was asked"); return false }
+	r := Retrier{Repeatable: true, MaxArrivals: 2}
+	is.Equal(r.Decide(NotSent, never), Retry) // no endpoint has received it
+	is.Equal(r.Decide(Broken, func() bool { return false }), Fail)
+	notRepeatable := Retrier{MaxArrivals: 2}
+	is.Equal(notRepeatable.Decide(Broken, never), Fail) // it must not run again, whatever the budget is
 }
