--- a/admission/inflow.go
+++ b/admission/arrivalrates.go
@@ -16,28 +16,28 @@
 	updatedAt time.Time
 }
 
-func (f *arrivalRates) add(now time.Time, level Level, tokens int) {
-	f.decay(now)
-	f.rates[level] += float64(tokens) / arrivalRateWindow.Seconds()
+func (a *arrivalRates) add(now time.Time, level Level, tokens int) {
+	a.decay(now)
+	a.rates[level] += float64(tokens) / arrivalRateWindow.Seconds()
 }
 
-func (f *arrivalRates) decay(now time.Time) {
-	if passed := now.Sub(f.updatedAt); passed > 0 {
+func (a *arrivalRates) decay(now time.Time) {
+	if passed := now.Sub(a.updatedAt); passed > 0 {
 		factor := math.Exp(-passed.Seconds() / arrivalRateWindow.Seconds())
-		for level := range f.rates {
-			f.rates[level] *= factor
+		for level := range a.rates {
+			a.rates[level] *= factor
 		}
-		f.updatedAt = now
+		a.updatedAt = now
 	}
 }
 
 // moreUrgentThan returns the arrival rate, in tokens per second, of all levels that go
 // before the given one, without its own.
-func (f *arrivalRates) moreUrgentThan(now time.Time, level Level) float64 {
-	f.decay(now)
+func (a *arrivalRates) moreUrgentThan(now time.Time, level Level) float64 {
+	a.decay(now)
 	sum := 0.0
 	for l := Level(0); l < level; l++ {
-		sum += f.rates[l]
+		sum += a.rates[l]
 	}
 	return sum
 }
--- a/admission/lending.go
+++ b/admission/lending.go
@@ -130,20 +130,20 @@
 
 // SetLoan records the share that a home has lent. asked is when the request was sent: the
 // lease counts from there, so that it ends here before it ends at the home.
-func (s *Borrower) SetLoan(asked time.Time, account string, share float64) {
-	s.loans[account] = borrowedShare{share: share, expires: asked.Add(LendingLease)}
+func (b *Borrower) SetLoan(asked time.Time, account string, share float64) {
+	b.loans[account] = borrowedShare{share: share, expires: asked.Add(LendingLease)}
 }
 
 // Share returns the share of an account's limits, 0 to 1, that this entry may use when
 // there are the given number of entries: its part of StaticShare and the borrowed share.
-func (s *Borrower) Share(now time.Time, account string, entries int) float64 {
+func (b *Borrower) Share(now time.Time, account string, entries int) float64 {
 	own := StaticShare / float64(max(1, entries))
-	lent, found := s.loans[account]
+	lent, found := b.loans[account]
 	if !found {
 		return own
 	}
 	if now.After(lent.expires) {
-		delete(s.loans, account)
+		delete(b.loans, account)
 		return own
 	}
 	return own + lent.share
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -97,9 +97,9 @@
 	prefilled bool
 }
 
-func (j *Job) memory() int  { return j.PromptTokens + j.OutputTokens }
-func (j *Job) long() bool   { return Band(j.PromptTokens) == bandCount-1 }
-func (j *Job) level() Level { return LevelOf(j.Class, j.PromptTokens) }
+func (j *Job) memoryTokens() int { return j.PromptTokens + j.OutputTokens }
+func (j *Job) isLong() bool      { return Band(j.PromptTokens) == bandCount-1 }
+func (j *Job) level() Level      { return LevelOf(j.Class, j.PromptTokens) }
 
 // Decision is the answer to an offered job.
 type Decision struct {
@@ -185,7 +185,7 @@
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
 	}
-	if q.config.MemoryTokens > 0 && job.memory() > q.config.MaxPromptTokens() {
+	if q.config.MemoryTokens > 0 && job.memoryTokens() > q.config.MaxPromptTokens() {
 		return &Decision{Code: result.PromptTooLong}
 	}
 	if q.slots == 0 && q.running == 0 {
@@ -260,7 +260,7 @@
 	}
 	cost := time.Duration(0)
 	if q.config.PrefillRate > 0 {
-		cost = seconds(float64(job.memory()) / float64(q.config.PrefillRate))
+		cost = seconds(float64(job.memoryTokens()) / float64(q.config.PrefillRate))
 	}
 	a.nextArrival = start.Add(cost * time.Duration(len(q.accounts)))
 	return start.Add(q.config.AgingDelay[job.Class] + cost)
@@ -307,9 +307,9 @@
 		q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 		job.running = true
 		q.running++
-		q.heldTokens += job.memory()
+		q.heldTokens += job.memoryTokens()
 		q.prefilling[job.ID] = job
-		if job.long() {
+		if job.isLong() {
 			q.longRunning++
 		}
 		return job.ID, true
@@ -338,10 +338,10 @@
 	if q.config.MemoryTokens == 0 {
 		return true
 	}
-	if job.long() {
-		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memory() <= q.config.MaxPromptTokens()
+	if job.isLong() {
+		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memoryTokens() <= q.config.MaxPromptTokens()
 	}
-	return q.heldTokens+job.memory() <= q.config.MemoryTokens
+	return q.heldTokens+job.memoryTokens() <= q.config.MemoryTokens
 }
 
 // MarkPrefilled records that a running job's prefill is done.
@@ -363,8 +363,8 @@
 	delete(q.jobs, id)
 	if job.running {
 		q.running--
-		q.heldTokens -= job.memory()
-		if job.long() {
+		q.heldTokens -= job.memoryTokens()
+		if job.isLong() {
 			q.longRunning--
 		}
 	} else {
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -105,6 +105,6 @@
 }
 
 // String returns the action's name in logs.
-func (n RetryAction) String() string {
-	return [...]string{"send_again", "refuse", "fail", "pass_on"}[n]
+func (a RetryAction) String() string {
+	return [...]string{"send_again", "refuse", "fail", "pass_on"}[a]
 }
--- a/membership/config.go
+++ b/membership/config.go
@@ -65,9 +65,9 @@
 const (
 	defaultTick           = 50 * time.Millisecond
 	defaultBytesPerSecond = 4000
-	defaultForgetAfter    = time.Minute
-	defaultNearEntries    = 8
-	defaultFarEntries     = 2
+	defaultRemoveAfter    = time.Minute
+	defaultLocalEntries   = 8
+	defaultRemoteEntries  = 2
 	// agentHeartbeatBytes is the size of an agent's heartbeat with its UDP and IP
 	// headers, as measured by the capacity bench.
 	agentHeartbeatBytes = 223
@@ -84,13 +84,13 @@
 		c.BytesPerSecond = defaultBytesPerSecond
 	}
 	if c.RemoveAfter == 0 {
-		c.RemoveAfter = defaultForgetAfter
+		c.RemoveAfter = defaultRemoveAfter
 	}
 	if c.LocalEntries == 0 {
-		c.LocalEntries = defaultNearEntries
+		c.LocalEntries = defaultLocalEntries
 	}
 	if c.RemoteEntries == 0 {
-		c.RemoteEntries = defaultFarEntries
+		c.RemoteEntries = defaultRemoteEntries
 	}
 }
 
--- a/membership/state_test.go
+++ b/membership/state_test.go
@@ -178,7 +178,7 @@
 		}
 	}
 	s.applyList(testStart, vms)
-	is.Equal(len(s.recipients(testStart)), defaultNearEntries+defaultFarEntries)
+	is.Equal(len(s.recipients(testStart)), defaultLocalEntries+defaultRemoteEntries)
 }
 
 func TestAdvisedIntervalKeepsByteRate(t *testing.T) {
