--- a/admission/lending.go
+++ b/admission/lending.go
@@ -7,8 +7,8 @@
 // that receive the account's requests. The lender is the account's home, an entry that
 // every entry derives from the account's name.
 //
-// The shares are meant never to sum to more than 1. A loan stays counted until its
-// lease has ended by the home's clock, on which it starts later than on the borrower's.
+// The shares must never sum to more than 1. A loan stays counted until its lease has
+// ended by the home's clock, on which it starts later than on the borrower's.
 // A new home lends nothing for as long as a lease of the previous one may last. Without
 // a home, an entry is left with its part of StaticShare.
 const (
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -76,7 +76,7 @@
 	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
-// Job is a request that asks for a place at the endpoint.
+// Job is a request that asks to run at the endpoint.
 type Job struct {
 	// ID is the reservation's number.
 	ID uint64
@@ -119,7 +119,7 @@
 // not safe for concurrent use: it belongs to the agent's control thread.
 type Queue struct {
 	config Config
-	// slots is how many of the MaxRunning slots the power grant allows.
+	// slots is how many jobs may run at once under the power grant, at most MaxRunning.
 	slots       int
 	jobs        map[uint64]*Job
 	waiting     []*Job // by startBy
@@ -245,8 +245,8 @@
 }
 
 // assignStartBy returns the time by which a job should start, and advances its account's
-// virtual arrival time. Jobs start in the order of these times, so that a job cannot
-// starve as it ages.
+// virtual arrival time. Jobs start in the order of these times, so that a job that has
+// waited long goes before newer ones and cannot starve.
 func (q *Queue) assignStartBy(now time.Time, job *Job) time.Time {
 	a := q.accounts[job.Account]
 	if a == nil {
@@ -266,6 +266,7 @@
 	return start.Add(q.config.AgingDelay[job.Class] + cost)
 }
 
+// insert adds a job to waiting, behind those with the same startBy.
 func (q *Queue) insert(job *Job) {
 	at := sort.Search(len(q.waiting), func(i int) bool { return q.waiting[i].startBy.After(job.startBy) })
 	q.waiting = append(q.waiting, nil)
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -39,9 +39,9 @@
 	freshFindingAge = 500 * time.Millisecond
 )
 
-// Quarantine detects requests that make endpoints crash repeatedly, and tells which requests must
-// not be sent any more. Nodes exchange their findings; the order in which findings arrive and how
-// often does not matter. It is safe for concurrent use.
+// Quarantine detects requests that make endpoints crash repeatedly and must not be sent any more.
+// Nodes exchange their findings; the order in which findings arrive and how often does not
+// matter. It is safe for concurrent use.
 type Quarantine struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -39,8 +39,8 @@
 )
 
 // Retrier tracks the attempts of one request. It decides whether the request may be
-// retried and what its caller may be told. A request is retried only if it certainly did
-// not run or is idempotent, and refused only if it certainly did not run.
+// retried and how the caller is answered if not. A request is retried only if it certainly
+// did not run or is idempotent, and refused only if it certainly did not run.
 type Retrier struct {
 	// Repeatable is set if the request is idempotent and may run more than once.
 	Repeatable bool
@@ -70,8 +70,8 @@
 func (r *Retrier) CanRetryAfterNext() bool { return r.Repeatable && r.arrivals+1 < r.MaxArrivals }
 
 // Decide records the outcome of an attempt and returns what to do next. takeBudget takes a
-// retry from the budget; it is called only if the request has reached an endpoint and may
-// be retried.
+// retry from the budget and returns whether there was one. It is not called for a request
+// that may not be retried, or whose attempts all ended with NotSent.
 func (r *Retrier) Decide(o SendOutcome, takeBudget func() bool) RetryAction {
 	switch o {
 	case NotSent:
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -1,8 +1,8 @@
-// Package attempt tracks the attempts of requests and decides what may be said about them
-// and done with them: Table holds an agent's reservations and tells whether an attempt did
-// not run, runs, has finished or is no longer known; Claim makes a request run at most
-// once; Retrier decides on retries; Quarantine detects requests that crash endpoints. The
-// package reads no clock and does no I/O: the time is an argument.
+// Package attempt tracks the attempts of requests: Table holds an agent's reservations and
+// determines whether an attempt did not run, runs, has finished or is no longer known;
+// Claim makes a request run at most once; Retrier decides on retries; Quarantine detects
+// requests that crash endpoints. The package reads no clock and does no I/O: the time is an
+// argument.
 //
 // An agent issues a reservation number before it can receive a run request, and a run
 // request starts only if it names a valid reservation. A number that was withdrawn or has
--- a/membership/config.go
+++ b/membership/config.go
@@ -76,6 +76,7 @@
 	missedBeforeSuspect = 4
 )
 
+// setDefaults sets the fields that have a default and are zero.
 func (c *Config) setDefaults() {
 	if c.Tick == 0 {
 		c.Tick = defaultTick
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -65,7 +65,7 @@
 // or by what another node has read in that list.
 func (l *Loop) Leaving() bool { return l.leaving.Load() }
 
-// Run runs the loop until ctx ends. It fails if the loop cannot listen.
+// Run runs the loop until ctx ends. It returns an error if the loop cannot listen.
 func (l *Loop) Run(ctx context.Context) error {
 	go func() {
 		<-ctx.Done()
@@ -76,6 +76,7 @@
 	return errors.Wrap(err, "control loop")
 }
 
+// stop marks the loop as stopped and stops the event loop if it has booted.
 func (l *Loop) stop() {
 	l.stopOnce.Do(func() {
 		close(l.stopped)
@@ -206,6 +207,7 @@
 	return len(data) + headerBytes
 }
 
+// send sends one datagram. Before OnBoot it does nothing.
 func (l *Loop) send(recipient string, data []byte) {
 	addr, err := netip.ParseAddrPort(recipient)
 	if err != nil || l.sender == nil {
