--- a/admission/lending_test.go
+++ b/admission/lending_test.go
@@ -65,7 +65,7 @@
 					}
 				}
 				if sum > 1-StaticShare+1e-9 {
-					t.Fatalf("a share of %.3f is lent, of %.3f lendable", sum, 1-StaticShare)
+					t.Fatalf("shares of %.3f in total are lent", sum)
 				}
 			},
 		})
