--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -7,89 +7,95 @@
 	"time"
 )
 
-// Finding is what became of one run of a request: the endpoint's process ended during it, or the
-// request was answered whole.
+// Finding is the result of one run of a request, as far as the quarantine is concerned: the
+// endpoint crashed during the run, or answered the request completely.
 type Finding struct {
 	Request Fingerprint
-	// Endpoint is a hash of the life of the endpoint that ended; Answered for an answer.
+	// Endpoint is a hash of the endpoint's incarnation that crashed, or Answered.
 	Endpoint uint32
-	// Age is how long ago it was.
+	// Age is how long ago the run ended.
 	Age time.Duration
 }
 
-// Answered stands in a finding's Endpoint for a request that was answered whole.
+// Answered is the value of Finding.Endpoint for a request that was answered completely.
 const Answered uint32 = 0
 
 const (
-	// crashesToQuarantine is how many lives of endpoints must have ended while a request was open
-	// there. One or two happen to requests that had nothing to do with it.
+	// crashesToQuarantine is the number of endpoint incarnations that must have crashed while a
+	// request was in flight there. One or two also happen to requests that did not cause the
+	// crash.
 	crashesToQuarantine = 3
-	// crashesKept of a request are remembered, the last ones: some may count no more once an answer
-	// is heard of that came before the others.
-	crashesKept = 2 * crashesToQuarantine
-	// findingLife is how long a finding counts: no longer at one node than at another, so that what
-	// they tell each other does not keep it alive.
-	findingLife = time.Hour
-	// maxSuspects bounds the memory: about 150 bytes each.
+	// maxCrashesKept is how many crashes of a request are kept, the latest ones. They are more than
+	// crashesToQuarantine, because an answer that another node reports late cancels the crashes
+	// before it.
+	maxCrashesKept = 2 * crashesToQuarantine
+	// findingTTL is how long a finding counts after the end of the run. It ends at the same time
+	// on all nodes, so that they do not keep a finding alive by reporting it to each other.
+	findingTTL = time.Hour
+	// maxSuspects bounds the memory, about 150 bytes for each suspect.
 	maxSuspects = 4096
-	// freshAge is how old a finding may be to be told between two whole reports: several such
-	// reports may be lost.
-	freshAge = 500 * time.Millisecond
+	// freshFindingAge is the age up to which a finding is repeated in the reports between two full
+	// ones, since several of these may be lost.
+	freshFindingAge = 500 * time.Millisecond
 )
 
-// Quarantine finds requests under which endpoints crash again and again, and says which must not
-// be sent to any more. Nodes tell each other their findings; the order in which these come and
-// how often does not matter. Safe for concurrent use.
+// Quarantine detects requests that make endpoints crash repeatedly and must not be sent any more.
+// Nodes exchange their findings; the order in which findings arrive and how often does not
+// matter. It is safe for concurrent use.
 type Quarantine struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// scopes counts the suspects by the scope of their fingerprints.
+	// scopes counts the suspects by the Scope of their fingerprints.
 	scopes map[uint64]int
-	// next is where the next whole report begins.
-	next int
+	// nextReport is the index of the finding at which the next report begins if not all findings
+	// fit into one.
+	nextReport int
 }
 
-// suspect is what is known of a request during which an endpoint crashed.
+// suspect is a request during which an endpoint has crashed.
 type suspect struct {
-	// crashes are in the order of their times.
+	// crashes are sorted by time.
 	crashes []crash
-	// answered is when it was last answered whole, zero: never; crashes before it do not count.
+	// answered is when the request was last answered completely, or zero. Crashes before it do
+	// not count.
 	answered time.Time
 }
 
+// crash is a crash of one incarnation of an endpoint, given by its hash.
 type crash struct {
 	endpoint uint32
 	at       time.Time
-	// own is set for what this node has seen itself.
-	own bool
+	// local is set if this node observed the crash itself.
+	local bool
 }
 
-// NewQuarantine makes one that knows of no crash.
+// NewQuarantine returns a quarantine without suspects.
 func NewQuarantine() *Quarantine {
 	return &Quarantine{suspects: map[Fingerprint]*suspect{}, scopes: map[uint64]int{}}
 }
 
 func (s *suspect) quarantined() bool { return len(s.crashes) >= crashesToQuarantine }
 
-// shared tells whether nodes pass on what others have found: requests that only one endpoint
-// crashed with are many whenever one crashes.
-func (s *suspect) shared() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
+// shareable returns whether this node forwards crashes that other nodes observed. It does not
+// while there is only one crash: every crash makes suspects of all requests in flight there.
+func (s *suspect) shareable() bool { return len(s.crashes) > 1 || !s.answered.IsZero() }
 
-// HasSuspect tells whether any request of a scope is known; the body need not be read otherwise.
+// HasSuspect returns whether any request with the given fingerprint scope is a suspect. If not,
+// the body need not be hashed.
 func (q *Quarantine) HasSuspect(scope uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.scopes[scope] > 0
 }
 
-// Empty tells whether nothing is known of any request.
+// Empty returns whether there are no suspects.
 func (q *Quarantine) Empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.suspects) == 0
 }
 
-// Remaining tells for how long a request must not be sent; 0: it may be.
+// Remaining returns for how long a request stays in quarantine; 0 if it may be sent.
 func (q *Quarantine) Remaining(now time.Time, request Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,24 +104,25 @@
 		return 0
 	}
 	decisive := s.crashes[len(s.crashes)-crashesToQuarantine]
-	return max(decisive.at.Add(findingLife).Sub(now), 0)
+	return max(decisive.at.Add(findingTTL).Sub(now), 0)
 }
 
-// RecordCrash notes that the life of an endpoint ended while a request was open there. It tells with
-// how many lives that has happened, and whether the request is in quarantine because of this one.
+// RecordCrash records that an endpoint crashed while a request was in flight there; endpoint is
+// the hash of its incarnation. It returns the number of crashes that count for the request, and
+// whether this one put the request into quarantine.
 func (q *Quarantine) RecordCrash(now time.Time, request Fingerprint, endpoint uint32) (crashes int, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	quarantined = q.add(now, request, crash{endpoint: endpoint, at: now, own: true})
+	quarantined = q.addCrash(now, request, crash{endpoint: endpoint, at: now, local: true})
 	if s := q.suspects[request]; s != nil {
 		crashes = len(s.crashes)
 	}
 	return crashes, quarantined
 }
 
-// CrashedEndpoints gives the endpoints that crashed under a request, and tells whether this node has seen
-// one of them crash.
-func (q *Quarantine) CrashedEndpoints(request Fingerprint) (endpoints []uint32, own bool) {
+// CrashedEndpoints returns the hashes of the endpoint incarnations that crashed during a request,
+// and whether this node observed one of the crashes itself.
+func (q *Quarantine) CrashedEndpoints(request Fingerprint) (endpoints []uint32, local bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := q.suspects[request]
@@ -124,43 +131,44 @@
 	}
 	for _, c := range s.crashes {
 		endpoints = append(endpoints, c.endpoint)
-		own = own || c.own
+		local = local || c.local
 	}
-	return endpoints, own
+	return endpoints, local
 }
 
-// RecordAnswer notes that a request was answered whole: it does not crash every endpoint.
+// RecordAnswer records that a request was answered completely. The crashes before do not count
+// any more, since the request does not crash every endpoint.
 func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.answer(request, now)
+	q.applyAnswer(request, now)
 }
 
-// Merge takes in what another node has found. It gives the requests that are in quarantine because
-// of it.
+// Merge adds the findings of another node. It returns the requests that they put into quarantine.
 func (q *Quarantine) Merge(now time.Time, findings []Finding) []Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var quarantined []Fingerprint
 	for _, f := range findings {
 		at := now.Add(-f.Age)
-		if f.Age < 0 || f.Age >= findingLife {
+		if f.Age < 0 || f.Age >= findingTTL {
 			continue
 		}
 		if f.Endpoint == Answered {
-			q.answer(f.Request, at)
-		} else if q.add(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
+			q.applyAnswer(f.Request, at)
+		} else if q.addCrash(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
 			quarantined = append(quarantined, f.Request)
 		}
 	}
 	return quarantined
 }
 
-// add adds a crash; it tells whether the request is in quarantine because of it.
-func (q *Quarantine) add(now time.Time, request Fingerprint, c crash) bool {
+// addCrash adds a crash and returns whether it put the request into quarantine. A crash of the
+// same incarnation counts once, and one before the last answer not at all.
+func (q *Quarantine) addCrash(now time.Time, request Fingerprint, c crash) bool {
 	s := q.suspects[request]
 	if s == nil {
-		s = q.begin(now, request)
+		s = q.addSuspect(now, request)
 	}
 	known := slices.ContainsFunc(s.crashes, func(k crash) bool { return k.endpoint == c.endpoint })
 	if known || !c.at.After(s.answered) {
@@ -169,12 +177,13 @@
 	before := s.quarantined()
 	s.crashes = append(s.crashes, c)
 	slices.SortFunc(s.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
-	s.crashes = s.crashes[max(len(s.crashes)-crashesKept, 0):]
+	s.crashes = s.crashes[max(len(s.crashes)-maxCrashesKept, 0):]
 	return !before && s.quarantined()
 }
 
-// answer drops the crashes before an answer. Requests that are not suspects need none.
-func (q *Quarantine) answer(request Fingerprint, at time.Time) {
+// applyAnswer removes the crashes before an answer. An answer to a request that is not a suspect
+// is ignored.
+func (q *Quarantine) applyAnswer(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
 		return
@@ -183,11 +192,11 @@
 	s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return !c.at.After(at) })
 }
 
-// begin makes a suspect, in place of an old one where there are too many.
-func (q *Quarantine) begin(now time.Time, request Fingerprint) *suspect {
+// addSuspect adds a suspect, and evicts another if there are too many.
+func (q *Quarantine) addSuspect(now time.Time, request Fingerprint) *suspect {
 	q.expire(now)
 	if len(q.suspects) >= maxSuspects {
-		q.drop(q.evictionCandidate())
+		q.removeSuspect(q.evictionCandidate())
 	}
 	s := &suspect{}
 	q.suspects[request] = s
@@ -195,48 +204,48 @@
 	return s
 }
 
-// evictionCandidate is the suspect to forget first: of those that are not in quarantine, or else of all,
-// the one whose last finding is the oldest.
+// evictionCandidate returns the suspect to remove first: the one whose last finding is the oldest
+// among those that are not in quarantine, or among all if all are.
 func (q *Quarantine) evictionCandidate() Fingerprint {
-	var least Fingerprint
+	var candidate Fingerprint
 	var found *suspect
 	for request, s := range q.suspects {
 		switch {
 		case found == nil, found.quarantined() && !s.quarantined(),
-			found.quarantined() == s.quarantined() && s.newest().Before(found.newest()):
-			least, found = request, s
+			found.quarantined() == s.quarantined() && s.lastFindingAt().Before(found.lastFindingAt()):
+			candidate, found = request, s
 		}
 	}
-	return least
+	return candidate
 }
 
-// expire forgets findings that are too old.
+// expire removes the findings that are older than findingTTL.
 func (q *Quarantine) expire(now time.Time) {
-	old := func(at time.Time) bool { return now.Sub(at) >= findingLife }
+	old := func(at time.Time) bool { return now.Sub(at) >= findingTTL }
 	for request, s := range q.suspects {
 		s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return old(c.at) })
 		if len(s.crashes) == 0 && old(s.answered) {
-			q.drop(request)
+			q.removeSuspect(request)
 		}
 	}
 }
 
-// newest is when a suspect's last finding was made.
-func (s *suspect) newest() time.Time {
+// lastFindingAt returns the time of a suspect's last crash, or of its answer if none counts.
+func (s *suspect) lastFindingAt() time.Time {
 	if len(s.crashes) > 0 {
 		return s.crashes[len(s.crashes)-1].at
 	}
 	return s.answered
 }
 
-func (q *Quarantine) drop(request Fingerprint) {
+func (q *Quarantine) removeSuspect(request Fingerprint) {
 	delete(q.suspects, request)
 	if q.scopes[request.Scope]--; q.scopes[request.Scope] <= 0 {
 		delete(q.scopes, request.Scope)
 	}
 }
 
-// Counts tells how many requests are suspects, and how many of these in quarantine.
+// Counts returns the number of suspects, and how many of them are in quarantine.
 func (q *Quarantine) Counts(now time.Time) (suspects, quarantined int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -249,39 +258,39 @@
 	return len(q.suspects), quarantined
 }
 
-// Findings gives what to tell other nodes, at most so many findings: what is fresh, or with whole
-// all of it, in turns where it is more.
-func (q *Quarantine) Findings(now time.Time, whole bool, most int) []Finding {
+// Findings returns the findings to report to other nodes, at most limit: all of them if full is
+// set, else the fresh ones. If there are more, successive calls return them in turn.
+func (q *Quarantine) Findings(now time.Time, full bool, limit int) []Finding {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.expire(now)
 	var list []Finding
 	for request, s := range q.suspects {
 		for _, f := range s.findings(now, request) {
-			if whole || f.Age <= freshAge {
+			if full || f.Age <= freshFindingAge {
 				list = append(list, f)
 			}
 		}
 	}
-	if len(list) <= most {
+	if len(list) <= limit {
 		return list
 	}
 	slices.SortFunc(list, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.Request.Scope, b.Request.Scope), cmp.Compare(a.Request.Body, b.Request.Body), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	from := q.next % len(list)
-	q.next = from + most
-	return append(list[from:], list[:from]...)[:most]
+	from := q.nextReport % len(list)
+	q.nextReport = from + limit
+	return append(list[from:], list[:from]...)[:limit]
 }
 
-// findings lists what a node tells of a suspect.
+// findings returns the findings of a suspect that this node reports to others.
 func (s *suspect) findings(now time.Time, request Fingerprint) []Finding {
 	var list []Finding
 	if !s.answered.IsZero() {
 		list = append(list, Finding{request, Answered, now.Sub(s.answered)})
 	}
 	for _, c := range s.crashes {
-		if c.own || s.shared() {
+		if c.local || s.shareable() {
 			list = append(list, Finding{request, c.endpoint, now.Sub(c.at)})
 		}
 	}
