--- a/directory/lives_test.go
+++ b/directory/incarnation_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-func life(id string, born int64, revision uint64, leaving bool) *Endpoint {
+func incarnation(id string, born int64, revision uint64, leaving bool) *Endpoint {
 	return &Endpoint{Incarnation: Incarnation{id, born}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
 }
 
-// follow makes a replica that has read a store with one endpoint.
-func follow(first *Endpoint) *Replica {
+// newReplicaWith makes a replica that has read a store with one endpoint.
+func newReplicaWith(first *Endpoint) *Replica {
 	r := NewReplica()
 	r.ApplyState(time.Now(), &StoreState{Revision: first.Revision, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{*first}})
 	return r
 }
 
-func (r *Replica) hear(changes ...Change) {
+func (r *Replica) apply(changes ...Change) {
 	r.ApplyChanges(time.Now(), &Changes{Revision: changes[len(changes)-1].Revision, Changes: changes})
 }
 
@@ -28,9 +28,9 @@
 // ID. Cause: "leaving" was kept for the ID and not for the life.
 func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	is := is.New(t)
-	r := follow(life("a", 100, 1, true))
+	r := newReplicaWith(incarnation("a", 100, 1, true))
 	is.True(r.Snapshot().EndpointByID("a") == nil)
-	r.hear(Change{Revision: 2, Endpoint: life("a", 200, 2, false)})
+	r.apply(Change{Revision: 2, Endpoint: incarnation("a", 200, 2, false)})
 	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200})
 	is.True(r.Snapshot().Endpoint(Incarnation{"a", 100}) == nil)
 }
@@ -40,13 +40,13 @@
 // believed, whatever life it speaks of.
 func TestRegistrationOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	r := follow(life("a", 200, 2, false))
-	r.hear(Change{Revision: 3, Endpoint: life("a", 100, 3, true)})
+	r := newReplicaWith(incarnation("a", 200, 2, false))
+	r.apply(Change{Revision: 3, Endpoint: incarnation("a", 100, 3, true)})
 	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200})
-	r.hear(Change{Revision: 4, EndpointGone: "a"})
-	r.hear(Change{Revision: 5, Endpoint: life("a", 100, 5, false)})
+	r.apply(Change{Revision: 4, EndpointGone: "a"})
+	r.apply(Change{Revision: 5, Endpoint: incarnation("a", 100, 5, false)})
 	is.True(r.Snapshot().EndpointByID("a") == nil) // also when nothing is listed
-	r.hear(Change{Revision: 6, Endpoint: life("a", 200, 6, false)})
+	r.apply(Change{Revision: 6, Endpoint: incarnation("a", 200, 6, false)})
 	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // it had lapsed
 }
 
@@ -54,8 +54,8 @@
 // leaves, its registration ends, and a delayed write says once more that it is ready.
 func TestIncarnationThatLeftDoesNotReturn(t *testing.T) {
 	is := is.New(t)
-	r := follow(life("a", 100, 1, false))
-	r.hear(Change{Revision: 2, Endpoint: life("a", 100, 2, true)}, Change{Revision: 3, EndpointGone: "a"}, Change{Revision: 4, Endpoint: life("a", 100, 4, false)})
+	r := newReplicaWith(incarnation("a", 100, 1, false))
+	r.apply(Change{Revision: 2, Endpoint: incarnation("a", 100, 2, true)}, Change{Revision: 3, EndpointGone: "a"}, Change{Revision: 4, Endpoint: incarnation("a", 100, 4, false)})
 	is.True(r.Snapshot().EndpointByID("a") == nil)
 }
 
@@ -65,16 +65,16 @@
 func TestEndpointWithForeignRegistrationIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	for _, born := range []int64{0, 100} {
-		r := follow(life("a", born, 1, false))
-		r.hear(Change{Revision: 2, InvalidEndpoint: "a"})
+		r := newReplicaWith(incarnation("a", born, 1, false))
+		r.apply(Change{Revision: 2, InvalidEndpoint: "a"})
 		is.True(r.Snapshot().EndpointByID("a") == nil)
-		r.hear(Change{Revision: 3, Endpoint: life("a", born, 3, true)}, Change{Revision: 4, InvalidEndpoint: "a"}, Change{Revision: 5, Endpoint: life("a", born, 5, false)})
+		r.apply(Change{Revision: 3, Endpoint: incarnation("a", born, 3, true)}, Change{Revision: 4, InvalidEndpoint: "a"}, Change{Revision: 5, Endpoint: incarnation("a", born, 5, false)})
 		is.True(r.Snapshot().EndpointByID("a") == nil) // it is leaving
 	}
-	r := follow(life("a", 100, 1, false))
-	r.hear(Change{Revision: 2, Endpoint: life("a", 0, 2, false)}) // does not say when it was born
+	r := newReplicaWith(incarnation("a", 100, 1, false))
+	r.apply(Change{Revision: 2, Endpoint: incarnation("a", 0, 2, false)}) // does not say when it was born
 	is.True(r.Snapshot().EndpointByID("a") == nil)
-	r.ApplyState(time.Now(), &StoreState{Revision: 4, Endpoints: []Endpoint{*life("a", 100, 3, false)}})
+	r.ApplyState(time.Now(), &StoreState{Revision: 4, Endpoints: []Endpoint{*incarnation("a", 100, 3, false)}})
 	is.True(r.Snapshot().EndpointByID("a") != nil)
 	r.ApplyState(time.Now(), &StoreState{Revision: 5, InvalidEndpoints: []string{"a"}})
 	is.True(r.Snapshot().EndpointByID("a") == nil)
@@ -83,10 +83,10 @@
 // storeModel is the plain reference of what the store holds and what was ever seen of
 // each ID, by which the replica is judged.
 type storeModel struct {
-	revision uint64
-	items    map[string]*Endpoint // nil: an entry that names no endpoint
-	newest   map[string]int64     // the latest birth seen
-	left     map[Incarnation]bool // said that they leave
+	revision      uint64
+	registrations map[string]*Endpoint // nil: an entry that names no endpoint
+	newestStart   map[string]int64     // the latest birth seen
+	left          map[Incarnation]bool // said that they leave
 }
 
 // write is the next change of the store.
@@ -96,14 +96,14 @@
 	change := Change{Revision: m.revision}
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0:
-		delete(m.items, id)
+		delete(m.registrations, id)
 		change.EndpointGone = id
 	case 1:
-		m.items[id] = nil
+		m.registrations[id] = nil
 		change.InvalidEndpoint = id
 	default:
-		e := life(id, rapid.Int64Range(1, 5).Draw(t, "born"), m.revision, rapid.IntRange(0, 3).Draw(t, "leaving") == 0)
-		m.items[id] = e
+		e := incarnation(id, rapid.Int64Range(1, 5).Draw(t, "born"), m.revision, rapid.IntRange(0, 3).Draw(t, "leaving") == 0)
+		m.registrations[id] = e
 		change.Endpoint = e
 	}
 	return change
@@ -111,7 +111,7 @@
 
 // see notes what a replica was told.
 func (m *storeModel) see(e *Endpoint) {
-	m.newest[e.ID] = max(m.newest[e.ID], e.StartUnixMilli)
+	m.newestStart[e.ID] = max(m.newestStart[e.ID], e.StartUnixMilli)
 	if e.Leaving {
 		m.left[e.Incarnation] = true
 	}
@@ -121,18 +121,18 @@
 func (m *storeModel) check(t *rapid.T, r *Replica) {
 	s := r.Snapshot()
 	for _, id := range []string{"a", "b"} {
-		present, entry := s.EndpointByID(id), m.items[id]
-		if present != nil && present.StartUnixMilli != m.newest[id] {
-			t.Fatalf("%s is used as born %d, and %d is known", id, present.StartUnixMilli, m.newest[id])
+		present, entry := s.EndpointByID(id), m.registrations[id]
+		if present != nil && present.StartUnixMilli != m.newestStart[id] {
+			t.Fatalf("%s is used as born %d, and %d is known", id, present.StartUnixMilli, m.newestStart[id])
 		}
 		if present != nil && m.left[present.Incarnation] {
 			t.Fatalf("%v has left and is used", present.Incarnation)
 		}
-		usable := entry != nil && entry.StartUnixMilli == m.newest[id] && !m.left[entry.Incarnation]
+		usable := entry != nil && entry.StartUnixMilli == m.newestStart[id] && !m.left[entry.Incarnation]
 		if usable && present == nil {
 			t.Fatalf("%v is not used", entry.Incarnation)
 		}
-		if _, there := m.items[id]; present != nil && (!there || entry == nil) {
+		if _, there := m.registrations[id]; present != nil && (!there || entry == nil) {
 			t.Fatalf("%v is used, and its entry names no endpoint", present.Incarnation)
 		}
 	}
@@ -143,7 +143,7 @@
 // always while its own entry stands.
 func TestReplicaUsesNewestIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &storeModel{items: map[string]*Endpoint{}, newest: map[string]int64{}, left: map[Incarnation]bool{}}
+		m := &storeModel{registrations: map[string]*Endpoint{}, newestStart: map[string]int64{}, left: map[Incarnation]bool{}}
 		r := NewReplica()
 		r.ApplyState(time.Now(), &StoreState{Config: config(1), ConfigRevision: 1})
 		var last Change
@@ -151,7 +151,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "how") {
 			case 0:
 				reading := &StoreState{Revision: m.revision}
-				for id, e := range m.items {
+				for id, e := range m.registrations {
 					if e == nil {
 						reading.InvalidEndpoints = append(reading.InvalidEndpoints, id)
 						continue
@@ -162,14 +162,14 @@
 				r.ApplyState(time.Now(), reading)
 			case 1:
 				if last.Revision > 0 {
-					r.hear(last) // told twice
+					r.apply(last) // told twice
 				}
 			default:
 				last = m.write(t)
 				if last.Endpoint != nil {
 					m.see(last.Endpoint)
 				}
-				r.hear(last)
+				r.apply(last)
 			}
 			m.check(t, r)
 		}
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -20,11 +20,11 @@
 }
 
 // String gives the life's name in logs and hashes.
-func (l Incarnation) String() string {
-	if l.StartUnixMilli == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.StartUnixMilli == 0 {
+		return i.ID
 	}
-	return l.ID + "/" + strconv.FormatInt(l.StartUnixMilli, 10)
+	return i.ID + "/" + strconv.FormatInt(i.StartUnixMilli, 10)
 }
 
 // Endpoint is one life of an endpoint as it registered itself.
@@ -102,10 +102,10 @@
 	Position int
 }
 
-// lapseGrace is how long an endpoint whose registration ended shortly after an
+// missingGrace is how long an endpoint whose registration ended shortly after an
 // outage of the store is kept as a last resort. Registrations lapse while their
 // owners cannot renew them; those that are alive are back within two seconds.
-const lapseGrace = 1500 * time.Millisecond
+const missingGrace = 1500 * time.Millisecond
 
 // lapseWindow is how long after an outage a registration's end may be such a lapse.
 const lapseWindow = 4 * time.Second
@@ -117,69 +117,69 @@
 // requests to an endpoint that is about to stop; one would see refusals or runs that
 // only an older version explains. Not safe for concurrent use.
 type Replica struct {
-	at             uint64
+	revision       uint64
 	config         *Config
 	configRevision uint64
 	endpoints      map[string]*EndpointState
 	nodes          map[string]Node
-	// ended remembers, by ID, the last life whose registration ended, so that an old
+	// tombstones remembers, by ID, the last life whose registration tombstones, so that an old
 	// registration does not return.
-	ended map[string]ending
+	tombstones map[string]tombstone
 	// outageEnd is when the store last answered after an outage.
 	outageEnd time.Time
-	whole     bool
+	synced    bool
 }
 
-// ending is how the registration of an endpoint's life ended.
-type ending struct {
-	born     int64
-	revision uint64
-	leaving  bool
-	// refused is set when it was replaced by one that cannot be used.
-	refused bool
+// tombstone is how the registration of an endpoint's life ended.
+type tombstone struct {
+	startUnixMilli int64
+	revision       uint64
+	leaving        bool
+	// invalidated is set when it was replaced by one that cannot be used.
+	invalidated bool
 }
 
 // NewReplica makes a replica that knows nothing.
 func NewReplica() *Replica {
-	return &Replica{endpoints: map[string]*EndpointState{}, nodes: map[string]Node{}, ended: map[string]ending{}}
+	return &Replica{endpoints: map[string]*EndpointState{}, nodes: map[string]Node{}, tombstones: map[string]tombstone{}}
 }
 
 // Revision is the revision up to which changes are known.
-func (r *Replica) Revision() uint64 { return r.at }
+func (r *Replica) Revision() uint64 { return r.revision }
 
 // Ready tells whether one whole reading was taken in and has a configuration.
-func (r *Replica) Ready() bool { return r.whole && r.config != nil }
+func (r *Replica) Ready() bool { return r.synced && r.config != nil }
 
 // SetOutageEnd marks that the store answers again after it did not.
 func (r *Replica) SetOutageEnd(now time.Time) { r.outageEnd = now }
 
 // ApplyState takes a whole reading in: what it does not list is gone.
 func (r *Replica) ApplyState(now time.Time, reading *StoreState) {
-	if reading.Revision < r.at {
+	if reading.Revision < r.revision {
 		return
 	}
-	r.at = reading.Revision
+	r.revision = reading.Revision
 	if reading.Config != nil {
-		r.takeConfig(reading.Config, reading.ConfigRevision)
+		r.applyConfig(reading.Config, reading.ConfigRevision)
 	}
 	listed := map[string]bool{}
 	for i := range reading.Endpoints {
 		listed[reading.Endpoints[i].ID] = true
-		r.takeEndpoint(&reading.Endpoints[i])
+		r.applyEndpoint(&reading.Endpoints[i])
 	}
 	for _, id := range reading.InvalidEndpoints {
-		r.takeRefused(id, reading.Revision)
+		r.invalidateEndpoint(id, reading.Revision)
 	}
 	for id, e := range r.endpoints {
 		if !listed[id] && e.Revision <= reading.Revision {
-			r.takeGone(now, id, reading.Revision)
+			r.removeEndpoint(now, id, reading.Revision)
 		}
 	}
 	clear(r.nodes)
 	for _, n := range reading.Nodes {
 		r.nodes[n.Name] = n
 	}
-	r.whole = true
+	r.synced = true
 }
 
 // ApplyChanges takes in what followed the last reading or changes.
@@ -188,35 +188,35 @@
 		change := &changes.Changes[i]
 		switch {
 		case change.Config != nil:
-			r.takeConfig(change.Config, change.Revision)
+			r.applyConfig(change.Config, change.Revision)
 		case change.Endpoint != nil:
-			r.takeEndpoint(change.Endpoint)
+			r.applyEndpoint(change.Endpoint)
 		case change.EndpointGone != "":
-			r.takeGone(now, change.EndpointGone, change.Revision)
+			r.removeEndpoint(now, change.EndpointGone, change.Revision)
 		case change.InvalidEndpoint != "":
-			r.takeRefused(change.InvalidEndpoint, change.Revision)
+			r.invalidateEndpoint(change.InvalidEndpoint, change.Revision)
 		case change.Node != nil:
 			r.nodes[change.Node.Name] = *change.Node
 		case change.NodeGone != "":
 			delete(r.nodes, change.NodeGone)
 		}
 	}
-	r.at = max(r.at, changes.Revision)
+	r.revision = max(r.revision, changes.Revision)
 }
 
-func (r *Replica) takeConfig(config *Config, revision uint64) {
+func (r *Replica) applyConfig(config *Config, revision uint64) {
 	if r.config != nil && (revision <= r.configRevision || config.Version <= r.config.Version) {
 		return
 	}
 	r.config, r.configRevision = config, revision
 }
 
-// takeEndpoint takes a registration in, unless it is old news: of a life before the one
+// applyEndpoint takes a registration in, unless it is old news: of a life before the one
 // that is known, or written before what is known.
-func (r *Replica) takeEndpoint(e *Endpoint) {
+func (r *Replica) applyEndpoint(e *Endpoint) {
 	known := r.endpoints[e.ID]
 	if known == nil {
-		r.takeUnlisted(e)
+		r.addEndpoint(e)
 		return
 	}
 	switch {
@@ -224,7 +224,7 @@
 		return
 	case e.StartUnixMilli == 0 && known.StartUnixMilli != 0:
 		// Endpoints that say when they were born always do: this is another's writing.
-		r.takeRefused(e.ID, e.Revision)
+		r.invalidateEndpoint(e.ID, e.Revision)
 		return
 	case e.StartUnixMilli < known.StartUnixMilli:
 		return
@@ -238,29 +238,29 @@
 	known.MissingSince = time.Time{}
 }
 
-// takeUnlisted takes in a registration of an endpoint that is not listed. A life that was
+// addEndpoint takes in a registration of an endpoint that is not listed. A life that was
 // leaving when its registration ended is leaving still; where lives are not told apart by
 // their birth, what registers after that is taken for another one.
-func (r *Replica) takeUnlisted(e *Endpoint) {
+func (r *Replica) addEndpoint(e *Endpoint) {
 	listed := &EndpointState{Endpoint: *e}
-	if last, found := r.ended[e.ID]; found {
-		if e.Revision <= last.revision || e.StartUnixMilli < last.born {
+	if last, found := r.tombstones[e.ID]; found {
+		if e.Revision <= last.revision || e.StartUnixMilli < last.startUnixMilli {
 			return
 		}
-		sameLife := e.StartUnixMilli == last.born && (e.StartUnixMilli != 0 || last.refused)
+		sameLife := e.StartUnixMilli == last.startUnixMilli && (e.StartUnixMilli != 0 || last.invalidated)
 		listed.Leaving = listed.Leaving || last.leaving && sameLife
 	}
 	r.endpoints[e.ID] = listed
 }
 
-// takeGone ends a registration. One that ends soon after an outage of the store may
+// removeEndpoint ends a registration. One that ends soon after an outage of the store may
 // have lapsed only, and is kept as missing for lapseGrace.
-func (r *Replica) takeGone(now time.Time, id string, revision uint64) {
+func (r *Replica) removeEndpoint(now time.Time, id string, revision uint64) {
 	known := r.endpoints[id]
 	if known == nil || revision < known.Revision {
 		return
 	}
-	r.noteEnd(known, revision)
+	r.addTombstone(known, revision)
 	if known.Leaving || r.outageEnd.IsZero() || now.Sub(r.outageEnd) > lapseWindow {
 		delete(r.endpoints, id)
 		return
@@ -270,40 +270,40 @@
 	}
 }
 
-// takeRefused drops an endpoint whose registration was replaced by one that names no
+// invalidateEndpoint drops an endpoint whose registration was replaced by one that names no
 // endpoint to use. It is listed again when it next writes its own.
-func (r *Replica) takeRefused(id string, revision uint64) {
+func (r *Replica) invalidateEndpoint(id string, revision uint64) {
 	known := r.endpoints[id]
 	if known == nil || revision < known.Revision {
 		return
 	}
-	r.noteEnd(known, revision)
-	last := r.ended[id]
-	last.refused = true
-	r.ended[id] = last
+	r.addTombstone(known, revision)
+	last := r.tombstones[id]
+	last.invalidated = true
+	r.tombstones[id] = last
 	delete(r.endpoints, id)
 }
 
-func (r *Replica) noteEnd(e *EndpointState, revision uint64) {
-	r.ended[e.ID] = ending{born: e.StartUnixMilli, revision: max(r.ended[e.ID].revision, revision), leaving: e.Leaving}
+func (r *Replica) addTombstone(e *EndpointState, revision uint64) {
+	r.tombstones[e.ID] = tombstone{startUnixMilli: e.StartUnixMilli, revision: max(r.tombstones[e.ID].revision, revision), leaving: e.Leaving}
 }
 
-// maxEnded bounds the memory of ended lives. Beyond it all are forgotten: a reading that
+// maxTombstones bounds the memory of ended lives. Beyond it all are forgotten: a reading that
 // is older than the last is refused as a whole, which alone keeps old lives away.
-const maxEnded = 20_000
+const maxTombstones = 20_000
 
 // ExpireMissing drops endpoints that have been missing for longer than the grace. It tells
 // whether anything changed.
 func (r *Replica) ExpireMissing(now time.Time) bool {
 	changed := false
 	for id, e := range r.endpoints {
-		if !e.MissingSince.IsZero() && now.Sub(e.MissingSince) > lapseGrace {
+		if !e.MissingSince.IsZero() && now.Sub(e.MissingSince) > missingGrace {
 			delete(r.endpoints, id)
 			changed = true
 		}
 	}
-	if len(r.ended) > maxEnded {
-		clear(r.ended)
+	if len(r.tombstones) > maxTombstones {
+		clear(r.tombstones)
 	}
 	return changed
 }
@@ -314,10 +314,10 @@
 	Config *Config
 	// Revision is the store's revision that the snapshot reflects.
 	Revision uint64
-	// services lists the endpoints of each service, leaving ones left out, sorted
+	// byService lists the endpoints of each service, leaving ones left out, sorted
 	// by ID.
-	services map[string][]*EndpointState
-	byID     map[string]*EndpointState
+	byService map[string][]*EndpointState
+	byID      map[string]*EndpointState
 	// Nodes are the system's own registered processes, sorted by name.
 	Nodes []Node
 }
@@ -326,7 +326,7 @@
 func EmptySnapshot() *Snapshot { return &Snapshot{} }
 
 // Endpoints lists the endpoints of a service that may be sent requests.
-func (s *Snapshot) Endpoints(service string) []*EndpointState { return s.services[service] }
+func (s *Snapshot) Endpoints(service string) []*EndpointState { return s.byService[service] }
 
 // Endpoint finds a life of an endpoint that may be sent requests; nil for none.
 func (s *Snapshot) Endpoint(life Incarnation) *EndpointState {
@@ -344,8 +344,8 @@
 
 // Snapshot makes an immutable copy.
 func (r *Replica) Snapshot() *Snapshot {
-	s := &Snapshot{Revision: r.at, services: map[string][]*EndpointState{}, byID: map[string]*EndpointState{}}
-	if r.whole {
+	s := &Snapshot{Revision: r.revision, byService: map[string][]*EndpointState{}, byID: map[string]*EndpointState{}}
+	if r.synced {
 		s.Config = r.config
 	}
 	for id, e := range r.endpoints {
@@ -353,14 +353,14 @@
 			continue
 		}
 		listed := *e
-		s.services[e.Service] = append(s.services[e.Service], &listed)
+		s.byService[e.Service] = append(s.byService[e.Service], &listed)
 		s.byID[id] = &listed
 	}
 	for _, n := range r.nodes {
 		s.Nodes = append(s.Nodes, n)
 	}
 	slices.SortFunc(s.Nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
-	for _, list := range s.services {
+	for _, list := range s.byService {
 		slices.SortFunc(list, func(a, b *EndpointState) int { return cmp.Compare(a.ID, b.ID) })
 		for i, listed := range list {
 			listed.Position = i
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -74,27 +74,27 @@
 // Check returns every fault of the fields.
 func (g *Gateway) Check() FieldErrors {
 	g.SetDefaults()
-	var faults FieldErrors
-	faults.CheckName("name", g.Name)
-	faults.CheckName("data_centre", g.DataCentre)
-	faults.CheckAddr("callers_listen", g.CallersListen)
-	faults.CheckAddr("readiness_listen", g.ReadinessListen)
+	var errs FieldErrors
+	errs.CheckName("name", g.Name)
+	errs.CheckName("data_centre", g.DataCentre)
+	errs.CheckAddr("callers_listen", g.CallersListen)
+	errs.CheckAddr("readiness_listen", g.ReadinessListen)
 	if g.MetricsListen != "" {
-		faults.CheckAddr("metrics_listen", g.MetricsListen)
+		errs.CheckAddr("metrics_listen", g.MetricsListen)
 	}
 	if g.PeersListen != "" {
-		faults.CheckAddr("peers_listen", g.PeersListen)
+		errs.CheckAddr("peers_listen", g.PeersListen)
 	}
-	faults.CheckAddr("store", g.Store)
-	faults.CheckRange("store_timeout", g.StoreTimeout.D(), 10*time.Millisecond, time.Minute)
-	faults.CheckRange("config_within", g.ConfigWithin.D(), 2*g.StoreTimeout.D(), time.Hour)
-	faults.CheckRange("leaving_within", g.LeavingWithin.D(), 2*g.StoreTimeout.D(), time.Hour)
-	faults.CheckRange("drain_timeout", g.DrainTimeout.D(), 100*time.Millisecond, 24*time.Hour)
-	faults.CheckRange("memory_free_within", g.MemoryFreeWithin.D(), 500*time.Millisecond, time.Minute)
-	faults.CheckRange("memory_idle_within", g.MemoryIdleWithin.D(), 500*time.Millisecond, time.Minute)
-	faults.CheckRange("retry_window", g.RetryWindow.D(), 100*time.Millisecond, time.Hour)
-	faults.CheckNumber("retry_ratio", g.RetryRatio, 0, 1)
-	faults.CheckNumber("retry_allowance", g.RetryAllowance, 0, 1_000_000)
-	faults.CheckInt("memory_limit", int64(g.MemoryLimit), 32_000_000, 1<<40)
-	return faults
+	errs.CheckAddr("store", g.Store)
+	errs.CheckRange("store_timeout", g.StoreTimeout.D(), 10*time.Millisecond, time.Minute)
+	errs.CheckRange("config_within", g.ConfigWithin.D(), 2*g.StoreTimeout.D(), time.Hour)
+	errs.CheckRange("leaving_within", g.LeavingWithin.D(), 2*g.StoreTimeout.D(), time.Hour)
+	errs.CheckRange("drain_timeout", g.DrainTimeout.D(), 100*time.Millisecond, 24*time.Hour)
+	errs.CheckRange("memory_free_within", g.MemoryFreeWithin.D(), 500*time.Millisecond, time.Minute)
+	errs.CheckRange("memory_idle_within", g.MemoryIdleWithin.D(), 500*time.Millisecond, time.Minute)
+	errs.CheckRange("retry_window", g.RetryWindow.D(), 100*time.Millisecond, time.Hour)
+	errs.CheckNumber("retry_ratio", g.RetryRatio, 0, 1)
+	errs.CheckNumber("retry_allowance", g.RetryAllowance, 0, 1_000_000)
+	errs.CheckInt("memory_limit", int64(g.MemoryLimit), 32_000_000, 1<<40)
+	return errs
 }
--- a/settings/node.go
+++ b/settings/node.go
@@ -60,23 +60,23 @@
 // Check returns every fault of the fields.
 func (n *Node) Check() FieldErrors {
 	n.SetDefaults()
-	var faults FieldErrors
-	faults.CheckName("name", n.Name)
-	faults.CheckName("data_centre", n.DataCentre)
-	faults.CheckAddr("listen", n.Listen)
-	faults.CheckAddr("advertise", n.Advertise)
-	faults.CheckAddr("operators_listen", n.OperatorsListen)
-	faults.CheckAddr("platform", n.Platform)
+	var errs FieldErrors
+	errs.CheckName("name", n.Name)
+	errs.CheckName("data_centre", n.DataCentre)
+	errs.CheckAddr("listen", n.Listen)
+	errs.CheckAddr("advertise", n.Advertise)
+	errs.CheckAddr("operators_listen", n.OperatorsListen)
+	errs.CheckAddr("platform", n.Platform)
 	for _, seed := range n.Seeds {
-		faults.CheckAddr("seeds", seed)
+		errs.CheckAddr("seeds", seed)
 	}
-	faults.CheckRange("heartbeat_interval", n.HeartbeatInterval.D(), 20*time.Millisecond, time.Minute)
-	faults.CheckRange("suspect_after", n.SuspectAfter.D(), 2*n.HeartbeatInterval.D(), 10*time.Minute)
-	faults.CheckRange("list_interval", n.ListInterval.D(), 20*time.Millisecond, 10*time.Minute)
-	faults.CheckRange("list_lag", n.ListLag.D(), 0, time.Hour)
-	faults.CheckRange("store_timeout", n.StoreTimeout.D(), 10*time.Millisecond, time.Minute)
-	faults.CheckRange("drain_timeout", n.DrainTimeout.D(), 0, 24*time.Hour)
-	return faults
+	errs.CheckRange("heartbeat_interval", n.HeartbeatInterval.D(), 20*time.Millisecond, time.Minute)
+	errs.CheckRange("suspect_after", n.SuspectAfter.D(), 2*n.HeartbeatInterval.D(), 10*time.Minute)
+	errs.CheckRange("list_interval", n.ListInterval.D(), 20*time.Millisecond, 10*time.Minute)
+	errs.CheckRange("list_lag", n.ListLag.D(), 0, time.Hour)
+	errs.CheckRange("store_timeout", n.StoreTimeout.D(), 10*time.Millisecond, time.Minute)
+	errs.CheckRange("drain_timeout", n.DrainTimeout.D(), 0, 24*time.Hour)
+	return errs
 }
 
 // Entry is the settings of an entry.
@@ -119,16 +119,16 @@
 	if e.Policy == "" {
 		e.Policy = "aspenyard"
 	}
-	faults := e.Node.Check()
-	faults.CheckAddr("callers_listen", e.CallersListen)
-	faults.CheckInt("body_limit", int64(e.BodyLimit), 1, 256_000_000)
-	faults.CheckInt("connection_limit", e.ConnectionLimit, 1, 1_000_000)
-	faults.CheckRange("deadline_limit", e.DeadlineLimit.D(), time.Millisecond, 24*time.Hour)
-	faults.CheckRange("default_deadline", e.DefaultDeadline.D(), time.Millisecond, e.DeadlineLimit.D())
+	errs := e.Node.Check()
+	errs.CheckAddr("callers_listen", e.CallersListen)
+	errs.CheckInt("body_limit", int64(e.BodyLimit), 1, 256_000_000)
+	errs.CheckInt("connection_limit", e.ConnectionLimit, 1, 1_000_000)
+	errs.CheckRange("deadline_limit", e.DeadlineLimit.D(), time.Millisecond, 24*time.Hour)
+	errs.CheckRange("default_deadline", e.DefaultDeadline.D(), time.Millisecond, e.DeadlineLimit.D())
 	if n := len(e.BootstrapOperatorSHA256); n != 0 && n != 64 {
-		faults.Add("bootstrap_operator_sha256", e.BootstrapOperatorSHA256, "64 hexadecimal digits")
+		errs.Add("bootstrap_operator_sha256", e.BootstrapOperatorSHA256, "64 hexadecimal digits")
 	}
-	return faults
+	return errs
 }
 
 // Agent is the settings of an agent.
@@ -152,18 +152,18 @@
 	if a.ServiceSlots == 0 {
 		a.ServiceSlots = 64
 	}
-	faults := a.Node.Check()
-	faults.CheckAddr("endpoint", a.Endpoint)
+	errs := a.Node.Check()
+	errs.CheckAddr("endpoint", a.Endpoint)
 	if a.Kind != "engine" && a.Kind != "service" {
-		faults.Add("kind", a.Kind, `"engine" or "service"`)
+		errs.Add("kind", a.Kind, `"engine" or "service"`)
 	}
 	if a.Kind == "service" && len(a.Services) == 0 {
-		faults.Add("services", a.Services, "at least one kind of work")
+		errs.Add("services", a.Services, "at least one kind of work")
 	}
 	for _, name := range a.Services {
-		faults.CheckName("services", name)
+		errs.CheckName("services", name)
 	}
-	faults.CheckRange("reservation_lease", a.ReservationLease.D(), 50*time.Millisecond, time.Minute)
-	faults.CheckInt("service_slots", a.ServiceSlots, 1, 100_000)
-	return faults
+	errs.CheckRange("reservation_lease", a.ReservationLease.D(), 50*time.Millisecond, time.Minute)
+	errs.CheckInt("service_slots", a.ServiceSlots, 1, 100_000)
+	return errs
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -40,8 +40,8 @@
 // Error lists the faults, one a line.
 func (f FieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, fault := range f {
-		lines = append(lines, fault.String())
+	for _, fieldErr := range f {
+		lines = append(lines, fieldErr.String())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -74,9 +74,9 @@
 	return json.Marshal(time.Duration(d).String())
 }
 
-// durationUnits are those of a number with an exponent, which time.ParseDuration does not
+// exponentDurationUnits are those of a number with an exponent, which time.ParseDuration does not
 // read.
-var durationUnits = []unit{
+var exponentDurationUnits = []unit{
 	{"ns", float64(time.Nanosecond)}, {"us", float64(time.Microsecond)}, {"µs", float64(time.Microsecond)}, {"ms", float64(time.Millisecond)},
 	{"s", float64(time.Second)}, {"m", float64(time.Minute)}, {"h", float64(time.Hour)},
 }
@@ -84,18 +84,18 @@
 // UnmarshalJSON takes a string with a unit; a bare number is refused because
 // its unit would be a guess.
 func (d *Duration) UnmarshalJSON(data []byte) error {
-	fault := FieldErrors{{Value: string(data), Allowed: `a duration with its unit, such as "250ms"`}}
+	invalid := FieldErrors{{Value: string(data), Allowed: `a duration with its unit, such as "250ms"`}}
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return fault
+		return invalid
 	}
 	if parsed, err := time.ParseDuration(text); err == nil {
 		*d = Duration(parsed)
 		return nil
 	}
-	parsed, ok := parseQuantity(text, durationUnits)
+	parsed, ok := parseQuantity(text, exponentDurationUnits)
 	if !ok {
-		return fault
+		return invalid
 	}
 	*d = Duration(parsed)
 	return nil
@@ -142,14 +142,14 @@
 
 // UnmarshalJSON takes a number followed by a unit.
 func (s *Size) UnmarshalJSON(data []byte) error {
-	fault := FieldErrors{{Value: string(data), Allowed: `a size with its unit, such as "8MB"`}}
+	invalid := FieldErrors{{Value: string(data), Allowed: `a size with its unit, such as "8MB"`}}
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return fault
+		return invalid
 	}
 	parsed, ok := parseQuantity(text, sizeUnits)
 	if !ok || parsed < 0 {
-		return fault
+		return invalid
 	}
 	*s = Size(parsed)
 	return nil
@@ -179,24 +179,24 @@
 	}
 	fields := map[string]reflect.Value{}
 	collectFields(reflect.ValueOf(into).Elem(), fields)
-	var faults FieldErrors
-	faulty := map[string]bool{}
+	var errs FieldErrors
+	invalid := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(given)) {
 		field, known := fields[name]
 		if !known {
-			faults = append(faults, FieldError{Field: name, Value: "unknown", Allowed: "only the fields of docs/SETTINGS.md"})
+			errs = append(errs, FieldError{Field: name, Value: "unknown", Allowed: "only the fields of docs/SETTINGS.md"})
 			continue
 		}
-		if fault := decodeField(name, given[name], field); fault != nil {
-			faults, faulty[name] = append(faults, *fault), true
+		if fieldErr := decodeField(name, given[name], field); fieldErr != nil {
+			errs, invalid[name] = append(errs, *fieldErr), true
 		}
 	}
-	for _, fault := range into.Check() {
-		if !faulty[fault.Field] {
-			faults = append(faults, fault)
+	for _, fieldErr := range into.Check() {
+		if !invalid[fieldErr.Field] {
+			errs = append(errs, fieldErr)
 		}
 	}
-	return faults.Err()
+	return errs.Err()
 }
 
 // collectFields finds the settable fields by their JSON names, those of embedded
@@ -221,15 +221,15 @@
 	if err == nil {
 		return nil
 	}
-	fault := &FieldError{Field: name, Value: string(raw), Allowed: allowedType(field.Type())}
-	var found FieldErrors
-	if errors.As(err, &found) {
-		fault.Allowed = found[0].Allowed
+	fieldErr := &FieldError{Field: name, Value: string(raw), Allowed: allowedType(field.Type())}
+	var nested FieldErrors
+	if errors.As(err, &nested) {
+		fieldErr.Allowed = nested[0].Allowed
 	}
 	if inner, unknown := strings.CutPrefix(err.Error(), "json: unknown field "); unknown {
-		fault.Field, fault.Value, fault.Allowed = name+"."+strings.Trim(inner, `"`), "unknown", "only the fields of docs/SETTINGS.md"
+		fieldErr.Field, fieldErr.Value, fieldErr.Allowed = name+"."+strings.Trim(inner, `"`), "unknown", "only the fields of docs/SETTINGS.md"
 	}
-	return fault
+	return fieldErr
 }
 
 // allowedType says in words what a field takes.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-const goodAgent = `{"name":"w1","data_centre":"b1","listen":"127.0.0.1:1","operators_listen":"127.0.0.1:2",
+const validAgent = `{"name":"w1","data_centre":"b1","listen":"127.0.0.1:1","operators_listen":"127.0.0.1:2",
 "platform":"127.0.0.1:3","endpoint":"127.0.0.1:4","kind":"engine"}`
 
 func TestAgentDefaults(t *testing.T) {
 	is := is.New(t)
 	var agent Agent
-	is.NoErr(Decode([]byte(goodAgent), &agent))
+	is.NoErr(Decode([]byte(validAgent), &agent))
 	is.Equal(agent.Advertise, agent.Listen)
 	is.Equal(agent.ReservationLease.D().String(), "2s")
 }
@@ -35,7 +35,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var agent Agent
-			err := Decode([]byte(strings.Replace(goodAgent, c.from, c.to, 1)), &agent)
+			err := Decode([]byte(strings.Replace(validAgent, c.from, c.to, 1)), &agent)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), c.want)) // the fault names its place
 		})
@@ -69,7 +69,7 @@
 	}
 }
 
-const goodGateway = `{"name":"g","data_centre":"d","callers_listen":"127.0.0.1:1","readiness_listen":"127.0.0.1:2","store":"127.0.0.1:3",
+const validGateway = `{"name":"g","data_centre":"d","callers_listen":"127.0.0.1:1","readiness_listen":"127.0.0.1:2","store":"127.0.0.1:3",
 "config_within":"4000ms","leaving_within":"4000ms","drain_timeout":"8s","retry_ratio":0.2,"retry_allowance":206,"retry_window":"10s",
 "memory_free_within":"4000ms","memory_idle_within":"9000ms","memory_limit":"184MB"}`
 
@@ -79,7 +79,7 @@
 // a fraction or one with an exponent.
 func TestNumbersAreAcceptedInAllFormsOfThePlatform(t *testing.T) {
 	cases := []struct {
-		field, whole string
+		field, plain string
 		others       []string
 		got          func(g *Gateway) any
 	}{
@@ -97,11 +97,11 @@
 		t.Run(c.field, func(t *testing.T) {
 			is := is.New(t)
 			var want Gateway
-			is.NoErr(Decode([]byte(goodGateway), &want))
+			is.NoErr(Decode([]byte(validGateway), &want))
 			for _, other := range c.others {
 				var g Gateway
-				text := strings.Replace(goodGateway, `"`+c.field+`":`+c.whole, `"`+c.field+`":`+other, 1)
-				is.True(text != goodGateway)
+				text := strings.Replace(validGateway, `"`+c.field+`":`+c.plain, `"`+c.field+`":`+other, 1)
+				is.True(text != validGateway)
 				is.NoErr(Decode([]byte(text), &g))
 				is.Equal(c.got(&g), c.got(&want))
 			}
@@ -112,14 +112,14 @@
 func TestRetryAllowanceMayBeFractional(t *testing.T) {
 	is := is.New(t)
 	var g Gateway
-	is.NoErr(Decode([]byte(strings.Replace(goodGateway, `:206`, `:44.78`, 1)), &g))
+	is.NoErr(Decode([]byte(strings.Replace(validGateway, `:206`, `:44.78`, 1)), &g))
 	is.Equal(g.RetryAllowance, 44.78)
-	err := Decode([]byte(strings.Replace(goodGateway, `:206`, `:"44.78"`, 1)), &g)
+	err := Decode([]byte(strings.Replace(validGateway, `:206`, `:"44.78"`, 1)), &g)
 	is.Equal(err.Error(), `field "retry_allowance": value "44.78": allowed: a number`)
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(goodAgent))
+	f.Add([]byte(validAgent))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var agent Agent
 		if Decode(data, &agent) == nil && len(agent.Check()) != 0 {
