--- a/directory/config.go
+++ b/directory/config.go
@@ -1,7 +1,7 @@
-// Package directory holds what a node believes of its deployment: the routes,
-// services and client accounts of the newest configuration, and the endpoints that
-// registered themselves. It is pure: readings and changes come in as values, and
-// traffic threads read the immutable snapshots that it makes.
+// Package directory keeps a node's view of its deployment: the routes, services and
+// client accounts of the newest configuration, and the registered endpoints and nodes.
+// The package does no I/O. States and changes of the store are passed in as values, and
+// the goroutines that serve traffic read the immutable snapshots that a Replica makes.
 package directory
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// RouteKind tells what may be repeated.
+// RouteKind says whether the requests of a route may be repeated.
 type RouteKind int
 
 // The kinds of route.
@@ -24,7 +24,7 @@
 	Streaming
 )
 
-// String gives the kind's name in logs and metrics.
+// String returns the name that the kind has in logs and metrics.
 func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
@@ -36,53 +36,54 @@
 	}
 }
 
-// Route says where requests of one host and path prefix go.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               RouteKind
-	// Timeout is the longest that a caller is kept waiting for a whole answer.
+	// Timeout bounds the time from a request to the end of its answer.
 	Timeout time.Duration
-	// Target is the latency within which an answer is on time, for streams that of
-	// the first event.
+	// Target is the latency within which an answer is on time; for a stream, the latency
+	// of its first event.
 	Target time.Duration
 	// TargetPause is the longest pause between events of a stream that is on time.
 	TargetPause time.Duration
-	// Priority ranks requests; 0 goes first.
+	// Priority ranks requests; 0 is the highest.
 	Priority int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another endpoint after their last event.
+	// Resumable streams may be continued by another endpoint after their last event.
 	Resumable bool
-	// MaxAttempts is how many endpoints one request may be sent to.
+	// MaxAttempts is the largest number of endpoints that one request may be sent to.
 	MaxAttempts int
-	// Services share the route's requests by weight.
+	// Services are the services that the route's requests are divided among by weight.
 	Services []WeightedService
 }
 
-// Repeatable tells whether a request may run a second time after it may have run.
+// Repeatable reports whether a request may be sent again after an attempt that may have
+// run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// WeightedService is a service's part of a route.
+// WeightedService is a service with its relative share of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// PickService chooses a service by weight; draw is uniform in [0, 1). Empty when the route
-// has none.
+// PickService chooses a service by weight; draw is uniform in [0, 1). It returns the empty
+// string if no service of the route has a weight above 0.
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, s := range r.Services {
 		total += s.Weight
 	}
-	left := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, s := range r.Services {
-		if left < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
+		remaining -= s.Weight
 	}
 	return ""
 }
@@ -90,77 +91,78 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority goes before the route's where HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Service is a kind of endpoint.
+// Service describes the endpoints that offer one service.
 type Service struct {
 	Name string
-	// HealthPath answers whether an endpoint considers itself healthy.
+	// HealthPath is the HTTP path at which an endpoint answers whether it is healthy.
 	HealthPath string
-	// MaxConnections is how many connections an endpoint takes from all callers.
+	// MaxConnections is how many connections an endpoint accepts in total.
 	MaxConnections int
-	// Engine is set for language-model services.
+	// Engine is set for services whose endpoints are engines, nil for plain services.
 	Engine *Engine
-	// MinTargetPause and MaxTargetPause are the least and the most that the routes to the service
-	// allow between two events of a stream; 0 where none says.
+	// MinTargetPause and MaxTargetPause are the smallest and the largest TargetPause of the
+	// routes to the service; 0 if none of them sets one.
 	MinTargetPause, MaxTargetPause time.Duration
 }
 
-// AddTargetPause takes in the longest pause that a route to the service allows; 0: it says none.
-func (s *Service) AddTargetPause(gap time.Duration) {
-	if gap <= 0 {
+// AddTargetPause includes the TargetPause of a route to the service in MinTargetPause and
+// MaxTargetPause. A value of 0 or less means that the route sets none and is ignored.
+func (s *Service) AddTargetPause(pause time.Duration) {
+	if pause <= 0 {
 		return
 	}
-	if s.MinTargetPause == 0 || gap < s.MinTargetPause {
-		s.MinTargetPause = gap
+	if s.MinTargetPause == 0 || pause < s.MinTargetPause {
+		s.MinTargetPause = pause
 	}
-	s.MaxTargetPause = max(s.MaxTargetPause, gap)
+	s.MaxTargetPause = max(s.MaxTargetPause, pause)
 }
 
-// Engine describes the model engines of a service.
+// Engine holds the capacity and the speed of the engines of a service.
 type Engine struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is how many requests an engine runs at once.
 	Slots int
 	// KVCacheTokens is the size of the KV cache.
 	KVCacheTokens int
-	// Stride is how many decode steps a pass makes while requests are decoding; one
-	// event of a stream holds that many tokens.
+	// Stride is how many decode steps the engine makes in one pass while requests are
+	// decoding; each event of a stream holds that many tokens.
 	Stride int
 	// ChunkTokens is the largest number of prompt tokens prefilled in one step.
 	ChunkTokens int
-	// StepTime is the time of one decode step, and StepTimePerRequest what each decoding
-	// request adds; StepTimePerContext is added for each 1,000 tokens of context.
+	// StepTime is the time of one decode step without its requests. Each decoding request
+	// adds StepTimePerRequest, and each 1,000 tokens of context add StepTimePerContext.
 	StepTime, StepTimePerRequest, StepTimePerContext time.Duration
-	// PrefillTokensPerSecond is the prefill rate in tokens a second.
+	// PrefillTokensPerSecond is the prefill rate without the time for attention.
 	PrefillTokensPerSecond float64
-	// AttentionTimePerMillionPairs is the time for a million pairs of a prompt token and an
-	// earlier one.
+	// AttentionTimePerMillionPairs is the prefill time for each million pairs of a prompt
+	// token and an earlier one.
 	AttentionTimePerMillionPairs time.Duration
-	// ReportLag is how old an engine's published load may be.
+	// ReportLag is the largest age of the load that an engine publishes.
 	ReportLag time.Duration
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bound the size of callers' requests and how long callers may take to send them.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Config is one version of the configuration, immutable once made.
+// Config is one version of the configuration. It is immutable after NewConfig.
 type Config struct {
-	// Version rises with every edit, in uneven steps.
+	// Version increases with every edit, but not always by one.
 	Version  uint64
 	Limits   Limits
 	services map[string]*Service
 	routes   map[string][]*Route // by host, longest prefix first
-	accounts map[string]*Account // by key; nil: the deployment has no accounts
+	accounts map[string]*Account // by key; nil if the deployment has no accounts
 }
 
-// NewConfig indexes a configuration. accounts maps keys to accounts; nil where the
-// deployment has none.
+// NewConfig indexes a configuration. accounts maps keys to client accounts and is nil if the
+// deployment has none. NewConfig adds the routes' target pauses to the services.
 func NewConfig(version uint64, limits Limits, services []*Service, routes []*Route, accounts map[string]*Account) *Config {
 	c := &Config{Version: version, Limits: limits, services: map[string]*Service{}, routes: map[string][]*Route{}, accounts: accounts}
 	for _, s := range services {
@@ -169,8 +171,8 @@
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
 		c.routes[host] = append(c.routes[host], r)
-		for _, part := range r.Services {
-			if s := c.services[part.Service]; s != nil {
+		for _, weighted := range r.Services {
+			if s := c.services[weighted.Service]; s != nil {
 				s.AddTargetPause(r.TargetPause)
 			}
 		}
@@ -181,7 +183,8 @@
 	return c
 }
 
-// Route finds the route with the longest prefix of path at a host; nil for none.
+// Route returns the route of the host with the longest prefix of path, or nil. A host with
+// a port falls back to the routes of its name if no route names it with the port.
 func (c *Config) Route(host, path string) *Route {
 	host = strings.ToLower(host)
 	list, found := c.routes[host]
@@ -198,7 +201,8 @@
 	return nil
 }
 
-// Service describes a service; one that is only named by routes is taken for plain.
+// Service returns the service of that name. A service that the configuration does not
+// define, but that routes may name, is treated as a plain service.
 func (c *Config) Service(name string) *Service {
 	if s := c.services[name]; s != nil {
 		return s
@@ -206,7 +210,7 @@
 	return &Service{Name: name}
 }
 
-// RouteCount is the number of routes.
+// RouteCount returns the number of routes of all hosts.
 func (c *Config) RouteCount() int {
 	n := 0
 	for _, list := range c.routes {
@@ -215,8 +219,9 @@
 	return n
 }
 
-// HasAccounts tells whether requests need a key.
+// HasAccounts reports whether the deployment has client accounts, so that requests need a
+// key.
 func (c *Config) HasAccounts() bool { return c.accounts != nil }
 
-// Account finds the account that holds a key; nil for none.
+// Account returns the client account that a key belongs to, or nil.
 func (c *Config) Account(key string) *Account { return c.accounts[key] }
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -8,24 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-func incarnation(id string, born int64, revision uint64, leaving bool) *Endpoint {
-	return &Endpoint{Incarnation: Incarnation{id, born}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
+func incarnation(id string, startUnixMilli int64, revision uint64, leaving bool) *Endpoint {
+	return &Endpoint{Incarnation: Incarnation{id, startUnixMilli}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
 }
 
-// newReplicaWith makes a replica that has read a store with one endpoint.
-func newReplicaWith(first *Endpoint) *Replica {
+// newReplicaWith returns a replica that has applied the state of a store with one endpoint.
+func newReplicaWith(e *Endpoint) *Replica {
 	r := NewReplica()
-	r.ApplyState(time.Now(), &StoreState{Revision: first.Revision, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{*first}})
+	r.ApplyState(time.Now(), &StoreState{Revision: e.Revision, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{*e}})
 	return r
 }
 
+// apply applies changes in order and advances to the revision of the last one.
 func (r *Replica) apply(changes ...Change) {
 	r.ApplyChanges(time.Now(), &Changes{Revision: changes[len(changes)-1].Revision, Changes: changes})
 }
 
-// Symptom: an endpoint that was restarted gets no requests until its entry has a new ID,
-// which never comes. Sequence: it says that it leaves, ends, and starts again under its
-// ID. Cause: "leaving" was kept for the ID and not for the life.
+// A restarted endpoint must get requests although its previous incarnation was leaving. It
+// would get none under its ID if "leaving" were stored by ID rather than by incarnation.
 func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	is := is.New(t)
 	r := newReplicaWith(incarnation("a", 100, 1, true))
@@ -35,9 +35,9 @@
 	is.True(r.Snapshot().Endpoint(Incarnation{"a", 100}) == nil)
 }
 
-// Symptom: requests go to an endpoint as it was before a restart. Sequence: an entry of
-// the life before is written late, after the new one's. Cause: the last entry written was
-// believed, whatever life it speaks of.
+// A registration of an earlier incarnation may be written late, after that of the new one.
+// Requests would be sent to the endpoint as it was before its restart if the last
+// registration written were applied regardless of its incarnation.
 func TestRegistrationOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newReplicaWith(incarnation("a", 200, 2, false))
@@ -45,13 +45,13 @@
 	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200})
 	r.apply(Change{Revision: 4, EndpointGone: "a"})
 	r.apply(Change{Revision: 5, Endpoint: incarnation("a", 100, 5, false)})
-	is.True(r.Snapshot().EndpointByID("a") == nil) // also when nothing is listed
+	is.True(r.Snapshot().EndpointByID("a") == nil) // also while no registration exists
 	r.apply(Change{Revision: 6, Endpoint: incarnation("a", 200, 6, false)})
-	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // it had lapsed
+	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // its registration had only lapsed
 }
 
-// Symptom: requests reach an endpoint that is about to stop. Sequence: it says that it
-// leaves, its registration ends, and a delayed write says once more that it is ready.
+// Requests must not reach an endpoint that is about to stop: after an endpoint was leaving
+// and its registration ended, a delayed write may say once more that it is ready.
 func TestIncarnationThatLeftDoesNotReturn(t *testing.T) {
 	is := is.New(t)
 	r := newReplicaWith(incarnation("a", 100, 1, false))
@@ -59,20 +59,20 @@
 	is.True(r.Snapshot().EndpointByID("a") == nil)
 }
 
-// Symptom: requests are sent to an address that no endpoint told of. Sequence: something
-// else writes over an endpoint's entry. The endpoint's own next entry brings it back, as
-// leaving if it was.
+// Requests must not be sent to an address that no endpoint registered, after something else
+// has overwritten an endpoint's registration. The endpoint's own next registration brings
+// it back, as leaving if it was leaving.
 func TestEndpointWithForeignRegistrationIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	for _, born := range []int64{0, 100} {
-		r := newReplicaWith(incarnation("a", born, 1, false))
+	for _, startUnixMilli := range []int64{0, 100} {
+		r := newReplicaWith(incarnation("a", startUnixMilli, 1, false))
 		r.apply(Change{Revision: 2, InvalidEndpoint: "a"})
 		is.True(r.Snapshot().EndpointByID("a") == nil)
-		r.apply(Change{Revision: 3, Endpoint: incarnation("a", born, 3, true)}, Change{Revision: 4, InvalidEndpoint: "a"}, Change{Revision: 5, Endpoint: incarnation("a", born, 5, false)})
-		is.True(r.Snapshot().EndpointByID("a") == nil) // it is leaving
+		r.apply(Change{Revision: 3, Endpoint: incarnation("a", startUnixMilli, 3, true)}, Change{Revision: 4, InvalidEndpoint: "a"}, Change{Revision: 5, Endpoint: incarnation("a", startUnixMilli, 5, false)})
+		is.True(r.Snapshot().EndpointByID("a") == nil) // it is still leaving
 	}
 	r := newReplicaWith(incarnation("a", 100, 1, false))
-	r.apply(Change{Revision: 2, Endpoint: incarnation("a", 0, 2, false)}) // does not say when it was born
+	r.apply(Change{Revision: 2, Endpoint: incarnation("a", 0, 2, false)}) // without a start time
 	is.True(r.Snapshot().EndpointByID("a") == nil)
 	r.ApplyState(time.Now(), &StoreState{Revision: 4, Endpoints: []Endpoint{*incarnation("a", 100, 3, false)}})
 	is.True(r.Snapshot().EndpointByID("a") != nil)
@@ -80,16 +80,16 @@
 	is.True(r.Snapshot().EndpointByID("a") == nil)
 }
 
-// storeModel is the plain reference of what the store holds and what was ever seen of
-// each ID, by which the replica is judged.
+// storeModel is a reference model of the store's registrations and of everything that the
+// replica has been told about each ID.
 type storeModel struct {
 	revision      uint64
-	registrations map[string]*Endpoint // nil: an entry that names no endpoint
-	newestStart   map[string]int64     // the latest birth seen
-	left          map[Incarnation]bool // said that they leave
+	registrations map[string]*Endpoint // nil for a registration that cannot be used
+	newestStart   map[string]int64     // the latest start time seen of each ID
+	left          map[Incarnation]bool // seen as leaving
 }
 
-// write is the next change of the store.
+// write makes the next change of the store.
 func (m *storeModel) write(t *rapid.T) Change {
 	m.revision++
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
@@ -109,7 +109,7 @@
 	return change
 }
 
-// see notes what a replica was told.
+// see records that the replica was told of a registration.
 func (m *storeModel) see(e *Endpoint) {
 	m.newestStart[e.ID] = max(m.newestStart[e.ID], e.StartUnixMilli)
 	if e.Leaving {
@@ -117,30 +117,30 @@
 	}
 }
 
-// check compares a replica that knows all of the store with the model.
+// check compares a replica that is up to date with the model.
 func (m *storeModel) check(t *rapid.T, r *Replica) {
 	s := r.Snapshot()
 	for _, id := range []string{"a", "b"} {
-		present, entry := s.EndpointByID(id), m.registrations[id]
-		if present != nil && present.StartUnixMilli != m.newestStart[id] {
-			t.Fatalf("%s is used as born %d, and %d is known", id, present.StartUnixMilli, m.newestStart[id])
+		used, registered := s.EndpointByID(id), m.registrations[id]
+		if used != nil && used.StartUnixMilli != m.newestStart[id] {
+			t.Fatalf("%s is used with start time %d, the newest known is %d", id, used.StartUnixMilli, m.newestStart[id])
 		}
-		if present != nil && m.left[present.Incarnation] {
-			t.Fatalf("%v has left and is used", present.Incarnation)
+		if used != nil && m.left[used.Incarnation] {
+			t.Fatalf("%v is used although it was leaving", used.Incarnation)
 		}
-		usable := entry != nil && entry.StartUnixMilli == m.newestStart[id] && !m.left[entry.Incarnation]
-		if usable && present == nil {
-			t.Fatalf("%v is not used", entry.Incarnation)
+		usable := registered != nil && registered.StartUnixMilli == m.newestStart[id] && !m.left[registered.Incarnation]
+		if usable && used == nil {
+			t.Fatalf("%v is not used", registered.Incarnation)
 		}
-		if _, there := m.registrations[id]; present != nil && (!there || entry == nil) {
-			t.Fatalf("%v is used, and its entry names no endpoint", present.Incarnation)
+		if _, exists := m.registrations[id]; used != nil && (!exists || registered == nil) {
+			t.Fatalf("%v is used without a valid registration", used.Incarnation)
 		}
 	}
 }
 
-// Whatever is written in whatever order, told as changes or as a whole reading, once or
-// twice: only the newest life of an ID is used, never after it said that it leaves, and
-// always while its own entry stands.
+// Whatever is written in whatever order, and applied as changes or as a full state, once or
+// twice: only the newest incarnation of an ID is used, never after it was leaving, and
+// always while its own registration exists.
 func TestReplicaUsesNewestIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{registrations: map[string]*Endpoint{}, newestStart: map[string]int64{}, left: map[Incarnation]bool{}}
@@ -150,19 +150,19 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "how") {
 			case 0:
-				reading := &StoreState{Revision: m.revision}
+				state := &StoreState{Revision: m.revision}
 				for id, e := range m.registrations {
 					if e == nil {
-						reading.InvalidEndpoints = append(reading.InvalidEndpoints, id)
+						state.InvalidEndpoints = append(state.InvalidEndpoints, id)
 						continue
 					}
-					reading.Endpoints = append(reading.Endpoints, *e)
+					state.Endpoints = append(state.Endpoints, *e)
 					m.see(e)
 				}
-				r.ApplyState(time.Now(), reading)
+				r.ApplyState(time.Now(), state)
 			case 1:
 				if last.Revision > 0 {
-					r.apply(last) // told twice
+					r.apply(last) // a repeated change
 				}
 			default:
 				last = m.write(t)
--- a/directory/registry.go
+++ b/directory/registry.go
@@ -7,39 +7,41 @@
 	"github.com/pkg/errors"
 )
 
-// ErrLeaseExpired is returned when a registration's lease has ended.
-var ErrLeaseExpired = errors.New("directory: the lease has ended")
+// ErrLeaseExpired is returned by Registry.Renew and Registry.Deregister if the lease no
+// longer exists.
+var ErrLeaseExpired = errors.New("directory: lease expired")
 
 // Node is one of the system's own processes.
 type Node struct {
-	// Name is unique; Addr is where other nodes reach it.
+	// Name is unique; Addr is the address at which other nodes reach the node.
 	Name, Addr, DataCentre string
 }
 
-// Registration is a node's entry in the store.
+// Registration identifies a node's registration in the store.
 type Registration struct {
-	// Lease keeps the entry there; Revision is that of the write, which rises with
-	// each life of the node.
+	// Lease keeps the registration in the store. Revision is the store's revision of its
+	// write, which is higher for each later incarnation of the node.
 	Lease, Revision uint64
 }
 
-// Record is what nodes leave in the store for those that start later.
+// Record is data that nodes write to the store for nodes that start later.
 type Record struct {
-	// Name is unique; Value is in the words of those who write it.
+	// Name is unique; the format of Value is up to the writer.
 	Name  string
 	Value []byte
 }
 
-// Registry is where nodes make themselves known to each other, and leave records.
+// Registry is the part of the store that nodes write: their registrations, by which they
+// find each other, and records.
 type Registry interface {
-	// Register writes the node's entry under a lease of ttl. After an error it may be
-	// there, and ends with the lease.
+	// Register writes the node's registration under a new lease of ttl. After an error the
+	// registration may exist; it then ends with its lease.
 	Register(ctx context.Context, n Node, ttl time.Duration) (Registration, error)
-	// Renew renews the lease. Errors: ErrLapsed, ErrUnavailable.
+	// Renew renews the lease. Errors: ErrLeaseExpired, ErrUnavailable.
 	Renew(ctx context.Context, lease uint64) error
-	// Deregister ends the lease, and with it the entry.
+	// Deregister ends the lease, which removes the registration.
 	Deregister(ctx context.Context, lease uint64) error
-	// CreateRecord writes a record for ttl; one of its name that is there stays as it is. After an error
-	// it may be there.
+	// CreateRecord writes a record that the store keeps for ttl. An existing record of the
+	// same name is left as it is, without an error. After an error the record may exist.
 	CreateRecord(ctx context.Context, r Record, ttl time.Duration) error
 }
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// Incarnation names one life of an endpoint: an endpoint may start again under the ID that it
-// had, and then knows and holds nothing of before. Whatever is remembered of an endpoint
-// (its load, its connections, that it refused work, the memory reserved there) is
-// remembered by its life, so that nothing of it is believed of the next one.
+// Incarnation identifies one lifetime of an endpoint, from its start to its end. An
+// endpoint may restart under the ID that it had before, and then has lost all of its
+// state. What is known about an endpoint (its load, its connections, that it refused
+// requests, the memory reserved on it) is therefore stored by incarnation, so that none of
+// it is applied to the next one.
 type Incarnation struct {
-	// ID is what requests and orders name the endpoint by.
+	// ID is the endpoint's ID in requests and orders.
 	ID string
-	// StartUnixMilli is when this life began, in Unix milliseconds by the endpoint's own clock. 0:
-	// its registration does not say, and ID alone tells lives apart.
+	// StartUnixMilli is when the incarnation started, in Unix milliseconds by the
+	// endpoint's own clock. It is 0 if the registration does not say; incarnations are then
+	// told apart by ID alone.
 	StartUnixMilli int64
 }
 
-// String gives the life's name in logs and hashes.
+// String returns the incarnation's name in logs and hashes.
 func (i Incarnation) String() string {
 	if i.StartUnixMilli == 0 {
 		return i.ID
@@ -27,24 +29,26 @@
 	return i.ID + "/" + strconv.FormatInt(i.StartUnixMilli, 10)
 }
 
-// Endpoint is one life of an endpoint as it registered itself.
+// Endpoint is the registration of one incarnation of an endpoint.
 type Endpoint struct {
 	Incarnation
-	// Service, Addr (IP number and port) and DataCentre tell what it is and where.
+	// Service is the service that the endpoint offers, Addr its IP address and port.
 	Service, Addr, DataCentre string
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the endpoint runs at once.
 	Slots int
-	// Leaving endpoints take no new requests.
+	// Leaving is set if the endpoint is draining and takes no new requests.
 	Leaving bool
 	// Revision is the store's revision of the registration.
 	Revision uint64
 }
 
-// StoreState is a whole linearizable reading of the store.
+// StoreState is the full state of the deployment as read from the store. The read is
+// linearizable, except for Records.
 type StoreState struct {
-	// Revision is the store's revision when the reading began: following goes on from it.
+	// Revision is the store's revision when the read began, from which Source.Watch
+	// continues.
 	Revision uint64
-	// Config is the newest configuration; nil when there is none yet.
+	// Config is the newest configuration, or nil if there is none yet.
 	Config *Config
 	// ConfigRevision is the store's revision of Config.
 	ConfigRevision uint64
@@ -53,9 +57,9 @@
 	InvalidEndpoints []string
 	// Nodes are the system's own processes.
 	Nodes []Node
-	// Records are what nodes have left; some of the last seconds may be missing.
+	// Records are the nodes' records; records of the last seconds may be missing.
 	Records []Record
-	// InvalidItems lists what could not be decoded.
+	// InvalidItems are the items that could not be decoded.
 	InvalidItems []InvalidItem
 }
 
@@ -66,123 +70,125 @@
 	Err      error
 }
 
-// Change is one change of the store: a new configuration, a registration, one that
-// names no endpoint to use, or the end of one.
+// Change is one change of the store. Exactly one of its fields other than Revision is set.
 type Change struct {
 	Revision uint64
 	Config   *Config
 	Endpoint *Endpoint
 	// EndpointGone is the ID of an endpoint whose registration ended.
 	EndpointGone string
-	// InvalidEndpoint is the ID of an endpoint whose registration cannot be used; it was written
-	// by something else, or the endpoint is of a kind that this node does not know.
+	// InvalidEndpoint is the ID of an endpoint whose registration cannot be used: something
+	// other than the endpoint wrote it, or this node does not know the endpoint's kind.
 	InvalidEndpoint string
-	// Node is a node that registered itself; NodeGone the name of one whose
-	// registration ended.
+	// Node is a node that registered; NodeGone is the name of a node whose registration
+	// ended.
 	Node     *Node
 	NodeGone string
-	// Record is one that a node has left.
+	// Record is a record that a node wrote.
 	Record *Record
 }
 
-// Changes is what happened after a revision.
+// Changes are the changes of the store after a revision.
 type Changes struct {
-	// Revision is the revision to go on from.
+	// Revision is the one from which Source.Watch continues.
 	Revision     uint64
 	Changes      []Change
 	InvalidItems []InvalidItem
 }
 
-// EndpointState is an endpoint with what the replica believes of it.
+// EndpointState is an endpoint's registration with the replica's own state of it.
 type EndpointState struct {
 	Endpoint
-	// MissingSince is when its registration was first seen gone; zero: it is listed.
+	// MissingSince is when the registration was first seen to have ended; zero while it
+	// exists.
 	MissingSince time.Time
-	// Position is its number among the endpoints of its service, in the order of a snapshot.
+	// Position is the index among the endpoints of its service in a snapshot.
 	Position int
 }
 
-// missingGrace is how long an endpoint whose registration ended shortly after an
-// outage of the store is kept as a last resort. Registrations lapse while their
-// owners cannot renew them; those that are alive are back within two seconds.
+// missingGrace is how long an endpoint whose registration ended shortly after an outage of
+// the store is kept as a last resort. Registrations lapse while endpoints cannot renew
+// them; endpoints that are alive register again within two seconds.
 const missingGrace = 1500 * time.Millisecond
 
-// lapseWindow is how long after an outage a registration's end may be such a lapse.
+// lapseWindow is how long after an outage the end of a registration may be such a lapse.
 const lapseWindow = 4 * time.Second
 
-// Replica is the owner's copy of the store's state. It only moves forward: an older
-// configuration never replaces a newer one and an endpoint that was leaving never
-// takes requests again in the same life, whatever a reading or change says. Without
-// that, a reading that is behind would bring back a revoked key or route, or send
-// requests to an endpoint that is about to stop; one would see refusals or runs that
-// only an older version explains. Not safe for concurrent use.
+// Replica is a node's copy of the store's state. It only moves forward: an older
+// configuration never replaces a newer one, and an endpoint that was leaving never takes
+// requests again in the same incarnation, whatever state or change is applied. Otherwise a
+// stale read would bring back a revoked key or route, or send requests to an endpoint that
+// is about to stop, and requests would be refused or run according to an older version.
+// A Replica is not safe for concurrent use.
 type Replica struct {
 	revision       uint64
 	config         *Config
 	configRevision uint64
 	endpoints      map[string]*EndpointState
 	nodes          map[string]Node
-	// tombstones remembers, by ID, the last life whose registration tombstones, so that an old
-	// registration does not return.
+	// tombstones holds, by ID, the last incarnation whose registration ended, so that a
+	// late change does not bring it back.
 	tombstones map[string]tombstone
-	// outageEnd is when the store last answered after an outage.
+	// outageEnd is when the store first answered again after its last outage.
 	outageEnd time.Time
-	synced    bool
+	// synced is set once a full state has been applied.
+	synced bool
 }
 
-// tombstone is how the registration of an endpoint's life ended.
+// tombstone is how the registration of an incarnation ended.
 type tombstone struct {
 	startUnixMilli int64
 	revision       uint64
 	leaving        bool
-	// invalidated is set when it was replaced by one that cannot be used.
+	// invalidated is set if the registration was replaced by one that cannot be used.
 	invalidated bool
 }
 
-// NewReplica makes a replica that knows nothing.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{endpoints: map[string]*EndpointState{}, nodes: map[string]Node{}, tombstones: map[string]tombstone{}}
 }
 
-// Revision is the revision up to which changes are known.
+// Revision returns the store's revision up to which changes are known.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Ready tells whether one whole reading was taken in and has a configuration.
+// Ready reports whether a full state has been applied and a configuration is known.
 func (r *Replica) Ready() bool { return r.synced && r.config != nil }
 
-// SetOutageEnd marks that the store answers again after it did not.
+// SetOutageEnd records that the store answers again after an outage.
 func (r *Replica) SetOutageEnd(now time.Time) { r.outageEnd = now }
 
-// ApplyState takes a whole reading in: what it does not list is gone.
-func (r *Replica) ApplyState(now time.Time, reading *StoreState) {
-	if reading.Revision < r.revision {
+// ApplyState applies a full state: endpoints and nodes that it does not list are gone. It
+// ignores a state that is older than the replica.
+func (r *Replica) ApplyState(now time.Time, state *StoreState) {
+	if state.Revision < r.revision {
 		return
 	}
-	r.revision = reading.Revision
-	if reading.Config != nil {
-		r.applyConfig(reading.Config, reading.ConfigRevision)
+	r.revision = state.Revision
+	if state.Config != nil {
+		r.applyConfig(state.Config, state.ConfigRevision)
 	}
 	listed := map[string]bool{}
-	for i := range reading.Endpoints {
-		listed[reading.Endpoints[i].ID] = true
-		r.applyEndpoint(&reading.Endpoints[i])
+	for i := range state.Endpoints {
+		listed[state.Endpoints[i].ID] = true
+		r.applyEndpoint(&state.Endpoints[i])
 	}
-	for _, id := range reading.InvalidEndpoints {
-		r.invalidateEndpoint(id, reading.Revision)
+	for _, id := range state.InvalidEndpoints {
+		r.invalidateEndpoint(id, state.Revision)
 	}
 	for id, e := range r.endpoints {
-		if !listed[id] && e.Revision <= reading.Revision {
-			r.removeEndpoint(now, id, reading.Revision)
+		if !listed[id] && e.Revision <= state.Revision {
+			r.removeEndpoint(now, id, state.Revision)
 		}
 	}
 	clear(r.nodes)
-	for _, n := range reading.Nodes {
+	for _, n := range state.Nodes {
 		r.nodes[n.Name] = n
 	}
 	r.synced = true
 }
 
-// ApplyChanges takes in what followed the last reading or changes.
+// ApplyChanges applies the changes that followed the last applied state or changes.
 func (r *Replica) ApplyChanges(now time.Time, changes *Changes) {
 	for i := range changes.Changes {
 		change := &changes.Changes[i]
@@ -204,6 +210,7 @@
 	r.revision = max(r.revision, changes.Revision)
 }
 
+// applyConfig replaces the configuration unless the known one is at least as new.
 func (r *Replica) applyConfig(config *Config, revision uint64) {
 	if r.config != nil && (revision <= r.configRevision || config.Version <= r.config.Version) {
 		return
@@ -211,8 +218,8 @@
 	r.config, r.configRevision = config, revision
 }
 
-// applyEndpoint takes a registration in, unless it is old news: of a life before the one
-// that is known, or written before what is known.
+// applyEndpoint applies a registration unless it is stale: of an incarnation before the
+// known one, or written before the known registration.
 func (r *Replica) applyEndpoint(e *Endpoint) {
 	known := r.endpoints[e.ID]
 	if known == nil {
@@ -223,7 +230,8 @@
 	case e.Revision < known.Revision:
 		return
 	case e.StartUnixMilli == 0 && known.StartUnixMilli != 0:
-		// Endpoints that say when they were born always do: this is another's writing.
+		// An endpoint that registers with its start time always does, so something else
+		// wrote this registration.
 		r.invalidateEndpoint(e.ID, e.Revision)
 		return
 	case e.StartUnixMilli < known.StartUnixMilli:
@@ -238,23 +246,25 @@
 	known.MissingSince = time.Time{}
 }
 
-// addEndpoint takes in a registration of an endpoint that is not listed. A life that was
-// leaving when its registration ended is leaving still; where lives are not told apart by
-// their birth, what registers after that is taken for another one.
+// addEndpoint applies the registration of an endpoint that is not known. An incarnation
+// that was leaving when its registration ended is still leaving. Without start times, a
+// registration after the end of an earlier one counts as a new incarnation, unless the
+// earlier one ended by being replaced with an invalid registration.
 func (r *Replica) addEndpoint(e *Endpoint) {
-	listed := &EndpointState{Endpoint: *e}
+	added := &EndpointState{Endpoint: *e}
 	if last, found := r.tombstones[e.ID]; found {
 		if e.Revision <= last.revision || e.StartUnixMilli < last.startUnixMilli {
 			return
 		}
-		sameLife := e.StartUnixMilli == last.startUnixMilli && (e.StartUnixMilli != 0 || last.invalidated)
-		listed.Leaving = listed.Leaving || last.leaving && sameLife
+		sameIncarnation := e.StartUnixMilli == last.startUnixMilli && (e.StartUnixMilli != 0 || last.invalidated)
+		added.Leaving = added.Leaving || last.leaving && sameIncarnation
 	}
-	r.endpoints[e.ID] = listed
+	r.endpoints[e.ID] = added
 }
 
-// removeEndpoint ends a registration. One that ends soon after an outage of the store may
-// have lapsed only, and is kept as missing for lapseGrace.
+// removeEndpoint applies the end of a registration. A registration that ends soon after an
+// outage of the store may only have lapsed, so its endpoint is kept as missing for
+// missingGrace.
 func (r *Replica) removeEndpoint(now time.Time, id string, revision uint64) {
 	known := r.endpoints[id]
 	if known == nil || revision < known.Revision {
@@ -270,8 +280,8 @@
 	}
 }
 
-// invalidateEndpoint drops an endpoint whose registration was replaced by one that names no
-// endpoint to use. It is listed again when it next writes its own.
+// invalidateEndpoint drops an endpoint whose registration was replaced by one that cannot be
+// used. The endpoint is added again when it next writes its own registration.
 func (r *Replica) invalidateEndpoint(id string, revision uint64) {
 	known := r.endpoints[id]
 	if known == nil || revision < known.Revision {
@@ -288,12 +298,14 @@
 	r.tombstones[e.ID] = tombstone{startUnixMilli: e.StartUnixMilli, revision: max(r.tombstones[e.ID].revision, revision), leaving: e.Leaving}
 }
 
-// maxTombstones bounds the memory of ended lives. Beyond it all are forgotten: a reading that
-// is older than the last is refused as a whole, which alone keeps old lives away.
+// maxTombstones bounds the memory that tombstones take. Above it all of them are dropped:
+// ApplyState ignores a state that is older than the last one, which is enough to keep old
+// incarnations out.
 const maxTombstones = 20_000
 
-// ExpireMissing drops endpoints that have been missing for longer than the grace. It tells
-// whether anything changed.
+// ExpireMissing drops endpoints that have been missing for longer than missingGrace. It
+// drops all tombstones if there are more than maxTombstones. It reports whether an endpoint
+// was dropped.
 func (r *Replica) ExpireMissing(now time.Time) bool {
 	changed := false
 	for id, e := range r.endpoints {
@@ -308,41 +320,43 @@
 	return changed
 }
 
-// Snapshot is an immutable copy for traffic threads.
+// Snapshot is an immutable copy of a Replica for the goroutines that serve traffic.
 type Snapshot struct {
-	// Config is nil until the node knows one.
+	// Config is nil until the node knows a configuration.
 	Config *Config
 	// Revision is the store's revision that the snapshot reflects.
 	Revision uint64
-	// byService lists the endpoints of each service, leaving ones left out, sorted
-	// by ID.
+	// byService lists the endpoints of each service that are not leaving, sorted by ID.
 	byService map[string][]*EndpointState
 	byID      map[string]*EndpointState
 	// Nodes are the system's own registered processes, sorted by name.
 	Nodes []Node
 }
 
-// EmptySnapshot is a snapshot that knows nothing.
+// EmptySnapshot returns a snapshot without configuration, endpoints and nodes.
 func EmptySnapshot() *Snapshot { return &Snapshot{} }
 
-// Endpoints lists the endpoints of a service that may be sent requests.
+// Endpoints returns the endpoints of a service that may be sent requests, sorted by ID.
 func (s *Snapshot) Endpoints(service string) []*EndpointState { return s.byService[service] }
 
-// Endpoint finds a life of an endpoint that may be sent requests; nil for none.
-func (s *Snapshot) Endpoint(life Incarnation) *EndpointState {
-	if e := s.byID[life.ID]; e != nil && e.Incarnation == life {
+// Endpoint returns an endpoint that may be sent requests, or nil if its current incarnation
+// is not the given one.
+func (s *Snapshot) Endpoint(incarnation Incarnation) *EndpointState {
+	if e := s.byID[incarnation.ID]; e != nil && e.Incarnation == incarnation {
 		return e
 	}
 	return nil
 }
 
-// EndpointByID finds the present life of an endpoint that may be sent requests; nil for none.
+// EndpointByID returns the current incarnation of an endpoint that may be sent requests, or
+// nil.
 func (s *Snapshot) EndpointByID(id string) *EndpointState { return s.byID[id] }
 
-// Len is the number of endpoints that may be sent requests.
+// Len returns the number of endpoints that may be sent requests.
 func (s *Snapshot) Len() int { return len(s.byID) }
 
-// Snapshot makes an immutable copy.
+// Snapshot returns an immutable copy of the replica's state. It has no configuration until a
+// full state has been applied.
 func (r *Replica) Snapshot() *Snapshot {
 	s := &Snapshot{Revision: r.revision, byService: map[string][]*EndpointState{}, byID: map[string]*EndpointState{}}
 	if r.synced {
@@ -352,9 +366,9 @@
 		if e.Leaving {
 			continue
 		}
-		listed := *e
-		s.byService[e.Service] = append(s.byService[e.Service], &listed)
-		s.byID[id] = &listed
+		usable := *e
+		s.byService[e.Service] = append(s.byService[e.Service], &usable)
+		s.byID[id] = &usable
 	}
 	for _, n := range r.nodes {
 		s.Nodes = append(s.Nodes, n)
@@ -362,8 +376,8 @@
 	slices.SortFunc(s.Nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	for _, list := range s.byService {
 		slices.SortFunc(list, func(a, b *EndpointState) int { return cmp.Compare(a.ID, b.ID) })
-		for i, listed := range list {
-			listed.Position = i
+		for i, e := range list {
+			e.Position = i
 		}
 	}
 	return s
--- a/directory/replica_test.go
+++ b/directory/replica_test.go
@@ -10,13 +10,14 @@
 
 func config(version uint64) *Config { return NewConfig(version, Limits{}, nil, nil, nil) }
 
+// endpoint returns a registration without a start time.
 func endpoint(id string, revision uint64, leaving bool) Endpoint {
 	return Endpoint{Incarnation: Incarnation{ID: id}, Service: "s", Addr: "127.0.0.1:1", Revision: revision, Leaving: leaving}
 }
 
-// Symptom: a revoked key works again, or an endpoint that is stopping gets requests.
-// Sequence: readings that are behind, late answers, changes told twice, in any order.
-// Cause, were it there: believing the last answer more than the newest.
+// A revoked key must not work again, and an endpoint that is stopping must not get requests
+// again. Both would happen if the last answer replaced the newest one: stale reads, late
+// answers and repeated changes may arrive in any order.
 func TestReplicaOnlyMovesForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
@@ -42,13 +43,13 @@
 			s := r.Snapshot()
 			if s.Config != nil {
 				if s.Config.Version < version {
-					t.Fatalf("version %d after %d", s.Config.Version, version)
+					t.Fatalf("configuration version went from %d back to %d", version, s.Config.Version)
 				}
 				version = s.Config.Version
 			}
 			for id := range left {
 				if known := r.endpoints[id]; known != nil && s.EndpointByID(id) != nil {
-					t.Fatalf("%s takes requests again", id)
+					t.Fatalf("%s takes requests again after it was leaving", id)
 				}
 			}
 			for id, e := range r.endpoints {
@@ -58,15 +59,16 @@
 			}
 			for id := range left {
 				if r.endpoints[id] == nil {
-					delete(left, id) // gone; what comes under this ID now is not in question
+					delete(left, id) // removed; later registrations under this ID are not checked
 				}
 			}
 		}
 	})
 }
 
-// Symptom: nothing is served after an outage of the store. Sequence: all registrations
-// lapse while endpoints cannot renew them, and are back within two seconds.
+// After an outage of the store, in which endpoints cannot renew their registrations, all of
+// them lapse and are back within two seconds. Nothing would be served in between if the
+// endpoints were dropped at once.
 func TestLapsedEndpointsAreKeptAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
@@ -75,7 +77,7 @@
 	r.ApplyState(now, &StoreState{Revision: 1, Config: config(1), ConfigRevision: 1, Endpoints: []Endpoint{e}})
 	r.SetOutageEnd(now)
 	r.ApplyChanges(now, &Changes{Revision: 2, Changes: []Change{{Revision: 2, EndpointGone: "a"}}})
-	is.True(!r.Snapshot().EndpointByID("a").MissingSince.IsZero()) // a last resort
+	is.True(!r.Snapshot().EndpointByID("a").MissingSince.IsZero()) // kept as a last resort
 	is.True(!r.ExpireMissing(now.Add(time.Second)))
 	is.True(r.ExpireMissing(now.Add(2 * time.Second)))
 	is.True(r.Snapshot().EndpointByID("a") == nil)
--- a/directory/source.go
+++ b/directory/source.go
@@ -7,20 +7,21 @@
 	"github.com/pkg/errors"
 )
 
-// ErrHistoryGone is returned by Follow when the store no longer holds what happened
-// after the revision: the state must be read anew.
-var ErrHistoryGone = errors.New("directory: the store dropped this history")
+// ErrHistoryGone is returned by Source.Watch if the store has dropped the changes after the
+// given revision. The caller must read the full state again.
+var ErrHistoryGone = errors.New("directory: the store no longer has the changes after this revision")
 
-// ErrUnavailable is returned when the store gave no usable answer.
+// ErrUnavailable is returned if the store gave no usable answer.
 var ErrUnavailable = errors.New("directory: store unavailable")
 
-// Source is where the state comes from.
+// Source reads the state of the deployment from the store.
 type Source interface {
-	// Read gives the whole state, linearizable.
+	// Read returns the full state. The read is linearizable, except for Records.
 	Read(ctx context.Context) (*StoreState, error)
-	// Watch returns as soon as something happened after a revision, or after wait
-	// with nothing. Errors: ErrHistoryGone, ErrUnavailable.
+	// Watch returns the changes after a revision as soon as there are any, or no changes
+	// after wait. Errors: ErrHistoryGone, ErrUnavailable.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
-	// CloseIdleConnections drops idle connections, of which some may have gone silent.
+	// CloseIdleConnections closes idle connections, some of which may no longer be
+	// answered by the other side.
 	CloseIdleConnections()
 }
