--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Gateway is the settings of an entry that calls its endpoints directly.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
-	// Name identifies the VM, DataCentre where it stands. No defaults.
+	// Name identifies the VM; DataCentre is the data centre that it is in. Both are
+	// required.
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
-	// CallersListen is where the balancer sends callers; ReadinessListen is where it
-	// asks whether to; MetricsListen serves metrics and is optional.
+	// CallersListen is the address for callers' requests, to which the balancer connects.
+	// ReadinessListen is the address for the balancer's readiness checks. MetricsListen is
+	// the address for metrics; optional.
 	CallersListen   string `json:"callers_listen"`
 	ReadinessListen string `json:"readiness_listen"`
 	MetricsListen   string `json:"metrics_listen,omitempty"`
-	// PeersListen is where other entries' heartbeats come, over UDP; optional. Without
-	// it this entry divides the engines by its own requests alone.
+	// PeersListen is the UDP address for the heartbeats of other gateways; optional. Without
+	// it this gateway divides the engines by its own requests alone.
 	PeersListen string `json:"peers_listen,omitempty"`
 	// Store is the address of the platform's metadata store.
 	Store string `json:"store"`
-	// StoreTimeout bounds one call to the store; default 700ms. Shorter sees a store or
-	// connection that went silent sooner; a store that is slower for long is waited for
-	// up to twice as long.
+	// StoreTimeout bounds one call to the store; default 700ms. A shorter one detects an
+	// unresponsive store or connection sooner. For a store that stays slower than that, the
+	// bound rises to up to twice this value.
 	StoreTimeout Duration `json:"store_timeout,omitempty"`
-	// ConfigWithin and LeavingWithin are how soon after the store has it a configuration
-	// must be in force, and an endpoint that leaves get nothing new; default 2s. The
-	// shorter of them decides how long a call may wait for changes: longer ones cost the
-	// store fewer calls.
+	// ConfigWithin bounds the time from when the store has a new configuration until it is
+	// in force; LeavingWithin bounds the time from when the store says that an endpoint is
+	// leaving until it gets no new requests. Both default to 2s. The shorter one limits how
+	// long a watch call may wait for changes; longer values cost the store fewer calls.
 	ConfigWithin  Duration `json:"config_within,omitempty"`
 	LeavingWithin Duration `json:"leaving_within,omitempty"`
-	// DrainTimeout is how long a graceful shutdown may take until the process is
-	// killed; default 10s.
+	// DrainTimeout is how long a graceful shutdown may take before the process is killed;
+	// default 10s.
 	DrainTimeout Duration `json:"drain_timeout,omitempty"`
-	// RetryRatio, RetryAllowance and RetryWindow bound what all entries together send
-	// again to the endpoints of a service: in any window at most the ratio of the
-	// service's requests plus the allowance. Defaults 0.1, 10 and 10s. A larger
-	// budget saves more requests from single failures and adds more load when
-	// everything fails at once.
+	// RetryRatio, RetryAllowance and RetryWindow bound the retries of all gateways together
+	// to the endpoints of a service: in any window, at most RetryRatio times the service's
+	// requests plus RetryAllowance. Defaults: 0.1, 10 and 10s. A larger budget saves more
+	// requests from single failures and adds more load when everything fails at once.
 	RetryRatio     float64  `json:"retry_ratio,omitempty"`
 	RetryAllowance float64  `json:"retry_allowance,omitempty"`
 	RetryWindow    Duration `json:"retry_window,omitempty"`
-	// MemoryFreeWithin is how soon after a request's end the engines' memory that was
-	// reserved for it must be free, also when this process dies; default 4s. Shorter
-	// holds are renewed more often.
+	// MemoryFreeWithin bounds the time from a request's end until the KV cache reserved for
+	// it on engines is free, also if this process dies; default 4s. With a shorter value
+	// reservations are renewed more often.
 	MemoryFreeWithin Duration `json:"memory_free_within,omitempty"`
-	// MemoryIdleWithin is for how long engines' memory may be reserved for a request
-	// that has not begun; default 9s. A request that an engine keeps waiting for longer
-	// is taken back and sent elsewhere.
+	// MemoryIdleWithin is how long KV cache may be reserved on engines for a request that
+	// has not started; default 9s. A request that an engine keeps waiting for longer is
+	// cancelled there and sent to another engine.
 	MemoryIdleWithin Duration `json:"memory_idle_within,omitempty"`
-	// MemoryLimit is the process's memory; default 256MB. The runtime collects
-	// garbage more eagerly as it comes near.
+	// MemoryLimit is the memory that the process may use; default 256MB. The runtime collects
+	// garbage more often as the process comes near it.
 	MemoryLimit Size `json:"memory_limit,omitempty"`
 }
 
-// SetDefaults fills the fields that may be left out.
+// SetDefaults sets the optional fields that are zero to their defaults.
 func (g *Gateway) SetDefaults() {
 	setDuration(&g.StoreTimeout, 700*time.Millisecond)
 	setDuration(&g.ConfigWithin, 2*time.Second)
@@ -71,7 +72,7 @@
 	}
 }
 
-// Check returns every fault of the fields.
+// Check sets the defaults and returns an error for each field that is not valid.
 func (g *Gateway) Check() FieldErrors {
 	g.SetDefaults()
 	var errs FieldErrors
--- a/settings/node.go
+++ b/settings/node.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// Node holds the settings that entries and agents share.
+// Node holds the settings that entries and agents have in common.
 type Node struct {
-	// Name identifies the VM in the platform's list. Unique, no default.
+	// Name identifies the VM in the platform's list. It is unique and required.
 	Name string `json:"name"`
-	// DataCentre names where the VM stands. No default.
+	// DataCentre is the data centre that the VM is in. It is required.
 	DataCentre string `json:"data_centre"`
-	// Listen is the IP number and port for the project's own processes: TCP for
-	// RPCs and UDP for heartbeats on one number.
+	// Listen is the IP address and port for other nodes: TCP for RPCs, and UDP on the same
+	// port for heartbeats.
 	Listen string `json:"listen"`
-	// Advertise is the address told to others; default: Listen.
+	// Advertise is the address that other nodes are given; default: Listen.
 	Advertise string `json:"advertise,omitempty"`
-	// OperatorsListen serves metrics, health and operators' work.
+	// OperatorsListen is the address for metrics, health checks and the operators'
+	// interface.
 	OperatorsListen string `json:"operators_listen"`
-	// Platform is the address of the platform's store and VM list.
+	// Platform is the address of the platform's store and of its VM list.
 	Platform string `json:"platform"`
-	// Seeds are addresses of entries to try while the platform's list cannot be
-	// read. Without any, a process that starts during an outage waits for its end.
+	// Seeds are addresses of entries that are tried while the platform's VM list cannot be
+	// read. Without seeds, a process that starts during an outage of the list waits until it
+	// ends.
 	Seeds []string `json:"seeds,omitempty"`
-	// HeartbeatInterval is the time between heartbeats; default 500ms. Shorter
-	// finds failures sooner and costs more datagrams.
+	// HeartbeatInterval is the time between heartbeats; default 500ms. A shorter interval
+	// detects failures sooner and costs more datagrams.
 	HeartbeatInterval Duration `json:"heartbeat_interval,omitempty"`
-	// SuspectAfter is the silence after which an endpoint gets no new work;
-	// default 3s. Shorter moves work sooner and wrongly suspects more often.
+	// SuspectAfter is the time without a heartbeat after which an endpoint gets no new
+	// work; default 3s. A shorter time moves work sooner and suspects healthy endpoints more
+	// often.
 	SuspectAfter Duration `json:"suspect_after,omitempty"`
 	// ListInterval is the time between reads of the platform's VM list; default 1s.
 	ListInterval Duration `json:"list_interval,omitempty"`
-	// ListLag is the longest that the platform's list is behind; default 30s. A
-	// VM that is off the list for longer draws no power. Too short a value can
-	// give its watts away while it still draws them.
+	// ListLag is the longest time by which the platform's VM list is behind; default 30s. A
+	// VM that has been off the list for longer is assumed to draw no power. If the value is
+	// too short, its power can be granted to others while the VM still draws it.
 	ListLag Duration `json:"list_lag,omitempty"`
 	// StoreTimeout bounds one call to the platform's store; default 1s.
 	StoreTimeout Duration `json:"store_timeout,omitempty"`
-	// DrainTimeout bounds the wait of a graceful shutdown; default 60s.
+	// DrainTimeout bounds how long a graceful shutdown waits for requests; default 60s.
 	DrainTimeout Duration `json:"drain_timeout,omitempty"`
 }
 
-// SetDefaults fills the fields that may be left out.
+// SetDefaults sets the optional fields that are zero to their defaults.
 func (n *Node) SetDefaults() {
 	if n.Advertise == "" {
 		n.Advertise = n.Listen
@@ -51,13 +54,14 @@
 	setDuration(&n.DrainTimeout, time.Minute)
 }
 
+// setDuration sets a duration that is 0 to its default.
 func setDuration(d *Duration, value time.Duration) {
 	if *d == 0 {
 		*d = Duration(value)
 	}
 }
 
-// Check returns every fault of the fields.
+// Check sets the defaults and returns an error for each field that is not valid.
 func (n *Node) Check() FieldErrors {
 	n.SetDefaults()
 	var errs FieldErrors
@@ -79,21 +83,22 @@
 	return errs
 }
 
-// Entry is the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Node
-	// CallersListen is where the platform's balancer sends callers.
+	// CallersListen is the address for callers' requests, to which the platform's balancer
+	// connects.
 	CallersListen string `json:"callers_listen"`
-	// BodyLimit bounds a caller's body; default 16MB.
+	// BodyLimit bounds the body of a caller's request; default 16MB.
 	BodyLimit Size `json:"body_limit,omitempty"`
-	// ConnectionLimit bounds callers' connections at once; default 4096.
+	// ConnectionLimit bounds the number of callers' open connections; default 4096.
 	ConnectionLimit int64 `json:"connection_limit,omitempty"`
-	// DefaultDeadline is used when the caller sends none; default 60s.
+	// DefaultDeadline is the deadline of a request whose caller sends none; default 60s.
 	DefaultDeadline Duration `json:"default_deadline,omitempty"`
-	// DeadlineLimit is the longest deadline a caller may ask for; default 30m.
+	// DeadlineLimit is the longest deadline that a caller may ask for; default 30m.
 	DeadlineLimit Duration `json:"deadline_limit,omitempty"`
-	// BootstrapOperatorSHA256 is the hex hash of a key that counts as an
-	// operator's while the catalogue names no operator.
+	// BootstrapOperatorSHA256 is the hexadecimal SHA-256 hash of a key that is accepted as
+	// an operator's key while the catalogue has no operator.
 	BootstrapOperatorSHA256 string `json:"bootstrap_operator_sha256,omitempty"`
 	// Policy names the routing policy; default "aspenyard".
 	Policy string `json:"policy,omitempty"`
@@ -106,7 +111,7 @@
 	defaultDeadlineLimit   = 30 * time.Minute
 )
 
-// Check returns every fault of the fields.
+// Check sets the defaults and returns an error for each field that is not valid.
 func (e *Entry) Check() FieldErrors {
 	if e.BodyLimit == 0 {
 		e.BodyLimit = defaultBodyLimit
@@ -131,22 +136,24 @@
 	return errs
 }
 
-// Agent is the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Node
-	// Endpoint is the address of the model engine or plain service on this VM.
+	// Endpoint is the address of the engine or plain service on this VM.
 	Endpoint string `json:"endpoint"`
 	// Kind is "engine" or "service".
 	Kind string `json:"kind"`
-	// Services names the kinds of work a plain service takes.
+	// Services are the names of the kinds of work that a plain service takes; required if
+	// Kind is "service".
 	Services []string `json:"services,omitempty"`
-	// ReservationLease is how long a reservation waits for its order; default 2s.
+	// ReservationLease is how long a reservation waits for its order before it expires;
+	// default 2s.
 	ReservationLease Duration `json:"reservation_lease,omitempty"`
-	// ServiceSlots bounds a plain service's calls at once; default 64.
+	// ServiceSlots is how many calls a plain service runs at once; default 64.
 	ServiceSlots int64 `json:"service_slots,omitempty"`
 }
 
-// Check returns every fault of the fields.
+// Check sets the defaults and returns an error for each field that is not valid.
 func (a *Agent) Check() FieldErrors {
 	setDuration(&a.ReservationLease, 2*time.Second)
 	if a.ServiceSlots == 0 {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the JSON settings of a process. A file is
-// checked wholly at start: every fault is reported with its field, its value
-// and what is allowed, so that an operator mends them in one go.
+// Package settings reads and checks the JSON settings of a process. The whole file is
+// checked at start: every invalid field is reported with its value and the values that are
+// allowed, so that an operator can correct all of them at once.
 package settings
 
 import (
@@ -19,25 +19,25 @@
 	"github.com/pkg/errors"
 )
 
-// FieldError is one thing wrong in a file.
+// FieldError says what is wrong with one field of a settings file.
 type FieldError struct {
-	// Field is the path of the field, such as "seeds[1]"; empty: the whole file.
+	// Field is the path of the field, such as "seeds[1]"; empty for the whole file.
 	Field string
-	// Value is what the file has, as JSON.
+	// Value is the field's value as JSON, or "unknown" for a field that does not exist.
 	Value string
-	// Allowed says what the field takes.
+	// Allowed describes the values that the field takes.
 	Allowed string
 }
 
-// String gives the fault on one line.
+// String returns the field, its value and what is allowed on one line.
 func (f FieldError) String() string {
 	return fmt.Sprintf("field %q: value %s: allowed: %s", f.Field, f.Value, f.Allowed)
 }
 
-// FieldErrors is an error made of all faults of one file.
+// FieldErrors is an error that holds all field errors of one file.
 type FieldErrors []FieldError
 
-// Error lists the faults, one a line.
+// Error returns the field errors, one per line.
 func (f FieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fieldErr := range f {
@@ -46,7 +46,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Add notes a fault.
+// Add appends the error of a field. value is shown as JSON; allowed describes the values
+// that the field takes.
 func (f *FieldErrors) Add(field string, value any, allowed string) {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -55,7 +56,7 @@
 	*f = append(*f, FieldError{Field: field, Value: string(text), Allowed: allowed})
 }
 
-// Err gives nil when there are no faults.
+// Err returns f, or nil if f is empty.
 func (f FieldErrors) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -63,26 +64,26 @@
 	return f
 }
 
-// Duration is a time.Duration written with its unit, such as "250ms".
+// Duration is a time.Duration that is written with its unit in JSON, such as "250ms".
 type Duration time.Duration
 
-// D gives the standard type.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// MarshalJSON writes the duration with its unit.
+// MarshalJSON writes the duration as a string with its unit.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// exponentDurationUnits are those of a number with an exponent, which time.ParseDuration does not
-// read.
+// exponentDurationUnits are the units that may follow a number with an exponent, which
+// time.ParseDuration does not accept.
 var exponentDurationUnits = []unit{
 	{"ns", float64(time.Nanosecond)}, {"us", float64(time.Microsecond)}, {"µs", float64(time.Microsecond)}, {"ms", float64(time.Millisecond)},
 	{"s", float64(time.Second)}, {"m", float64(time.Minute)}, {"h", float64(time.Hour)},
 }
 
-// UnmarshalJSON takes a string with a unit; a bare number is refused because
-// its unit would be a guess.
+// UnmarshalJSON reads a string with a unit. It rejects a bare number, whose unit would have
+// to be guessed.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	invalid := FieldErrors{{Value: string(data), Allowed: `a duration with its unit, such as "250ms"`}}
 	var text string
@@ -101,15 +102,16 @@
 	return nil
 }
 
-// unit is a suffix of a quantity and how many of the smallest unit it stands for.
+// unit is the suffix of a quantity with its value in the smallest unit.
 type unit struct {
 	suffix string
 	value  float64
 }
 
-// parseQuantity reads a number and its unit, in the smallest unit, rounded. The number
-// may have a fraction and an exponent, as in JSON: templates are filled in by programs that
-// write numbers in any of these ways.
+// parseQuantity parses a number with a unit. It returns the quantity in the smallest unit,
+// rounded, and whether text is valid. The number may have a fraction and an exponent as in
+// JSON, because the programs that fill in settings templates write numbers in all of these
+// forms.
 func parseQuantity(text string, units []unit) (int64, bool) {
 	for _, u := range units {
 		number, found := strings.CutSuffix(text, u.suffix)
@@ -128,19 +130,20 @@
 	return 0, false
 }
 
-// Size is a number of bytes written with its unit, such as "8MB" (10^6) or "1MiB".
+// Size is a number of bytes that is written with its unit in JSON, such as "8MB" (8 million
+// bytes) or "1MiB" (1,048,576 bytes).
 type Size int64
 
 var sizeUnits = []unit{
 	{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"KB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1},
 }
 
-// MarshalJSON writes the size in bytes.
+// MarshalJSON writes the size as a string in bytes, such as "8000000B".
 func (s Size) MarshalJSON() ([]byte, error) {
 	return json.Marshal(fmt.Sprintf("%dB", int64(s)))
 }
 
-// UnmarshalJSON takes a number followed by a unit.
+// UnmarshalJSON reads a string with a number that is not negative and a unit.
 func (s *Size) UnmarshalJSON(data []byte) error {
 	invalid := FieldErrors{{Value: string(data), Allowed: `a size with its unit, such as "8MB"`}}
 	var text string
@@ -155,13 +158,13 @@
 	return nil
 }
 
-// Checker is a settings type that can check its own fields.
+// Checker is a settings type that checks its own fields.
 type Checker interface {
-	// Check returns every fault of the fields.
+	// Check returns an error for each field that is not valid. It may set defaults first.
 	Check() FieldErrors
 }
 
-// Load reads a file into into, refusing unknown fields, and checks it.
+// Load reads the settings file at path into into and checks it, with the errors of Decode.
 func Load(path string, into Checker) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -170,8 +173,9 @@
 	return errors.Wrapf(Decode(data, into), "settings %s", path)
 }
 
-// Decode is Load for bytes already read. It names every fault at once: fields that are
-// unknown, that have the wrong type, and those that Check finds.
+// Decode reads the settings in data into a pointer to a struct and checks them. The error,
+// if any, is a FieldErrors that names every invalid field: those that are unknown, those that
+// have the wrong type, and those that Check finds.
 func Decode(data []byte, into Checker) error {
 	var given map[string]json.RawMessage
 	if err := json.Unmarshal(data, &given); err != nil || given == nil {
@@ -199,8 +203,8 @@
 	return errs.Err()
 }
 
-// collectFields finds the settable fields by their JSON names, those of embedded
-// structs included.
+// collectFields adds the fields of a struct and of its embedded structs to fields, by their
+// JSON names.
 func collectFields(v reflect.Value, fields map[string]reflect.Value) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -214,6 +218,7 @@
 	}
 }
 
+// decodeField decodes one field. It returns nil if the value has the field's type.
 func decodeField(name string, raw json.RawMessage, field reflect.Value) *FieldError {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -232,7 +237,7 @@
 	return fieldErr
 }
 
-// allowedType says in words what a field takes.
+// allowedType describes the values that a field of a type takes.
 func allowedType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Float64:
@@ -245,43 +250,43 @@
 	return t.String()
 }
 
-// CheckAddr notes a fault unless addr is an IP number and a port.
+// CheckAddr adds an error unless addr is an IP address and a port.
 func (f *FieldErrors) CheckAddr(field, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		f.Add(field, addr, "an IP number and port, such as 127.0.0.1:9000")
 	}
 }
 
-// CheckRange notes a fault unless low <= value <= high.
+// CheckRange adds an error unless low <= value <= high.
 func (f *FieldErrors) CheckRange(field string, value, low, high time.Duration) {
 	if value < low || value > high {
 		f.Add(field, Duration(value), fmt.Sprintf("%s to %s", low, high))
 	}
 }
 
-// CheckInt notes a fault unless low <= value <= high.
+// CheckInt adds an error unless low <= value <= high.
 func (f *FieldErrors) CheckInt(field string, value, low, high int64) {
 	if value < low || value > high {
 		f.Add(field, value, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-// CheckNumber notes a fault unless low <= value <= high.
+// CheckNumber adds an error unless low <= value <= high.
 func (f *FieldErrors) CheckNumber(field string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		f.Add(field, value, fmt.Sprintf("%g to %g", low, high))
 	}
 }
 
-// CheckName notes a fault unless name is a non-empty word of at most 64
-// characters out of a-z, 0-9, '-', '_' and '.'.
+// CheckName adds an error unless name has 1 to 64 characters out of a-z, 0-9, '-', '_' and
+// '.'.
 func (f *FieldErrors) CheckName(field, name string) {
 	if !ValidName(name) {
 		f.Add(field, name, "1 to 64 characters out of a-z 0-9 - _ .")
 	}
 }
 
-// ValidName tells whether CheckName would take name.
+// ValidName reports whether CheckName accepts name.
 func ValidName(name string) bool {
 	if name == "" || len(name) > 64 {
 		return false
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -37,18 +37,19 @@
 			var agent Agent
 			err := Decode([]byte(strings.Replace(validAgent, c.from, c.to, 1)), &agent)
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.want)) // the fault names its place
+			is.True(strings.Contains(err.Error(), c.want)) // the error names the field or what is allowed
 		})
 	}
 }
 
-// An operator mends a file in one go: every fault is named, whatever its kind.
+// Every invalid field is reported at once, whatever is wrong with it, so that an operator
+// can correct a file in one pass.
 func TestAllFieldErrorsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var g Gateway
 	err := Decode([]byte(`{"name":"g","data_centre":7,"colour":1,"callers_listen":"here","retry_ratio":3,"drain_timeout":"8 moons","shade":2}`), &g)
 	for _, field := range []string{"data_centre", "colour", "shade", "callers_listen", "readiness_listen", "store", "retry_ratio", "drain_timeout"} {
-		is.True(strings.Contains(err.Error(), `"`+field+`"`)) // each is named
+		is.True(strings.Contains(err.Error(), `"`+field+`"`)) // each field is named
 	}
 	is.Equal(len(strings.Split(err.Error(), "\n")), 8)
 }
@@ -73,10 +74,10 @@
 "config_within":"4000ms","leaving_within":"4000ms","drain_timeout":"8s","retry_ratio":0.2,"retry_allowance":206,"retry_window":"10s",
 "memory_free_within":"4000ms","memory_idle_within":"9000ms","memory_limit":"184MB"}`
 
-// Symptom: every entry ends at its start with "retry_allowance: value 44.78: allowed: int64".
-// Sequence: the platform fills in the settings' template with figures scaled to the size of a
-// deployment. Cause: a field took whole numbers only, where the platform writes a whole number,
-// a fraction or one with an exponent.
+// The platform fills in the settings template with figures scaled to the size of a
+// deployment, and writes a figure as a whole number, with a fraction or with an exponent. When
+// a field took whole numbers only, every gateway ended at its start with "retry_allowance:
+// value 44.78: allowed: int64".
 func TestNumbersAreAcceptedInAllFormsOfThePlatform(t *testing.T) {
 	cases := []struct {
 		field, plain string
