--- a/result/table.go
+++ b/result/table.go
@@ -6,66 +6,67 @@
 	"strings"
 )
 
-// table holds the codes in ascending order; docs/RESULT-CODES.md is made of it.
+// table lists the codes in ascending order. docs/RESULT-CODES.md is generated from it.
 var table = []Info{
 	{OK, "ok", http.StatusOK, "The request was carried out.", "None."},
-	{Replayed, "replayed", http.StatusOK, "The recorded outcome of an earlier request with the same idempotency key.", "None; it did not run again."},
+	{Replayed, "replayed", http.StatusOK, "The recorded outcome of an earlier request with the same idempotency key.", "None; the request did not run again."},
 
-	{BadBody, "bad_body", http.StatusBadRequest, "The body is not the JSON that was expected.", "Correct the body."},
-	{UnknownKind, "unknown_kind", http.StatusNotFound, "The catalogue has no such kind of work.", "Ask the operators for the name."},
+	{BadBody, "bad_body", http.StatusBadRequest, "The body is not JSON of the expected form.", "Correct the body."},
+	{UnknownKind, "unknown_kind", http.StatusNotFound, "The catalogue has no kind of work of this name.", "Ask the operators for the right name."},
 	{NoKey, "no_key", http.StatusUnauthorized, "The request carries no key.", "Send Authorization: Bearer KEY."},
-	{WrongKey, "wrong_key", http.StatusUnauthorized, "No client account has this key.", "Check the key with the operators."},
-	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, "The body is longer than the entry's limit.", "Send less, or have body_limit raised."},
-	{BadField, "bad_field", http.StatusBadRequest, "A field has a value that is not allowed.", "Correct the field that the detail names."},
-	{BadDeadline, "bad_deadline", http.StatusBadRequest, "The deadline is not a positive duration within the limit.", "Send X-Request-Deadline such as 30s."},
+	{WrongKey, "wrong_key", http.StatusUnauthorized, "No client account has this key.", "Ask the operators whether the key is right."},
+	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, "The body is longer than the entry's limit.", "Send a shorter body, or have the operators raise body_limit."},
+	{BadField, "bad_field", http.StatusBadRequest, "The value of a field is not allowed.", "Correct the field that the detail names."},
+	{BadDeadline, "bad_deadline", http.StatusBadRequest, "The deadline is not a positive duration within the limit.", "Send X-Request-Deadline with a duration such as 30s."},
 	{UnknownModel, "unknown_model", http.StatusNotFound, "No kind of work in the catalogue has this model name.", "List the names with GET /v1/models."},
-	{PromptTooLong, "prompt_too_long", http.StatusRequestEntityTooLarge, "No set of endpoints could hold the prompt.", "Shorten the prompt."},
-	{KeyReused, "key_reused", http.StatusUnprocessableEntity, "The idempotency key was used before with another request.", "Use a new key for a new request."},
-	{KeyRequired, "key_required", http.StatusBadRequest, "This kind of work may not be repeated and needs an idempotency key.", "Send Idempotency-Key."},
-	{UnknownRequest, "unknown_request", http.StatusNotFound, "No record of this request or key.", "Check the id; entries keep ids for a limited time."},
-	{EditConflict, "edit_conflict", http.StatusConflict, "The catalogue entry has changed since it was read.", "Read the current value and edit again."},
+	{PromptTooLong, "prompt_too_long", http.StatusRequestEntityTooLarge, "The prompt is too long for any set of endpoints.", "Shorten the prompt."},
+	{KeyReused, "key_reused", http.StatusUnprocessableEntity, "The idempotency key was used before for a different request.", "Use a new key for a new request."},
+	{KeyRequired, "key_required", http.StatusBadRequest, "This kind of work is not repeatable and needs an idempotency key.", "Send Idempotency-Key."},
+	{UnknownRequest, "unknown_request", http.StatusNotFound, "There is no record of this request id or idempotency key.", "Check the id; entries keep ids for a limited time."},
+	{EditConflict, "edit_conflict", http.StatusConflict, "The catalogue entry has changed since the caller read it.", "Read the current value and repeat the edit."},
 	{BadCatalogue, "bad_catalogue", http.StatusBadRequest, "The catalogue entry is not valid.", "Correct the field that the detail names."},
 	{NotOperator, "not_operator", http.StatusForbidden, "The key is not an operator's.", "Use an operator's key."},
 	{UnknownEntry, "unknown_entry", http.StatusNotFound, "The catalogue has no such entry.", "Check its type and id."},
 	{MethodNotAllowed, "method_not_allowed", http.StatusMethodNotAllowed, "The path does not take this method.", "Use the method in the Allow header."},
-	{BadRequest, "bad_request", http.StatusBadRequest, "The request's head or framing is malformed.", "Correct the request."},
-	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, "The request's head is longer than the configuration allows.", "Send less."},
-	{SlowCaller, "slow_caller", http.StatusRequestTimeout, "The request did not come whole in time; it did not run.", "Send it again."},
+	{BadRequest, "bad_request", http.StatusBadRequest, "The request line, the header section or the framing of the request is malformed.", "Correct the request."},
+	{HeaderTooLarge, "header_too_large", http.StatusRequestHeaderFieldsTooLarge, "The request's header section is longer than the configuration allows.", "Send a shorter header section."},
+	{SlowCaller, "slow_caller", http.StatusRequestTimeout, "The request was not received completely in time; it did not run.", "Send the request again."},
 
-	{RateLimited, "rate_limited", http.StatusTooManyRequests, "The client account is over its requests per second.", "Ask again after Retry-After."},
-	{TooManyConcurrent, "too_many_concurrent", http.StatusTooManyRequests, "The client account has too many requests at once.", "Ask again when one has ended."},
-	{TokenLimited, "token_limited", http.StatusTooManyRequests, "The client account is over its tokens per second.", "Ask again after Retry-After."},
-	{Overloaded, "overloaded", http.StatusServiceUnavailable, "The endpoints' queues are full.", "Ask again after Retry-After."},
-	{DeadlineUnmeetable, "deadline_unmeetable", http.StatusServiceUnavailable, "The work cannot end before its deadline.", "Ask again after Retry-After, or allow more time."},
-	{NoEndpoint, "no_endpoint", http.StatusServiceUnavailable, "No live endpoint serves this.", "Ask again after Retry-After; see the alarm."},
-	{Leaving, "leaving", http.StatusServiceUnavailable, "The process is shutting down.", "Ask again at once through the balancer."},
-	{StoreUnavailable, "store_unavailable", http.StatusServiceUnavailable, "The platform's store cannot be reached, which this request needs.", "Ask again after Retry-After."},
-	{InProgress, "in_progress", http.StatusConflict, "A request with the same idempotency key is still running.", "Ask again after Retry-After."},
-	{Withdrawn, "withdrawn", http.StatusServiceUnavailable, "The reservation was withdrawn before it started.", "Ask again."},
-	{NoReservation, "no_reservation", http.StatusServiceUnavailable, "The order names no live reservation of this agent.", "Ask again."},
-	{NoPower, "no_power", http.StatusServiceUnavailable, "The endpoint's power grant does not allow more work.", "Ask again after Retry-After."},
-	{NotReady, "not_ready", http.StatusServiceUnavailable, "The node has no catalogue or configuration yet, or one that may be out of date.", "Ask again after Retry-After."},
-	{Quarantined, "quarantined", http.StatusServiceUnavailable, "Endpoints crashed under earlier copies of this request.", "Do not send it again before Retry-After; give the operators the fingerprint of the log."},
+	{RateLimited, "rate_limited", http.StatusTooManyRequests, "The client account exceeds its limit of requests per second.", "Send the request again after Retry-After."},
+	{TooManyConcurrent, "too_many_concurrent", http.StatusTooManyRequests, "The client account exceeds its limit of concurrent requests.", "Send the request again when another one has ended."},
+	{TokenLimited, "token_limited", http.StatusTooManyRequests, "The client account exceeds its limit of tokens per second.", "Send the request again after Retry-After."},
+	{Overloaded, "overloaded", http.StatusServiceUnavailable, "The endpoints' queues are full.", "Send the request again after Retry-After."},
+	{DeadlineUnmeetable, "deadline_unmeetable", http.StatusServiceUnavailable, "The request cannot be finished before its deadline.", "Send the request again after Retry-After, or with a later deadline."},
+	{NoEndpoint, "no_endpoint", http.StatusServiceUnavailable, "No live endpoint serves this kind of work or model.", "Send the request again after Retry-After; check the alarms."},
+	{Leaving, "leaving", http.StatusServiceUnavailable, "The process is shutting down.", "Send the request again at once through the balancer."},
+	{StoreUnavailable, "store_unavailable", http.StatusServiceUnavailable, "The request needs the platform's store, which cannot be reached.", "Send the request again after Retry-After."},
+	{InProgress, "in_progress", http.StatusConflict, "A request with the same idempotency key is still running.", "Send the request again after Retry-After."},
+	{Withdrawn, "withdrawn", http.StatusServiceUnavailable, "The reservation was withdrawn before the request started.", "Send the request again."},
+	{NoReservation, "no_reservation", http.StatusServiceUnavailable, "The agent has no live reservation of the id that the order names.", "Send the request again."},
+	{NoPower, "no_power", http.StatusServiceUnavailable, "The power granted to the endpoint does not allow more work.", "Send the request again after Retry-After."},
+	{NotReady, "not_ready", http.StatusServiceUnavailable, "The node has no catalogue or configuration yet, or one that may be out of date.", "Send the request again after Retry-After."},
+	{Quarantined, "quarantined", http.StatusServiceUnavailable, "Endpoints crashed while they ran earlier copies of this request.", "Do not send the request again before Retry-After; give the operators the fingerprint from the log."},
 
-	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, "The deadline passed before the request ended.", "Allow more time; see ran."},
-	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, "The order was sent and nobody can tell whether it ran.", "Look up the status by key; do not assume either."},
-	{EndpointFailed, "endpoint_failed", http.StatusBadGateway, "The endpoint failed after the work had started.", "Ask again; see ran."},
-	{Cancelled, "cancelled", 499, "The caller went away.", "None."},
+	{DeadlineExceeded, "deadline_exceeded", http.StatusGatewayTimeout, "The deadline passed before the request ended.", "See ran; allow more time."},
+	{OutcomeUnknown, "outcome_unknown", http.StatusBadGateway, "The request was sent to an endpoint, and it cannot be determined whether it ran.", "Look up the status by idempotency key; do not assume either outcome."},
+	{EndpointFailed, "endpoint_failed", http.StatusBadGateway, "The endpoint failed after the work had started.", "See ran; send the request again if it may be repeated."},
+	{Cancelled, "cancelled", 499, "The caller cancelled the request or closed its connection.", "None."},
 	{ServiceFailed, "service_failed", http.StatusBadGateway, "The plain service answered with an error.", "See the detail; the service ran the call."},
-	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, "The work failed after it had started, and the retry budget of its class is spent.", "Ask again after Retry-After."},
+	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, "The work failed after it had started, and the retry budget of its class is used up.", "Send the request again after Retry-After."},
 
-	{Internal, "internal", http.StatusInternalServerError, "A fault in aspenyard.", "Report it with the request id."},
+	{Internal, "internal", http.StatusInternalServerError, "An internal error in aspenyard.", "Report the error with the request id."},
 }
 
-// Markdown gives the table as docs/RESULT-CODES.md holds it.
+// Markdown returns the text of docs/RESULT-CODES.md. The command "aspenyard version --codes"
+// prints it.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
 	b.WriteString("Every answer carries its code in `X-Result-Code` and, when it is an error, in the body\n")
-	b.WriteString("with `ran` (`no`, `yes` or `unknown`). 1xxx: done; 2xxx: the request is at fault; 3xxx:\n")
-	b.WriteString("refused, this request ran nowhere; 4xxx: failed after admission; 5xxx: a fault of the\n")
-	b.WriteString("system. With 3008 and 3010, `ran` speaks of the idempotency key: an earlier request with it\n")
-	b.WriteString("may have run, and `unknown` is said where that cannot be told.\n\n")
+	b.WriteString("with `ran` (`no`, `yes` or `unknown`). 1xxx: carried out; 2xxx: the request is invalid; 3xxx:\n")
+	b.WriteString("refused, the request did not run; 4xxx: failed after admission; 5xxx: internal error.\n")
+	b.WriteString("With 3008 and 3010, `ran` refers to the idempotency key: an earlier request with the key\n")
+	b.WriteString("may have run, and `ran` is `unknown` if that cannot be determined.\n\n")
 	b.WriteString("| Code | Name | HTTP | Meaning | What to do |\n|---|---|---|---|---|\n")
 	for _, info := range table {
 		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s |\n", info.Code, info.Name, info.HTTPStatus, info.Meaning, info.Action)
