--- a/result/result.go
+++ b/result/result.go
@@ -1,8 +1,8 @@
-// Package result defines the numbered codes that every answer carries, and
-// the error type that takes them from the place of a failure to the caller.
+// Package result defines the numbered result codes that every answer carries, and the error
+// type that carries a code from where a failure occurs to the caller.
 //
-// One table serves the code, the callers' interface and docs/RESULT-CODES.md,
-// so that an operator can look up any number found in a log.
+// The code, the callers' interface and docs/RESULT-CODES.md share one table, so that an
+// operator can look up any code that is found in a log.
 package result
 
 import (
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// Code is a stable number for one kind of outcome. Numbers are never reused.
+// Code is the number of one kind of outcome. A number never changes its meaning and is never
+// reused.
 type Code int
 
-// The codes. 1xxx: done; 2xxx: the request is at fault; 3xxx: refused before
-// anything ran; 4xxx: failed after admission; 5xxx: a fault of the system. 3009
-// was given up before the first release.
+// The result codes. 1xxx: carried out; 2xxx: the request is invalid; 3xxx: refused before
+// anything of it ran; 4xxx: failed after admission; 5xxx: internal error. 3009 was withdrawn
+// before the first release and is not used again.
 const (
 	OK       Code = 1000
 	Replayed Code = 1001
@@ -67,67 +68,71 @@
 	Internal Code = 5001
 )
 
-// Ran tells whether the work was carried out.
+// Ran says whether the requested work ran.
 type Ran string
 
-// RanNo is said only when it is certain that the work did not and will not
-// run; RanUnknown when nobody who could know can be asked.
+// The values of Ran. RanNo is used only if it is certain that the work did not run and will
+// not run. RanUnknown is used if no process that could know can be asked.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Info is one row of the table of codes.
+// Info is the row of one code in the table of codes.
 type Info struct {
 	Code Code
 	// Name is the stable identifier in logs and error bodies.
 	Name string
-	// HTTPStatus is what the callers' interface answers with.
+	// HTTPStatus is the HTTP status of an answer with this code.
 	HTTPStatus int
-	// Meaning says what happened.
+	// Meaning says what happened, in a sentence.
 	Meaning string
-	// Action says what the caller or operator does about it.
+	// Action says what the caller or an operator should do.
 	Action string
 }
 
-// Error is a failure with its code. Ran and RetryAfter are told to the caller.
+// Error is a failure with its result code. Code, Ran, RetryAfter and Detail are sent to the
+// caller.
 type Error struct {
 	Code Code
 	Ran  Ran
-	// RetryAfter is how long to wait before asking again; zero: no advice.
+	// RetryAfter is how long the caller should wait before it sends the request again; 0 if
+	// there is no advice.
 	RetryAfter time.Duration
-	// Deferral is set when an agent puts the request before later ones if it
-	// comes back after RetryAfter.
+	// Deferral is set if an agent will queue the request ahead of later ones when it is sent
+	// again after RetryAfter.
 	Deferral bool
-	Detail   string
+	// Detail is free text about this failure.
+	Detail string
 }
 
-// Error gives the code's name, number and detail.
+// Error returns the code's name and number and the detail.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s (%d): %s", Lookup(e.Code).Name, e.Code, e.Detail)
 }
 
-// Refuse makes an error for work that certainly did not run.
+// Refuse returns an error for work that certainly did not run and will not run.
 func Refuse(code Code, retryAfter time.Duration, format string, args ...any) *Error {
 	return &Error{Code: code, Ran: RanNo, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Fail makes an error for admitted work, with what is known of its run.
+// Fail returns an error for work that was admitted. ran says what is known about whether it
+// ran.
 func Fail(code Code, ran Ran, format string, args ...any) *Error {
 	return &Error{Code: code, Ran: ran, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Refusal tells whether a code says that the request was refused before anything
-// of it ran.
+// Refusal reports whether the code means that the request was refused before anything of it
+// ran.
 func (c Code) Refusal() bool { return c >= RateLimited && c < DeadlineExceeded }
 
-// Busy tells whether a code says that an endpoint has too much work, so that
-// coming back later may help.
+// Busy reports whether the code means that the endpoints have too much work, so that sending
+// the request again later may help.
 func (c Code) Busy() bool { return c == Overloaded || c == DeadlineUnmeetable }
 
-// FromError finds the *Error in a chain; any other error becomes Internal with an
-// unknown run, because nothing may be claimed about it.
+// FromError returns the *Error in err's chain, or nil for a nil error. An error without one
+// becomes Internal with RanUnknown, because nothing is known about whether the work ran.
 func FromError(err error) *Error {
 	if err == nil {
 		return nil
@@ -139,7 +144,8 @@
 	return &Error{Code: Internal, Ran: RanUnknown, Detail: err.Error()}
 }
 
-// Lookup gives the table's row for a code; an unlisted one is shown as Internal.
+// Lookup returns the table's row of a code. A code that is not in the table gets the row of
+// Internal.
 func Lookup(code Code) Info {
 	for _, info := range table {
 		if info.Code == code {
@@ -149,7 +155,7 @@
 	return Lookup(Internal)
 }
 
-// Table lists every code in ascending order.
+// Table returns a copy of the table, in ascending order of codes.
 func Table() []Info {
 	return append([]Info(nil), table...)
 }
