--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -103,7 +103,7 @@
 // readHead reads answers until one belongs to the request. A late second answer to
 // an earlier request may stand before it; its ID tells.
 func (r *endpointResponse) readHead(dialect Dialect, out *outgoingRequest) error {
-	for crossed := 0; crossed < maxStrayResponses; {
+	for strays := 0; strays < maxStrayResponses; {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: out.method})
 		if err != nil {
 			return errors.Wrap(err, "read answer")
@@ -115,7 +115,7 @@
 		r.parsed = dialect.ReadResponse(response.StatusCode, response.Header)
 		unframed := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 		if r.parsed.ID != out.id {
-			crossed++
+			strays++
 			if unframed || response.Close {
 				return errStrayResponse
 			}
@@ -156,13 +156,13 @@
 // again only if nothing is doubtful about it: the request was written whole and
 // nothing stands behind the answer.
 func (r *endpointResponse) finish() {
-	whole := false
+	written := false
 	select {
 	case err := <-r.writeResult:
-		whole = err == nil
+		written = err == nil
 	default:
 	}
-	if !r.stopWatching() || !whole || r.closeDelimited || r.keepAlive <= 0 || r.conn.reader.Buffered() > 0 {
+	if !r.stopWatching() || !written || r.closeDelimited || r.keepAlive <= 0 || r.conn.reader.Buffered() > 0 {
 		_ = r.conn.Close()
 		return
 	}
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -92,59 +92,59 @@
 // sendTo sends the call to one endpoint and passes its answer on.
 func (f *forwarding) sendTo(ctx context.Context, plan *direct.Plan) (attempt.SendOutcome, error) {
 	f.placementRequest.Tried[plan.Endpoint.Incarnation] = true
-	charge := f.gateway.ledger.Begin(time.Now(), plan)
-	defer charge.End()
+	load := f.gateway.ledger.Begin(time.Now(), plan)
+	defer load.End()
 	if plan.Long {
 		f.gateway.peers.sendHeartbeat()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var helpers []string
-	begun := f.watchFirstToken(plan)
-	defer begun()
-	prefilled := func() {
-		begun()
-		charge.FinishPrefill()
+	stopWatch := f.watchFirstToken(plan)
+	defer stopWatch()
+	onFirstEvent := func() {
+		stopWatch()
+		load.FinishPrefill()
 	}
 	if plan.HelperMemoryTokens > 0 {
 		f.reserveAttempts++
-		held, err := f.gateway.reserve(ctx, f.call, plan, f.reserveAttempts)
+		reservations, err := f.gateway.reserve(ctx, f.call, plan, f.reserveAttempts)
 		if err != nil {
 			return attempt.NotSent, err
 		}
-		defer held.release()
-		helpers = held.helperRefs
+		defer reservations.release()
+		helpers = reservations.helperRefs
 		// An engine that does not begin would keep the helpers' memory from others.
-		idle := time.AfterFunc(f.gateway.memoryIdleLimit(), cancel)
-		defer idle.Stop()
-		reserved := prefilled
-		prefilled = func() {
-			idle.Stop()
-			reserved()
+		idleTimer := time.AfterFunc(f.gateway.memoryIdleLimit(), cancel)
+		defer idleTimer.Stop()
+		endPrefill := onFirstEvent
+		onFirstEvent = func() {
+			idleTimer.Stop()
+			endPrefill()
 		}
 	}
-	reply, failed := f.gateway.exchange(ctx, plan.Endpoint, f.buildRequest(plan, helpers), !f.route.Repeatable(), f.silenceTimeout())
-	if failed != nil {
-		return failed.outcome, failed
+	response, sendErr := f.gateway.exchange(ctx, plan.Endpoint, f.buildRequest(plan, helpers), !f.route.Repeatable(), f.silenceTimeout())
+	if sendErr != nil {
+		return sendErr.outcome, sendErr
 	}
-	if reply.parsed.HasLoad {
-		f.gateway.ledger.RecordLoadReport(time.Now(), plan.Endpoint.Incarnation, reply.parsed.Running, reply.parsed.Waiting)
+	if response.parsed.HasLoad {
+		f.gateway.ledger.RecordLoadReport(time.Now(), plan.Endpoint.Incarnation, response.parsed.Running, response.parsed.Waiting)
 	}
-	if outcome, err := classify(reply); err != nil {
-		reply.discard()
+	if outcome, err := classify(response); err != nil {
+		response.discard()
 		if outcome == attempt.NotExecuted {
-			outcome = f.avoidFaultyEndpoint(plan, reply)
+			outcome = f.avoidFaultyEndpoint(plan, response)
 		}
 		return outcome, err
 	}
-	if f.streamStarted() && reply.status != http.StatusOK {
-		reply.discard()
-		return attempt.Broken, errors.Errorf("status %d where a stream was to go on", reply.status)
+	if f.streamStarted() && response.status != http.StatusOK {
+		response.discard()
+		return attempt.Broken, errors.Errorf("status %d where a stream was to go on", response.status)
 	}
-	if f.relay != nil && reply.status == http.StatusOK {
-		return f.relay.run(reply, prefilled, func(gap time.Duration) { f.checkPause(plan, gap) })
+	if f.relay != nil && response.status == http.StatusOK {
+		return f.relay.run(response, onFirstEvent, func(pause time.Duration) { f.checkPause(plan, pause) })
 	}
-	return f.relayBuffered(reply)
+	return f.relayBuffered(response)
 }
 
 const (
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -100,11 +100,11 @@
 		return
 	default:
 	}
-	left := c.gateway.firstConfigWait - time.Since(c.gateway.started)
-	if left <= 0 {
+	remaining := c.gateway.firstConfigWait - time.Since(c.gateway.started)
+	if remaining <= 0 {
 		return
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-c.gateway.configured:
@@ -260,18 +260,18 @@
 
 // finish answers a request that failed, counts it and logs it.
 func (c *call) finish(failure *result.Error) {
-	took := time.Since(c.started)
-	code, started := result.OK, !c.firstByteAt.IsZero()
+	elapsed := time.Since(c.started)
+	code, responseStarted := result.OK, !c.firstByteAt.IsZero()
 	if failure != nil {
 		code = failure.Code
 	}
-	late := c.lateness(took)
-	c.gateway.observeCall(c, code, took, late)
+	late := c.lateness(elapsed)
+	c.gateway.observeCall(c, code, elapsed, late)
 	fields := []zap.Field{
-		zap.Int("code", int(code)), zap.Duration("took_ms", took), zap.Uint64("config", c.configVersion()),
+		zap.Int("code", int(code)), zap.Duration("took_ms", elapsed), zap.Uint64("config", c.configVersion()),
 		zap.String("route", c.routeName()), zap.String("endpoint", c.lastEndpoint), zap.Int("prompt_tokens", c.PromptTokens),
 	}
-	if started {
+	if responseStarted {
 		fields = append(fields, zap.String("late", string(late)), zap.Bool("resumed", c.LastEventID != ""), zap.Duration("first_ms", c.firstByteAt.Sub(c.started)), zap.Duration("gap_ms", c.longestPause), zap.Duration("gap_end_ms", c.pauseEndOffset()), zap.Int("events", c.eventsSent))
 	}
 	if failure != nil {
@@ -281,7 +281,7 @@
 	c.log.End(failure != nil || late != onTime)
 	switch {
 	case failure == nil:
-	case started || failure.Code == result.Cancelled:
+	case responseStarted || failure.Code == result.Cancelled:
 		// The answer has begun and must not look whole, or nobody reads it.
 		panic(http.ErrAbortHandler)
 	default:
@@ -302,24 +302,24 @@
 )
 
 // lateness tells in which way an answer missed its route's targets.
-func (c *call) lateness(took time.Duration) lateness {
+func (c *call) lateness(elapsed time.Duration) lateness {
 	if c.route == nil || c.route.Target == 0 {
 		return onTime
 	}
 	if c.route.Kind != directory.Streaming {
-		if took > c.route.Target {
+		if elapsed > c.route.Target {
 			return lateResponse
 		}
 		return onTime
 	}
-	first := c.firstByteAt.Sub(c.started) > c.route.Target
-	pause := c.route.TargetPause > 0 && c.longestPause > c.route.TargetPause
+	firstLate := c.firstByteAt.Sub(c.started) > c.route.Target
+	pauseLate := c.route.TargetPause > 0 && c.longestPause > c.route.TargetPause
 	switch {
-	case first && pause:
+	case firstLate && pauseLate:
 		return lateBoth
-	case first:
+	case firstLate:
 		return lateFirstEvent
-	case pause:
+	case pauseLate:
 		return latePause
 	}
 	return onTime
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -29,9 +29,9 @@
 	s := newFixture(t, workers...)
 	r := route("model", "/model/", "streaming")
 	r["service"], r["target_gap_ms"] = "model", 250
-	patient := route("patient", "/patient/", "streaming")
-	patient["service"], patient["target_gap_ms"] = "model", 1000
-	s.routes = append(s.routes, patient, r)
+	longPause := route("patient", "/patient/", "streaming")
+	longPause["service"], longPause["target_gap_ms"] = "model", 1000
+	s.routes = append(s.routes, longPause, r)
 	return s
 }
 
@@ -98,9 +98,9 @@
 func TestAFailedHelperIsAvoided(t *testing.T) {
 	is := is.New(t)
 	s := startEngineFixture(t, 12)
-	gone := s.workers[3]
+	leaving := s.workers[3]
 	for _, w := range s.workers {
-		w.BlameHelper(gone.Addr())
+		w.BlameHelper(leaving.Addr())
 	}
 	s.waitFor("a request that it would help", func() bool {
 		for _, w := range s.workers {
@@ -125,7 +125,7 @@
 		return true
 	})
 	is.Equal(s.sendPrompt("q2", 100_000).body, standin.StreamText("q2", 5))
-	is.True(!strings.Contains(s.findRun("q2").Helpers, gone.Addr())) // passed over now
+	is.True(!strings.Contains(s.findRun("q2").Helpers, leaving.Addr())) // passed over now
 }
 
 func TestMemoryIsReservedForAPromptLargerThanOneEngine(t *testing.T) {
--- a/gateway/pace.go
+++ b/gateway/pace.go
@@ -82,16 +82,16 @@
 	g := p.gateway
 	for g.snapshot.Load().Endpoint(e.Incarnation) != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), slowdownTimeout)
-		pace, err := g.slowdownReader.Slowdown(ctx, e)
+		slowdown, err := g.slowdownReader.Slowdown(ctx, e)
 		cancel()
 		if err != nil {
 			g.log.Warn("pace_unknown", zap.String("endpoint", e.ID), eventlog.Error(err))
 			return
 		}
-		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Incarnation, pace)
+		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Incarnation, slowdown)
 		if changed {
 			g.peers.sendHeartbeat()
-			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", pace))
+			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", slowdown))
 		}
 		if !slow {
 			return
@@ -119,8 +119,8 @@
 }
 
 // checkPause suspects an engine whose stream pauses while it has nothing to prefill.
-func (f *forwarding) checkPause(plan *direct.Plan, gap time.Duration) {
-	if gap <= pauseLatePasses*direct.PassTime(f.service.Engine) {
+func (f *forwarding) checkPause(plan *direct.Plan, pause time.Duration) {
+	if pause <= pauseLatePasses*direct.PassTime(f.service.Engine) {
 		return
 	}
 	if f.gateway.ledger.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -65,13 +65,13 @@
 	worker := s.workers[0]
 	worker.SetPace(5)
 	worker.Pace = 400 * time.Millisecond
-	begun := time.Now()
+	start := time.Now()
 	for i := range 3 {
 		is.Equal(s.sendPrompt(fmt.Sprint("q", i), 1000).body, standin.StreamText(fmt.Sprint("q", i), 5))
 	}
-	most := int(time.Since(begun)/time.Second) + 2
+	maxReports := int(time.Since(start)/time.Second) + 2
 	is.True(worker.Reports() >= 2)
-	is.True(worker.Reports() <= most)
+	is.True(worker.Reports() <= maxReports)
 }
 
 // An engine that does not say how slow it is stays in use.
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -35,32 +35,32 @@
 	g := f.gateway
 	endpoints := g.snapshot.Load().Endpoints(f.service.Name)
 	engines := len(endpoints)
-	expected := g.policy.AddLongPrompt(f.started, f.service, engines, f.PromptTokens)
-	if expected.TooLate(f.route.Target) {
-		return f.refuseLateFirstToken(expected, backlogDrainFactor*(expected.FirstToken()-f.route.Target))
+	estimate := g.policy.AddLongPrompt(f.started, f.service, engines, f.PromptTokens)
+	if estimate.TooLate(f.route.Target) {
+		return f.refuseLateFirstToken(estimate, backlogDrainFactor*(estimate.FirstToken()-f.route.Target))
 	}
 	if plan := g.policy.Place(f.started, &f.placementRequest, endpoints); plan != nil && plan.Overloaded {
-		return f.refuseCapacity(plan) // known now: waiting would only delay the refusal
+		return f.refuseCapacity(plan) // known newEstimate: waiting would only delay the refusal
 	}
-	held := g.policy.Enqueue(f.service, f.PromptTokens)
-	room := f.waitForCapacity(ctx, held, f.started.Add(expected.LatestStart(f.route.Target)))
-	held.Dequeue()
+	queued := g.policy.Enqueue(f.service, f.PromptTokens)
+	hasCapacity := f.waitForCapacity(ctx, queued, f.started.Add(estimate.LatestStart(f.route.Target)))
+	queued.Dequeue()
 	if ctx.Err() != nil {
 		return f.contextError(ctx)
 	}
 	g.observeQueueWait(time.Since(f.started))
-	if !room {
-		now := g.policy.EstimateFirstToken(time.Now(), f.service, engines, f.PromptTokens)
-		return f.refuseLateFirstToken(now, now.Wait)
+	if !hasCapacity {
+		newEstimate := g.policy.EstimateFirstToken(time.Now(), f.service, engines, f.PromptTokens)
+		return f.refuseLateFirstToken(newEstimate, newEstimate.Wait)
 	}
-	f.log.Add("queue_left", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("waited_ms", time.Since(f.started)), zap.Int("waiting", g.longQueue.Waiting()))
+	f.log.Add("queue_left", zap.Duration("expected_ms", estimate.FirstToken()), zap.Duration("waited_ms", time.Since(f.started)), zap.Int("waiting", g.longQueue.Waiting()))
 	return nil
 }
 
 // waitForCapacity waits until the engines have room for the prompt. False: they have none when its first
 // token would begin to be late, or ctx has ended. Where the route names no target nothing is late,
 // and nothing is waited for.
-func (f *forwarding) waitForCapacity(ctx context.Context, held *direct.QueuedPrompt, latest time.Time) bool {
+func (f *forwarding) waitForCapacity(ctx context.Context, queued *direct.QueuedPrompt, latest time.Time) bool {
 	if f.route.Target == 0 {
 		return true
 	}
@@ -71,7 +71,7 @@
 		return false
 	}
 	defer g.longQueue.Release()
-	for !held.MayStart(time.Now(), g.snapshot.Load().Endpoints(f.service.Name)) {
+	for !queued.MayStart(time.Now(), g.snapshot.Load().Endpoints(f.service.Name)) {
 		if ctx.Err() != nil {
 			return false
 		}
@@ -82,7 +82,7 @@
 
 // refuseLateFirstToken ends a call whose first token is expected too late, or whose turn did not come in
 // time.
-func (f *forwarding) refuseLateFirstToken(expected direct.FirstTokenEstimate, comeBack time.Duration) *result.Error {
-	f.log.Add("queue_refused", zap.Duration("expected_ms", expected.FirstToken()), zap.Duration("wait_ms", expected.Wait), zap.Duration("limit_ms", f.route.Target), zap.Duration("waited_ms", time.Since(f.started)))
-	return result.Refuse(result.Overloaded, max(comeBack, minRetryAfter), "its first token is expected after %v", expected.FirstToken())
+func (f *forwarding) refuseLateFirstToken(estimate direct.FirstTokenEstimate, retryAfter time.Duration) *result.Error {
+	f.log.Add("queue_refused", zap.Duration("expected_ms", estimate.FirstToken()), zap.Duration("wait_ms", estimate.Wait), zap.Duration("limit_ms", f.route.Target), zap.Duration("waited_ms", time.Since(f.started)))
+	return result.Refuse(result.Overloaded, max(retryAfter, minRetryAfter), "its first token is expected after %v", estimate.FirstToken())
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -102,8 +102,8 @@
 
 // run relays one endpoint's stream to its end. prefilled is called with the first event,
 // which shows that the prompt has been read, and paused with the time between two events.
-func (s *streamRelay) run(r *endpointResponse, prefilled func(), paused func(gap time.Duration)) (attempt.SendOutcome, error) {
-	var last time.Time
+func (s *streamRelay) run(r *endpointResponse, onFirstEvent func(), onPause func(pause time.Duration)) (attempt.SendOutcome, error) {
+	var previous time.Time
 	reader := bufio.NewReaderSize(r.body, readBufferSize)
 	for {
 		event, id, err := readEvent(reader)
@@ -120,12 +120,12 @@
 		}
 		r.noteActivity()
 		now := time.Now()
-		if last.IsZero() {
-			prefilled()
+		if previous.IsZero() {
+			onFirstEvent()
 		} else {
-			paused(now.Sub(last))
+			onPause(now.Sub(previous))
 		}
-		last = now
+		previous = now
 		if s.headSent && !s.isNew(id) {
 			continue
 		}
@@ -164,8 +164,8 @@
 		s.writeHead(r)
 		s.firstByteAt = now
 	} else if s.eventsSent > 0 {
-		if gap := now.Sub(s.lastEventAt); gap > s.longestPause {
-			s.longestPause, s.longestPauseEnd = gap, now
+		if pause := now.Sub(s.lastEventAt); pause > s.longestPause {
+			s.longestPause, s.longestPauseEnd = pause, now
 		}
 	}
 	_ = s.controller.SetWriteDeadline(now.Add(callerWriteTimeout))
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -90,43 +90,43 @@
 // reserve sets memory aside at those of a plan's helpers that are to hold it; those that do
 // not have it still help. It fails, holding nothing, unless all of the prompt that the first
 // engine cannot hold has a place.
-func (g *Gateway) reserve(ctx context.Context, c *call, plan *direct.Plan, try int) (*reservationSet, error) {
+func (g *Gateway) reserve(ctx context.Context, c *call, plan *direct.Plan, attemptNumber int) (*reservationSet, error) {
 	r := &reservationSet{gateway: g}
 	results := make([]error, plan.ReservingHelpers)
-	tickets := make([]*heldReservation, plan.ReservingHelpers)
+	requested := make([]*heldReservation, plan.ReservingHelpers)
 	var wait sync.WaitGroup
 	for i, helper := range plan.Helpers[:plan.ReservingHelpers] {
-		tickets[i] = &heldReservation{Reservation: g.newReservation(c, helper, plan.HelperMemoryTokens, try)}
+		requested[i] = &heldReservation{Reservation: g.newReservation(c, helper, plan.HelperMemoryTokens, attemptNumber)}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			bounded, cancel := context.WithTimeout(ctx, reserveTimeout)
 			defer cancel()
-			results[i] = g.reserver.Reserve(bounded, tickets[i].Reservation, g.reservationTTL())
+			results[i] = g.reserver.Reserve(bounded, requested[i].Reservation, g.reservationTTL())
 		}()
 	}
 	wait.Wait()
-	free, refused := 0, 0
+	reservedTokens, refused := 0, 0
 	for i, err := range results {
 		switch {
 		case err == nil:
-			r.reservations = append(r.reservations, tickets[i])
-			r.helperRefs = append(r.helperRefs, tickets[i].Addr+"/"+tickets[i].ID)
-			free += tickets[i].Tokens
+			r.reservations = append(r.reservations, requested[i])
+			r.helperRefs = append(r.helperRefs, requested[i].Addr+"/"+requested[i].ID)
+			reservedTokens += requested[i].Tokens
 			continue
 		case errors.Is(err, ErrNoMemory):
 		default:
-			tickets[i].uncertain = true
-			r.reservations = append(r.reservations, tickets[i])
+			requested[i].uncertain = true
+			r.reservations = append(r.reservations, requested[i])
 		}
 		refused++
-		r.helperRefs = append(r.helperRefs, tickets[i].Addr)
+		r.helperRefs = append(r.helperRefs, requested[i].Addr)
 	}
 	for _, helper := range plan.Helpers[plan.ReservingHelpers:] {
 		r.helperRefs = append(r.helperRefs, helper.Addr)
 	}
-	c.log.Add("memory_reserved", zap.Int("helpers", plan.ReservingHelpers-refused), zap.Int("refused", refused), zap.Int("tokens", free), zap.Int("needed", plan.MemoryTokens-plan.EndpointMemoryTokens))
-	if free < plan.MemoryTokens-plan.EndpointMemoryTokens {
+	c.log.Add("memory_reserved", zap.Int("helpers", plan.ReservingHelpers-refused), zap.Int("refused", refused), zap.Int("tokens", reservedTokens), zap.Int("needed", plan.MemoryTokens-plan.EndpointMemoryTokens))
+	if reservedTokens < plan.MemoryTokens-plan.EndpointMemoryTokens {
 		r.release()
 		return nil, errors.Wrapf(ErrNoMemory, "%d of %d helpers", plan.ReservingHelpers-refused, plan.ReservingHelpers)
 	}
@@ -137,8 +137,8 @@
 	return r, nil
 }
 
-func (g *Gateway) newReservation(c *call, helper *directory.EndpointState, tokens, try int) Reservation {
-	id := c.ID + "-" + strconv.Itoa(try) + "-" + helper.ID
+func (g *Gateway) newReservation(c *call, helper *directory.EndpointState, tokens, attemptNumber int) Reservation {
+	id := c.ID + "-" + strconv.Itoa(attemptNumber) + "-" + helper.ID
 	return Reservation{ID: id, Endpoint: helper.Incarnation, Addr: helper.Addr, Tokens: tokens}
 }
 
@@ -212,16 +212,16 @@
 }
 
 func (r *reservationSet) releaseReservation(t *heldReservation) {
-	tries, pause := releaseAttempts, time.Duration(0)
+	attempts, interval := releaseAttempts, time.Duration(0)
 	if t.uncertain {
-		tries, pause = uncertainReleaseAttempts, uncertainReleaseInterval
+		attempts, interval = uncertainReleaseAttempts, uncertainReleaseInterval
 	}
 	var err error
-	for try := range tries {
-		if try > 0 {
-			time.Sleep(pause)
+	for i := range attempts {
+		if i > 0 {
+			time.Sleep(interval)
 		}
-		if try >= releaseAttempts && r.gateway.snapshot.Load().EndpointByID(t.Endpoint.ID) == nil {
+		if i >= releaseAttempts && r.gateway.snapshot.Load().EndpointByID(t.Endpoint.ID) == nil {
 			return // an engine that has gone took its memory along
 		}
 		if err = r.sendRelease(t); err == nil && !t.uncertain {
