--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -46,14 +46,14 @@
 		name, text string
 		want       int
 	}{
-		{"a length and an encoding", head("POST", "/once/a", "q1") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/b HTTP/1.1\r\nHost: x\r\n\r\n", http.StatusBadRequest},
-		{"two lengths", head("POST", "/once/a", "q2") + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello", http.StatusBadRequest},
-		{"an unknown encoding", head("POST", "/once/a", "q3") + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", http.StatusNotImplemented},
-		{"a space in a name", head("POST", "/once/a", "q4") + "Content-Length : 0\r\n\r\n", http.StatusBadRequest},
-		{"a bad chunk", head("POST", "/once/a", "q5") + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", http.StatusBadRequest},
-		{"no host", "GET /again/a HTTP/1.1\r\nX-Aspenyard-Attempt-Id: q6\r\n\r\n", http.StatusBadRequest},
-		{"no path", head("GET", "http://front.example/again/a", "q7") + "\r\n", http.StatusBadRequest},
-		{"no id", fmt.Sprintf("GET /again/a HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n\r\n", host, key), http.StatusBadRequest},
+		{"Content-Length and Transfer-Encoding", head("POST", "/once/a", "q1") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/b HTTP/1.1\r\nHost: x\r\n\r\n", http.StatusBadRequest},
+		{"two Content-Length headers", head("POST", "/once/a", "q2") + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello", http.StatusBadRequest},
+		{"unknown Transfer-Encoding", head("POST", "/once/a", "q3") + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n", http.StatusNotImplemented},
+		{"space in a header name", head("POST", "/once/a", "q4") + "Content-Length : 0\r\n\r\n", http.StatusBadRequest},
+		{"invalid chunk size", head("POST", "/once/a", "q5") + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", http.StatusBadRequest},
+		{"no Host header", "GET /again/a HTTP/1.1\r\nX-Aspenyard-Attempt-Id: q6\r\n\r\n", http.StatusBadRequest},
+		{"absolute URL as request target", head("GET", "http://front.example/again/a", "q7") + "\r\n", http.StatusBadRequest},
+		{"no request ID", fmt.Sprintf("GET /again/a HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n\r\n", host, key), http.StatusBadRequest},
 		{"not HTTP", "hello\r\n\r\n", http.StatusBadRequest},
 	}
 	for _, c := range cases {
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -34,9 +34,9 @@
 	// Reserve creates a reservation that expires after hold, counted from when the engine receives
 	// it. Repeating the call renews the reservation. It returns ErrNoMemory if the engine has too
 	// little memory; after any other error the reservation may exist.
-	Reserve(ctx context.Context, t Reservation, hold time.Duration) error
+	Reserve(ctx context.Context, r Reservation, hold time.Duration) error
 	// Release ends a reservation.
-	Release(ctx context.Context, t Reservation) error
+	Release(ctx context.Context, r Reservation) error
 }
 
 const (
