--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -7,6 +7,6 @@
 )
 
 // ReportPeerPrefill simulates a heartbeat in which another entry reports pending prefill.
-func (g *Gateway) ReportPeerPrefill(service string, reading time.Duration) {
-	g.ledger.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: reading}}, nil)
+func (g *Gateway) ReportPeerPrefill(service string, pending time.Duration) {
+	g.ledger.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: pending}}, nil)
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -131,23 +131,23 @@
 func (s *fixture) launch() {
 	s.t.Helper()
 	server := httptest.NewServer(s.store.Handler())
-	var own settings.Gateway
+	var nodeSettings settings.Gateway
 	text := fmt.Sprintf(`{"name":"g1","data_centre":"dc1","callers_listen":"127.0.0.1:0","readiness_listen":"127.0.0.1:0","metrics_listen":"127.0.0.1:0","store":%q,"drain_timeout":"5s","retry_allowance":3200%s}`, strings.TrimPrefix(server.URL, "http://"), s.extraSettings)
-	if err := settings.Decode([]byte(text), &own); err != nil {
+	if err := settings.Decode([]byte(text), &nodeSettings); err != nil {
 		s.t.Fatal(err)
 	}
 	writer := eventlog.NewWriter(s.log)
 	dial := gateway.Dialer(time.Second)
-	orders := platform.NewEndpointClient(dial)
-	store := platform.NewStore(own.Store, dial)
+	endpointClient := platform.NewEndpointClient(dial)
+	store := platform.NewStore(nodeSettings.Store, dial)
 	s.gateway = gateway.New(gateway.Config{
-		Settings: own, Dialect: platform.HeaderCodec{}, Source: store, Registry: store, Reserver: orders, SlowdownReader: orders,
-		Log: eventlog.New(writer, own.Name, "gateway"), LogWriter: writer,
+		Settings: nodeSettings, Dialect: platform.HeaderCodec{}, Source: store, Registry: store, Reserver: endpointClient, SlowdownReader: endpointClient,
+		Log: eventlog.New(writer, nodeSettings.Name, "gateway"), LogWriter: writer,
 		FirstConfigWait: s.firstWait,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		s.serveErr <- s.gateway.Serve(ctx, s.signals, func() (settings.Gateway, error) { return own, nil })
+		s.serveErr <- s.gateway.Serve(ctx, s.signals, func() (settings.Gateway, error) { return nodeSettings, nil })
 	}()
 	s.t.Cleanup(func() {
 		cancel()
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -31,10 +31,10 @@
 
 // Reserver creates and releases KV cache reservations at engines.
 type Reserver interface {
-	// Reserve creates a reservation that expires after hold, counted from when the engine receives
+	// Reserve creates a reservation that expires after ttl, counted from when the engine receives
 	// it. Repeating the call renews the reservation. It returns ErrNoMemory if the engine has too
 	// little memory; after any other error the reservation may exist.
-	Reserve(ctx context.Context, r Reservation, hold time.Duration) error
+	Reserve(ctx context.Context, r Reservation, ttl time.Duration) error
 	// Release ends a reservation.
 	Release(ctx context.Context, r Reservation) error
 }
@@ -134,10 +134,10 @@
 		r.release()
 		return nil, errors.Wrapf(ErrNoMemory, "%d of %d helpers", plan.ReservingHelpers-refused, plan.ReservingHelpers)
 	}
-	renewing, cancel := context.WithCancel(context.Background())
+	renewCtx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	r.renewing.Add(1)
-	go r.renew(renewing)
+	go r.renew(renewCtx)
 	return r, nil
 }
 
@@ -166,18 +166,18 @@
 		}
 		renewed = time.Now()
 		var wait sync.WaitGroup
-		for _, t := range r.reservations {
-			if !r.gateway.restarted(t.Endpoint) {
-				wait.Go(func() { r.renewReservation(t) })
+		for _, h := range r.reservations {
+			if !r.gateway.restarted(h.Endpoint) {
+				wait.Go(func() { r.renewReservation(h) })
 			}
 		}
 		wait.Wait()
 	}
 }
 
-// restarted reports whether another incarnation of an endpoint runs under the same ID. It does not
-// hold the reservations of the earlier one, and calls name only the ID: a renewal would reserve
-// memory there that no request uses.
+// restarted reports whether another incarnation of an endpoint runs under the same ID. The new
+// incarnation does not hold the reservations of the earlier one, and calls name only the ID: a
+// renewal would reserve memory there that no request uses.
 func (g *Gateway) restarted(incarnation directory.Incarnation) bool {
 	present := g.snapshot.Load().EndpointByID(incarnation.ID)
 	return present != nil && present.Incarnation != incarnation
@@ -185,15 +185,15 @@
 
 // renewReservation renews one reservation. It uses a context of its own, because a call that is
 // cancelled halfway when the request ends may be executed after the release.
-func (r *reservationSet) renewReservation(t *heldReservation) {
+func (r *reservationSet) renewReservation(h *heldReservation) {
 	bounded, cancel := context.WithTimeout(context.Background(), reserveTimeout)
 	defer cancel()
-	err := r.gateway.reserver.Reserve(bounded, t.Reservation, r.gateway.reservationTTL())
+	err := r.gateway.reserver.Reserve(bounded, h.Reservation, r.gateway.reservationTTL())
 	if err == nil {
 		return
 	}
-	t.uncertain = t.uncertain || !errors.Is(err, ErrNoMemory)
-	r.gateway.log.Warn("memory_not_renewed", zap.String("reservation", t.ID), eventlog.Error(err))
+	h.uncertain = h.uncertain || !errors.Is(err, ErrNoMemory)
+	r.gateway.log.Warn("memory_not_renewed", zap.String("reservation", h.ID), eventlog.Error(err))
 }
 
 // release releases all reservations in the background, however the attempt ended. It first waits
@@ -217,9 +217,9 @@
 
 // releaseReservation releases one reservation. An uncertain one is released repeatedly, because the
 // engine may create it after the first release.
-func (r *reservationSet) releaseReservation(t *heldReservation) {
+func (r *reservationSet) releaseReservation(h *heldReservation) {
 	attempts, interval := releaseAttempts, time.Duration(0)
-	if t.uncertain {
+	if h.uncertain {
 		attempts, interval = uncertainReleaseAttempts, uncertainReleaseInterval
 	}
 	var err error
@@ -227,23 +227,23 @@
 		if i > 0 {
 			time.Sleep(interval)
 		}
-		if i >= releaseAttempts && r.gateway.snapshot.Load().EndpointByID(t.Endpoint.ID) == nil {
+		if i >= releaseAttempts && r.gateway.snapshot.Load().EndpointByID(h.Endpoint.ID) == nil {
 			return // the engine is gone, and its memory with it
 		}
-		if err = r.sendRelease(t); err == nil && !t.uncertain {
+		if err = r.sendRelease(h); err == nil && !h.uncertain {
 			return
 		}
 	}
 	if err != nil {
-		r.gateway.log.Warn("memory_not_released", zap.String("reservation", t.ID), eventlog.Error(err))
+		r.gateway.log.Warn("memory_not_released", zap.String("reservation", h.ID), eventlog.Error(err))
 	}
 }
 
 // sendRelease sends one release. A reservation that the engine does not have counts as released.
-func (r *reservationSet) sendRelease(t *heldReservation) error {
+func (r *reservationSet) sendRelease(h *heldReservation) error {
 	ctx, cancel := context.WithTimeout(context.Background(), reserveTimeout)
 	defer cancel()
-	err := r.gateway.reserver.Release(ctx, t.Reservation)
+	err := r.gateway.reserver.Release(ctx, h.Reservation)
 	if errors.Is(err, ErrNoMemory) {
 		return nil
 	}
