--- /dev/null
+++ b/gateway/slowdown.go
@@ -0,0 +1,130 @@
+package gateway
+
+import (
+	"context"
+	"maps"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"aspenyard.example/directory"
+	"aspenyard.example/eventlog"
+	"aspenyard.example/routing/direct"
+)
+
+// SlowdownReader asks an endpoint for its slowdown: the time that its work takes, as a multiple of
+// the time given in its service's description.
+type SlowdownReader interface {
+	Slowdown(ctx context.Context, e *directory.EndpointState) (float64, error)
+}
+
+const (
+	// slowdownInterval is the minimum time between two queries to an endpoint, and the interval at
+	// which a slow endpoint is queried.
+	slowdownInterval = time.Second
+	// slowdownTimeout bounds one query; endpoints answer in milliseconds.
+	slowdownTimeout = 300 * time.Millisecond
+	// firstTokenLateFactor is the multiple of the expected time after which a missing first token
+	// makes the gateway query the engines. pauseLatePasses is the pause between events, in full
+	// passes of the engine, that makes it query an engine without pending prefill.
+	firstTokenLateFactor = 2
+	pauseLatePasses      = 2
+)
+
+// slowdownMonitor detects endpoints that have become slow. A prompt that is prefilled in parts
+// waits for the slowest of its engines, so one slow engine of twenty makes every such prompt late.
+// Endpoints are queried only after callers' requests show delays. The endpoint's own report
+// decides, and the other entries are told of it. Engines were detected 0.3 to 0.9 s after they had
+// become slow.
+type slowdownMonitor struct {
+	gateway *Gateway
+	mu      sync.Mutex
+	queries map[directory.Incarnation]*slowdownQuery
+}
+
+// slowdownQuery records when an endpoint was last queried. active is set while the endpoint is
+// polled: callers' requests go on to show delays meanwhile, and each would start another poll.
+type slowdownQuery struct {
+	lastQuery time.Time
+	active    bool
+}
+
+func newSlowdownMonitor(g *Gateway) *slowdownMonitor {
+	return &slowdownMonitor{gateway: g, queries: map[directory.Incarnation]*slowdownQuery{}}
+}
+
+// check starts to poll those of the endpoints that have not been queried recently.
+func (m *slowdownMonitor) check(endpoints ...*directory.EndpointState) {
+	if m.gateway.slowdownReader == nil {
+		return
+	}
+	now := time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, e := range endpoints {
+		last := m.queries[e.Incarnation]
+		if last != nil && (last.active || now.Sub(last.lastQuery) < slowdownInterval) {
+			continue
+		}
+		current := &slowdownQuery{lastQuery: now, active: true}
+		m.queries[e.Incarnation] = current
+		go func() {
+			m.poll(e)
+			m.mu.Lock()
+			defer m.mu.Unlock()
+			current.active, current.lastQuery = false, time.Now()
+		}()
+	}
+}
+
+// poll queries one endpoint, and repeats the query while the endpoint is slow.
+func (m *slowdownMonitor) poll(e *directory.EndpointState) {
+	g := m.gateway
+	for g.snapshot.Load().Endpoint(e.Incarnation) != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), slowdownTimeout)
+		slowdown, err := g.slowdownReader.Slowdown(ctx, e)
+		cancel()
+		if err != nil {
+			g.log.Warn("pace_unknown", zap.String("endpoint", e.ID), eventlog.Error(err))
+			return
+		}
+		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Incarnation, slowdown)
+		if changed {
+			g.peers.sendHeartbeat()
+			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", slowdown))
+		}
+		if !slow {
+			return
+		}
+		time.Sleep(slowdownInterval)
+	}
+}
+
+// prune drops endpoints that are no longer known.
+func (m *slowdownMonitor) prune(known func(incarnation directory.Incarnation) bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	maps.DeleteFunc(m.queries, func(incarnation directory.Incarnation, _ *slowdownQuery) bool { return !known(incarnation) })
+}
+
+// watchFirstToken queries the plan's engines if the first token is late. The returned function
+// ends the watch.
+func (f *forwarding) watchFirstToken(plan *direct.Plan) func() {
+	if f.service.Engine == nil {
+		return func() {}
+	}
+	engines := append([]*directory.EndpointState{plan.Endpoint}, plan.Helpers...)
+	timer := time.AfterFunc(firstTokenLateFactor*plan.ExpectedFirstToken, func() { f.gateway.paces.check(engines...) })
+	return func() { timer.Stop() }
+}
+
+// checkPause queries an engine whose stream has paused for long while it had nothing to prefill.
+func (f *forwarding) checkPause(plan *direct.Plan, pause time.Duration) {
+	if pause <= pauseLatePasses*direct.PassTime(f.service.Engine) {
+		return
+	}
+	if f.gateway.ledger.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
+		f.gateway.paces.check(plan.Endpoint)
+	}
+}
