--- a/entry/api.go
+++ b/entry/api.go
@@ -19,34 +19,34 @@
 // callersHandler serves the callers' interface.
 func (e *Entry) callersHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", e.counted(e.completions))
-	mux.HandleFunc("POST /v1/chat/completions", e.counted(e.chat))
-	mux.HandleFunc("POST /v1/services/{kind}", e.counted(e.service))
-	mux.HandleFunc("GET /v1/models", e.counted(e.models))
-	mux.HandleFunc("GET /v1/requests", e.counted(e.statusByKey))
-	mux.HandleFunc("GET /v1/requests/{id}", e.counted(e.statusByID))
+	mux.HandleFunc("POST /v1/completions", e.trackActive(e.completions))
+	mux.HandleFunc("POST /v1/chat/completions", e.trackActive(e.chat))
+	mux.HandleFunc("POST /v1/services/{kind}", e.trackActive(e.service))
+	mux.HandleFunc("GET /v1/models", e.trackActive(e.models))
+	mux.HandleFunc("GET /v1/requests", e.trackActive(e.statusByKey))
+	mux.HandleFunc("GET /v1/requests/{id}", e.trackActive(e.statusByID))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if err := e.ready(); err != nil {
+		if err := e.checkReady(); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
 	return mux
 }
 
-// counted counts the requests in progress, for a graceful shutdown.
-func (e *Entry) counted(next http.HandlerFunc) http.HandlerFunc {
+// trackActive counts the requests in progress, for a graceful shutdown.
+func (e *Entry) trackActive(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		e.active.Add(1)
-		defer e.active.Add(-1)
+		e.activeRequests.Add(1)
+		defer e.activeRequests.Add(-1)
 		next(w, r)
 	}
 }
 
-// completionBody is the body of a completion, in the shape that users of
+// completionRequest is the body of a completion, in the shape that users of
 // language-model APIs know. Fields that the system has no use for are accepted
 // and passed over, so that ordinary client libraries work unchanged.
-type completionBody struct {
+type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
 	Messages            []chatMessage   `json:"messages"`
@@ -62,11 +62,11 @@
 
 const (
 	defaultMaxTokens = 256
-	largestMaxTokens = 1_000_000
+	maxTokensLimit   = 1_000_000
 )
 
-// read decodes a caller's body within the limit.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
+// readBody decodes a caller's body within the limit.
+func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.settings.BodyLimit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -79,7 +79,7 @@
 }
 
 func (e *Entry) completions(w http.ResponseWriter, r *http.Request) {
-	e.complete(w, r, completionShape{}, func(body *completionBody) (string, *result.Error) {
+	e.serveCompletion(w, r, completionFormat{}, func(body *completionRequest) (string, *result.Error) {
 		var prompt string
 		if json.Unmarshal(body.Prompt, &prompt) != nil || prompt == "" {
 			return "", result.Refuse(result.BadField, 0, "prompt: a non-empty string")
@@ -89,7 +89,7 @@
 }
 
 func (e *Entry) chat(w http.ResponseWriter, r *http.Request) {
-	e.complete(w, r, chatShape{}, func(body *completionBody) (string, *result.Error) {
+	e.serveCompletion(w, r, chatFormat{}, func(body *completionRequest) (string, *result.Error) {
 		if len(body.Messages) == 0 {
 			return "", result.Refuse(result.BadField, 0, "messages: at least one")
 		}
@@ -105,14 +105,14 @@
 	})
 }
 
-// complete serves both kinds of completion.
-func (e *Entry) complete(w http.ResponseWriter, r *http.Request, shape shape, promptOf func(*completionBody) (string, *result.Error)) {
-	data, refusal := e.read(w, r)
-	var body completionBody
+// serveCompletion serves both kinds of completion.
+func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request, shape responseFormat, promptOf func(*completionRequest) (string, *result.Error)) {
+	data, refusal := e.readBody(w, r)
+	var body completionRequest
 	if refusal == nil && json.Unmarshal(data, &body) != nil {
 		refusal = result.Refuse(result.BadBody, 0, "the body is not the JSON of a completion")
 	}
-	c, opened := e.open(r, body.Model, result.UnknownModel)
+	c, opened := e.prepareCall(r, body.Model, result.UnknownModel)
 	if opened != nil && (refusal == nil || opened.Code == result.NoKey || opened.Code == result.WrongKey) {
 		refusal = opened
 	}
@@ -125,24 +125,24 @@
 	}
 	maxTokens := 0
 	if refusal == nil {
-		maxTokens, refusal = size(c, &body, prompt)
+		maxTokens, refusal = checkTokenCounts(c, &body, prompt)
 	}
 	if refusal == nil {
 		refusal = e.admit(c)
 	}
 	if refusal != nil {
-		e.refuse(w, c, refusal)
+		e.finishRefused(w, c, refusal)
 		return
 	}
 	defer e.limiter.Done(c.account.ID)
-	out := newResponse(w, c, shape, body.Stream)
-	failure := e.newGeneration(c, prompt, maxTokens, out).generate(r.Context())
-	e.ended(c, failure)
+	out := newResponseWriter(w, c, shape, body.Stream)
+	failure := e.newGeneration(c, prompt, maxTokens, out).run(r.Context())
+	e.finishCall(c, failure)
 	out.finish(failure)
 }
 
-// size checks the lengths that a request asks for.
-func size(c *call, body *completionBody, prompt string) (int, *result.Error) {
+// checkTokenCounts checks the lengths that a request asks for.
+func checkTokenCounts(c *call, body *completionRequest, prompt string) (int, *result.Error) {
 	maxTokens := defaultMaxTokens
 	if body.MaxTokens != nil {
 		maxTokens = *body.MaxTokens
@@ -150,8 +150,8 @@
 	if body.MaxCompletionTokens != nil {
 		maxTokens = *body.MaxCompletionTokens
 	}
-	if maxTokens < 1 || maxTokens > largestMaxTokens {
-		return 0, result.Refuse(result.BadField, 0, "max_tokens: %d; allowed: 1 to %d", maxTokens, largestMaxTokens)
+	if maxTokens < 1 || maxTokens > maxTokensLimit {
+		return 0, result.Refuse(result.BadField, 0, "max_tokens: %d; allowed: 1 to %d", maxTokens, maxTokensLimit)
 	}
 	work := c.kind.Work
 	if work.MaxOutputTokens > 0 && maxTokens > work.MaxOutputTokens {
@@ -166,23 +166,23 @@
 
 // service serves calls to plain services.
 func (e *Entry) service(w http.ResponseWriter, r *http.Request) {
-	c, body, refusal := e.openService(w, r)
+	c, body, refusal := e.prepareServiceCall(w, r)
 	if refusal == nil {
 		refusal = e.admit(c)
 	}
 	if refusal != nil {
-		e.refuse(w, c, refusal)
+		e.finishRefused(w, c, refusal)
 		return
 	}
 	defer e.limiter.Done(c.account.ID)
-	var answer reply
+	var answer serviceResponse
 	var failure *result.Error
 	if c.kind.Work.Repeatable {
 		answer, failure = e.callRepeatable(r.Context(), c, body)
 	} else {
-		answer, failure = e.newOnce(c, body).do(r.Context())
+		answer, failure = e.newNonRepeatableCall(c, body).run(r.Context())
 	}
-	e.ended(c, failure)
+	e.finishCall(c, failure)
 	if failure != nil {
 		writeError(w, c, failure)
 		return
@@ -197,14 +197,14 @@
 	_, _ = w.Write(answer.body)
 }
 
-// openService recognises the caller of a plain service and checks the request.
-func (e *Entry) openService(w http.ResponseWriter, r *http.Request) (*call, []byte, *result.Error) {
+// prepareServiceCall recognises the caller of a plain service and checks the request.
+func (e *Entry) prepareServiceCall(w http.ResponseWriter, r *http.Request) (*call, []byte, *result.Error) {
 	kind := r.PathValue("kind")
-	c, refusal := e.open(r, kind, result.UnknownKind)
+	c, refusal := e.prepareCall(r, kind, result.UnknownKind)
 	if refusal != nil {
 		return c, nil, refusal
 	}
-	body, refusal := e.read(w, r)
+	body, refusal := e.readBody(w, r)
 	switch {
 	case refusal != nil:
 		return c, nil, refusal
@@ -212,14 +212,14 @@
 		return c, nil, result.Refuse(result.UnknownKind, 0, "%q is a model's kind of work; use /v1/completions", kind)
 	case !json.Valid(body):
 		return c, nil, result.Refuse(result.BadBody, 0, "the body is not JSON")
-	case !c.kind.Work.Repeatable && c.key == "":
-		return c, nil, result.Refuse(result.KeyRequired, 0, "%q may not be repeated: send %s", kind, headerKey)
+	case !c.kind.Work.Repeatable && c.idempotencyKey == "":
+		return c, nil, result.Refuse(result.KeyRequired, 0, "%q may not be repeated: send %s", kind, headerIdempotencyKey)
 	}
 	return c, body, nil
 }
 
 func (e *Entry) models(w http.ResponseWriter, r *http.Request) {
-	c := &call{id: newID(), started: time.Now()}
+	c := &call{id: newID(), startedAt: time.Now()}
 	view := e.catalogue.View()
 	if _, refusal := authenticate(r, view); refusal != nil {
 		writeError(w, c, refusal)
@@ -250,7 +250,7 @@
 }
 
 func (e *Entry) statusByID(w http.ResponseWriter, r *http.Request) {
-	c := &call{id: newID(), started: time.Now()}
+	c := &call{id: newID(), startedAt: time.Now()}
 	account, refusal := authenticate(r, e.catalogue.View())
 	if refusal != nil {
 		writeError(w, c, refusal)
@@ -267,14 +267,14 @@
 
 // statusByKey tells what became of a request that may not be repeated.
 func (e *Entry) statusByKey(w http.ResponseWriter, r *http.Request) {
-	c := &call{id: newID(), started: time.Now(), key: r.URL.Query().Get("key")}
-	c.deadline = c.started.Add(e.settings.DefaultDeadline.D())
+	c := &call{id: newID(), startedAt: time.Now(), idempotencyKey: r.URL.Query().Get("key")}
+	c.deadline = c.startedAt.Add(e.settings.DefaultDeadline.D())
 	var refusal *result.Error
 	if c.account, refusal = authenticate(r, e.catalogue.View()); refusal != nil {
 		writeError(w, c, refusal)
 		return
 	}
-	o := &once{entry: e, call: c, key: attempt.ClaimKey(c.account.ID, c.key)}
+	o := &nonRepeatableCall{entry: e, call: c, claimKey: attempt.ClaimKey(c.account.ID, c.idempotencyKey)}
 	status, failure := o.status(r.Context())
 	if failure != nil {
 		writeError(w, c, failure)
@@ -285,8 +285,8 @@
 }
 
 // status reads a claim and, where it is open, asks its agent.
-func (o *once) status(ctx context.Context) (*requestStatus, *result.Error) {
-	claim, failure := o.read(ctx)
+func (o *nonRepeatableCall) status(ctx context.Context) (*requestStatus, *result.Error) {
+	claim, failure := o.readClaim(ctx)
 	if failure != nil {
 		return nil, failure
 	}
@@ -300,7 +300,7 @@
 	case attempt.ClaimNotRun:
 		status.Ran = result.RanNo
 	case attempt.ClaimClaimed:
-		_, failure, settled := o.settle(ctx, claim)
+		_, failure, settled := o.resolveClaim(ctx, claim)
 		switch {
 		case settled:
 			status.State, status.Ran = string(attempt.ClaimNotRun), result.RanNo
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -13,8 +13,8 @@
 	"aspenyard.example/settings"
 )
 
-// idleEntry is an entry whose loops do not run, with an empty catalogue.
-func idleEntry(tb testing.TB) *Entry {
+// newTestEntry is an entry whose loops do not run, with an empty catalogue.
+func newTestEntry(tb testing.TB) *Entry {
 	tb.Helper()
 	s := settings.Entry{
 		Node:          settings.Node{Name: "n1", DataCentre: "dc1", Listen: "127.0.0.1:1", OperatorsListen: "127.0.0.1:2", Platform: "127.0.0.1:3"},
@@ -37,7 +37,7 @@
 	f.Add("/v1/completions", `{"model":"line-plan","prompt":"tie","max_tokens":4}`, "a.b", "30s", "key")
 	f.Add("/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true}`, "", "-1s", "")
 	f.Add("/v1/services/excuse-filing", `{`, "a", "x", "k")
-	e := idleEntry(f)
+	e := newTestEntry(f)
 	handler := e.callersHandler()
 	f.Fuzz(func(t *testing.T, path, body, key, deadline, idempotency string) {
 		if !strings.HasPrefix(path, "/v1/") || strings.ContainsAny(path, " \t\r\n%?#\x00") {
@@ -49,7 +49,7 @@
 		}
 		request.Header.Set("Authorization", "Bearer "+key)
 		request.Header.Set(headerDeadline, deadline)
-		request.Header.Set(headerKey, idempotency)
+		request.Header.Set(headerIdempotencyKey, idempotency)
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
 		if recorder.Code == http.StatusNotFound || recorder.Code == http.StatusMethodNotAllowed || recorder.Code == http.StatusMovedPermanently || recorder.Code == http.StatusTemporaryRedirect {
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -29,12 +29,12 @@
 	}))
 	if err != nil {
 		if ctx.Err() == nil {
-			e.control.noteFailure(endpoint.Name)
+			e.control.avoidEndpoint(endpoint.Name)
 		}
 		return nil, result.Refuse(result.NoEndpoint, time.Second, "%s did not answer a reservation", endpoint.Name)
 	}
 	answer := response.Msg
-	e.control.answered(endpoint.Name, answer.Reservation.GetIncarnation(), answer.Load)
+	e.control.recordAgentLoad(endpoint.Name, answer.Reservation.GetIncarnation(), answer.Load)
 	if !answer.Accepted {
 		wait := time.Duration(answer.RetryAfterMs) * time.Millisecond
 		refusal := result.Refuse(result.Code(answer.Code), wait, "refused by %s", endpoint.Name)
@@ -44,31 +44,31 @@
 	return answer.Reservation, nil
 }
 
-// run is one order's stream, checked as it comes in.
-type run struct {
+// runStream is one order's stream, checked as it comes in.
+type runStream struct {
 	stream      *connect.ServerStreamForClient[wire.RunEvent]
 	reservation *wire.Reservation
-	// offset is the next token expected; first the one the order asked from.
-	offset, first uint64
-	digest        *xxhash.Digest
-	started       bool
+	// nextToken is the next token expected; firstToken the one the order asked from.
+	nextToken, firstToken uint64
+	digest                *xxhash.Digest
+	started               bool
 }
 
-// order sends the order for a reservation.
-func (e *Entry) order(ctx context.Context, addr string, request *wire.RunRequest) (*run, error) {
+// startRun sends the startRun for a reservation.
+func (e *Entry) startRun(ctx context.Context, addr string, request *wire.RunRequest) (*runStream, error) {
 	stream, err := e.clients.Agent(addr).Run(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, err
 	}
-	return &run{
+	return &runStream{
 		stream: stream, reservation: request.Reservation, digest: xxhash.New(),
-		offset: request.DeliveredTokens, first: request.DeliveredTokens,
+		nextToken: request.DeliveredTokens, firstToken: request.DeliveredTokens,
 	}, nil
 }
 
-// broken says that the stream ended without its end marker. Work that was seen
+// streamError says that the stream ended without its end marker. Work that was seen
 // to start did run; of other work nobody knows until the agent is asked.
-func (r *run) broken(why error) error {
+func (r *runStream) streamError(why error) error {
 	ran := result.RanUnknown
 	if r.started {
 		ran = result.RanYes
@@ -76,10 +76,10 @@
 	return result.Fail(result.EndpointFailed, ran, "the stream broke: %v", why)
 }
 
-// next returns the next event: a chunk, a held mark or the end. Each is checked
+// receive returns the receive event: a chunk, a held mark or the end. Each is checked
 // against what must come: a late or crossed answer, a lost or doubled token and
 // a cut stream all give an error and never reach the caller.
-func (r *run) next() (*wire.RunEvent, error) {
+func (r *runStream) receive() (*wire.RunEvent, error) {
 	for r.stream.Receive() {
 		event := r.stream.Msg()
 		switch body := event.Event.(type) {
@@ -90,33 +90,33 @@
 			r.started = true
 			continue
 		case *wire.RunEvent_Chunk:
-			if body.Chunk.Offset != r.offset {
-				return nil, result.Fail(result.EndpointFailed, result.RanYes, "token %d came in place of %d", body.Chunk.Offset, r.offset)
+			if body.Chunk.Offset != r.nextToken {
+				return nil, result.Fail(result.EndpointFailed, result.RanYes, "token %d came in place of %d", body.Chunk.Offset, r.nextToken)
 			}
-			r.offset += uint64(body.Chunk.Tokens)
+			r.nextToken += uint64(body.Chunk.Tokens)
 			_, _ = r.digest.WriteString(body.Chunk.Text)
 		case *wire.RunEvent_End:
-			return event, r.checkEnd(body.End)
+			return event, r.verifyEnd(body.End)
 		}
 		return event, nil
 	}
 	if err := r.stream.Err(); err != nil {
-		return nil, r.broken(err)
+		return nil, r.streamError(err)
 	}
-	return nil, r.broken(io.ErrUnexpectedEOF)
+	return nil, r.streamError(io.ErrUnexpectedEOF)
 }
 
-func (r *run) checkEnd(end *wire.End) error {
+func (r *runStream) verifyEnd(end *wire.End) error {
 	if end.Code != int32(result.OK) || end.ServiceStatus != 0 {
 		return nil
 	}
-	if end.Tokens != r.offset-r.first || (end.Tokens > 0 && end.Checksum != r.digest.Sum64()) {
+	if end.Tokens != r.nextToken-r.firstToken || (end.Tokens > 0 && end.Checksum != r.digest.Sum64()) {
 		return result.Fail(result.EndpointFailed, result.RanYes, "the answer does not match its count and checksum")
 	}
 	return nil
 }
 
-func (r *run) close() { _ = r.stream.Close() }
+func (r *runStream) close() { _ = r.stream.Close() }
 
 // endError turns a failed end into its error; nil for a good one.
 func endError(end *wire.End) *result.Error {
--- a/entry/call.go
+++ b/entry/call.go
@@ -17,12 +17,12 @@
 
 // Headers of the callers' interface.
 const (
-	headerDeadline   = "X-Request-Deadline"
-	headerRequestID  = "X-Request-Id"
-	headerResultCode = "X-Result-Code"
-	headerRan        = "X-Ran"
-	headerKey        = "Idempotency-Key"
-	headerFirst      = "X-First-Attempt"
+	headerDeadline       = "X-Request-Deadline"
+	headerRequestID      = "X-Request-Id"
+	headerResultCode     = "X-Result-Code"
+	headerRan            = "X-Ran"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerFirstAttempt   = "X-First-Attempt"
 )
 
 // call is one caller's request on its way through the entry.
@@ -30,14 +30,14 @@
 	id      string
 	account *catalogue.Record
 	kind    *catalogue.Record
-	// key is the caller's idempotency key, "" for none.
-	key string
-	// first is set when the caller vouches that the key was never used before.
-	first    bool
-	deadline time.Time
-	started  time.Time
-	// firstToken is when the first output token was passed on; zero: never.
-	firstToken   time.Time
+	// idempotencyKey is the caller's idempotency idempotencyKey, "" for none.
+	idempotencyKey string
+	// firstAttempt is set when the caller vouches that the key was never used before.
+	firstAttempt bool
+	deadline     time.Time
+	startedAt    time.Time
+	// firstTokenAt is when the first output token was passed on; zero: never.
+	firstTokenAt time.Time
 	promptTokens int
 	outputTokens int
 	attempts     uint32
@@ -53,11 +53,11 @@
 	return hex.EncodeToString(id[:])
 }
 
-const maxIdempotencyKey = 256
+const maxIdempotencyKeyLength = 256
 
-// open recognises the caller and the kind of work and fixes the deadline.
-func (e *Entry) open(r *http.Request, kind string, unknown result.Code) (*call, *result.Error) {
-	c := &call{id: newID(), started: time.Now(), key: r.Header.Get(headerKey), first: r.Header.Get(headerFirst) == "true"}
+// prepareCall recognises the caller and the kind of work and fixes the deadline.
+func (e *Entry) prepareCall(r *http.Request, kind string, unknown result.Code) (*call, *result.Error) {
+	c := &call{id: newID(), startedAt: time.Now(), idempotencyKey: r.Header.Get(headerIdempotencyKey), firstAttempt: r.Header.Get(headerFirstAttempt) == "true"}
 	if !e.catalogue.Ready() {
 		return c, result.Refuse(result.NotReady, time.Second, "this entry has no catalogue yet")
 	}
@@ -66,8 +66,8 @@
 	if c.account, refusal = authenticate(r, view); refusal != nil {
 		return c, refusal
 	}
-	if len(c.key) > maxIdempotencyKey {
-		return c, result.Refuse(result.BadField, 0, "%s: over %d characters", headerKey, maxIdempotencyKey)
+	if len(c.idempotencyKey) > maxIdempotencyKeyLength {
+		return c, result.Refuse(result.BadField, 0, "%s: over %d characters", headerIdempotencyKey, maxIdempotencyKeyLength)
 	}
 	c.kind = view.Get(catalogue.TypeWork, kind)
 	if c.kind == nil {
@@ -84,12 +84,12 @@
 		}
 		limit = asked
 	}
-	c.deadline = c.started.Add(limit)
+	c.deadline = c.startedAt.Add(limit)
 	return c, nil
 }
 
 func authenticate(r *http.Request, view *catalogue.View) (*catalogue.Record, *result.Error) {
-	key := bearer(r)
+	key := bearerKey(r)
 	if key == "" {
 		return nil, result.Refuse(result.NoKey, 0, "no Authorization header with a bearer key")
 	}
@@ -100,7 +100,7 @@
 	return account, nil
 }
 
-func bearer(r *http.Request) string {
+func bearerKey(r *http.Request) string {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
 		return ""
@@ -117,8 +117,8 @@
 	}, e.lending.share(c.account.ID), c.promptTokens+c.outputTokens)
 }
 
-// ended logs the call and counts it.
-func (e *Entry) ended(c *call, failure *result.Error) {
+// finishCall logs the call and counts it.
+func (e *Entry) finishCall(c *call, failure *result.Error) {
 	code, ran := result.OK, result.RanYes
 	if failure != nil {
 		code, ran = failure.Code, failure.Ran
@@ -132,18 +132,18 @@
 	}
 	fields := []zap.Field{
 		zap.String("request", c.id), zap.String("account", account), zap.String("kind", kind), zap.Int("code", int(code)),
-		zap.String("ran", string(ran)), zap.Uint32("attempts", c.attempts), zap.Duration("took", time.Since(c.started)),
+		zap.String("ran", string(ran)), zap.Uint32("attempts", c.attempts), zap.Duration("took", time.Since(c.startedAt)),
 		zap.Int("prompt_tokens", c.promptTokens),
 	}
 	if failure != nil {
 		fields = append(fields, zap.String("detail", failure.Detail))
 	}
 	e.log.Info("request ended", fields...)
-	e.measure(c, code)
-	e.recent.note(c, code, ran)
+	e.observeCall(c, code)
+	e.recent.add(c, code, ran)
 }
 
-// timeout gives a context that ends at the call's deadline.
-func (c *call) timeout(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline gives a context that ends at the call's deadline.
+func (c *call) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, c.deadline)
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -14,54 +14,54 @@
 	"aspenyard.example/wire"
 )
 
-// control is the entry's state on the control thread, and the snapshots that it
+// controlState is the entry's state on the controlState thread, and the snapshots that it
 // publishes for callers' threads.
-type control struct {
-	entry *Entry
-	loads map[string]reported
-	view  *membership.View
-	dirty bool
-	// failed holds endpoints that failed a request here, and until when they are
+type controlState struct {
+	entry            *Entry
+	loads            map[string]loadReport
+	view             *membership.View
+	endpointsChanged bool
+	// avoidUntil holds endpoints that avoidUntil a request here, and until when they are
 	// passed over.
-	failed map[string]time.Time
+	avoidUntil map[string]time.Time
 
-	endpoints atomic.Pointer[[]routing.Endpoint]
-	reader    atomic.Bool
-	entries   atomic.Int64 // live entries, this one included
+	endpoints     atomic.Pointer[[]routing.Endpoint]
+	isStoreReader atomic.Bool
+	entryCount    atomic.Int64 // live entries, this one included
 }
 
-// reported is the newest load known of an endpoint: from a heartbeat or from an
+// loadReport is the newest load known of an endpoint: from a heartbeat or from an
 // answer to a reservation.
-type reported struct {
+type loadReport struct {
 	incarnation uint64
 	takenMs     int64
 	load        *wire.Load
-	at          time.Time
+	receivedAt  time.Time
 }
 
-func newControl(e *Entry) *control {
-	c := &control{entry: e, loads: map[string]reported{}, failed: map[string]time.Time{}}
+func newControlState(e *Entry) *controlState {
+	c := &controlState{entry: e, loads: map[string]loadReport{}, avoidUntil: map[string]time.Time{}}
 	c.endpoints.Store(&[]routing.Endpoint{})
-	c.entries.Store(1)
+	c.entryCount.Store(1)
 	return c
 }
 
 // FillHeartbeat implements membership.Delegate.
-func (c *control) FillHeartbeat(_ time.Time, h *wire.Heartbeat) {
+func (c *controlState) FillHeartbeat(_ time.Time, h *wire.Heartbeat) {
 	h.OperatorsAddr = c.entry.settings.OperatorsListen
 	c.entry.catalogue.Fill(h)
 }
 
 // HandleHeartbeat implements membership.Delegate.
-func (c *control) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
+func (c *controlState) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	c.entry.catalogue.Heard(h)
 	if h.Role == membership.RoleAgent {
-		delete(c.failed, h.Node)
-		c.noteLoad(now, h.Node, h.Incarnation, h.Load)
+		delete(c.avoidUntil, h.Node)
+		c.recordLoad(now, h.Node, h.Incarnation, h.Load)
 	}
 }
 
-func (c *control) noteLoad(now time.Time, endpoint string, incarnation uint64, load *wire.Load) {
+func (c *controlState) recordLoad(now time.Time, endpoint string, incarnation uint64, load *wire.Load) {
 	if load == nil {
 		return
 	}
@@ -69,55 +69,55 @@
 	if incarnation < known.incarnation || (incarnation == known.incarnation && load.TakenMs < known.takenMs) {
 		return
 	}
-	c.loads[endpoint] = reported{incarnation: incarnation, takenMs: load.TakenMs, load: load, at: now}
-	c.dirty = true
+	c.loads[endpoint] = loadReport{incarnation: incarnation, takenMs: load.TakenMs, load: load, receivedAt: now}
+	c.endpointsChanged = true
 }
 
-// answered takes in the load that came with an answer of an agent; any thread.
-func (c *control) answered(endpoint string, incarnation uint64, load *wire.Load) {
-	c.entry.loop.Post(func() { c.noteLoad(time.Now(), endpoint, incarnation, load) })
+// recordAgentLoad takes in the load that came with an answer of an agent; any thread.
+func (c *controlState) recordAgentLoad(endpoint string, incarnation uint64, load *wire.Load) {
+	c.entry.loop.Post(func() { c.recordLoad(time.Now(), endpoint, incarnation, load) })
 }
 
-// failedFor is how long an endpoint that failed a request is passed over unless
+// avoidFailedFor is how long an endpoint that failed a request is passed over unless
 // it is heard of again. Heartbeats of a large fleet are seconds apart; requests
 // show a dead endpoint sooner.
-const failedFor = 2 * time.Second
+const avoidFailedFor = 2 * time.Second
 
-// noteFailure passes an endpoint over for a while; any thread.
-func (c *control) noteFailure(endpoint string) {
+// avoidEndpoint passes an endpoint over for a while; any thread.
+func (c *controlState) avoidEndpoint(endpoint string) {
 	c.entry.loop.Post(func() {
-		c.failed[endpoint] = time.Now().Add(failedFor)
-		c.dirty = true
+		c.avoidUntil[endpoint] = time.Now().Add(avoidFailedFor)
+		c.endpointsChanged = true
 	})
 }
 
 // Tick implements membership.Delegate.
-func (c *control) Tick(now time.Time, members *membership.View) {
-	for name, until := range c.failed {
+func (c *controlState) Tick(now time.Time, members *membership.View) {
+	for name, until := range c.avoidUntil {
 		if now.After(until) {
-			delete(c.failed, name)
-			c.dirty = true
+			delete(c.avoidUntil, name)
+			c.endpointsChanged = true
 		}
 	}
 	if members != c.view {
 		c.view = members
-		c.dirty = true
-		c.rankDuties(members)
-		c.entries.Store(int64(members.EntryCount() + 1))
+		c.endpointsChanged = true
+		c.updateStoreReader(members)
+		c.entryCount.Store(int64(members.EntryCount() + 1))
 	}
-	if c.dirty {
-		c.dirty = false
-		c.publish(members)
+	if c.endpointsChanged {
+		c.endpointsChanged = false
+		c.publishEndpoints(members)
 	}
 }
 
-func (c *control) publish(members *membership.View) {
+func (c *controlState) publishEndpoints(members *membership.View) {
 	endpoints := make([]routing.Endpoint, 0, len(members.Members))
 	for name, m := range members.Members {
 		if m.Role() != membership.RoleAgent || m.LastHeartbeat == nil {
 			continue
 		}
-		endpoints = append(endpoints, c.endpoint(name, m))
+		endpoints = append(endpoints, c.buildEndpoint(name, m))
 	}
 	for name := range c.loads {
 		if members.Members[name] == nil {
@@ -128,11 +128,11 @@
 	c.endpoints.Store(&endpoints)
 }
 
-func (c *control) endpoint(name string, m *membership.Member) routing.Endpoint {
+func (c *controlState) buildEndpoint(name string, m *membership.Member) routing.Endpoint {
 	h := m.LastHeartbeat
 	endpoint := routing.Endpoint{
 		Name: name, Addr: h.Addr, DataCentre: h.DataCentre, EngineAddr: h.EngineAddr, Incarnation: h.Incarnation,
-		Models: h.Models, Services: h.Services, Suspect: m.Suspect || !c.failed[name].IsZero(), Leaving: m.Leaving,
+		Models: h.Models, Services: h.Services, Suspect: m.Suspect || !c.avoidUntil[name].IsZero(), Leaving: m.Leaving,
 	}
 	known := c.loads[name]
 	if known.load == nil {
@@ -143,7 +143,7 @@
 	endpoint.MaxRunning = int(known.load.MaxRunning)
 	endpoint.Running, endpoint.Queued = int(known.load.Running), int(known.load.Queued)
 	endpoint.FreeMemory = int(known.load.FreeMemoryTokens)
-	endpoint.Reported = known.at
+	endpoint.Reported = known.receivedAt
 	for level, tokens := range known.load.BacklogTokens {
 		if level < admission.LevelCount {
 			endpoint.Backlog[level] = int(tokens)
@@ -152,51 +152,51 @@
 	return endpoint
 }
 
-// readersPerDataCentre is how many entries of a data centre watch the store: two,
+// storeReadersPerDataCentre is how many entries of a data centre watch the store: two,
 // so that one may be frozen without delaying an edit.
-const readersPerDataCentre = 2
+const storeReadersPerDataCentre = 2
 
-// rankDuties decides which duties this entry has by its rank among the live
+// updateStoreReader decides which duties this entry has by its rank among the live
 // entries. Two entries may both think so, or for a moment none; each duty is
 // safe with any number of holders.
-func (c *control) rankDuties(members *membership.View) {
+func (c *controlState) updateStoreReader(members *membership.View) {
 	s := c.entry.settings
-	c.reader.Store(rank("catalogue/"+s.DataCentre, s.Name, members.Entries(s.DataCentre)) < readersPerDataCentre)
+	c.isStoreReader.Store(rendezvousRank("catalogue/"+s.DataCentre, s.Name, members.Entries(s.DataCentre)) < storeReadersPerDataCentre)
 }
 
-// rank is this node's place, from 0, in the order that a rendezvous hash gives
+// rendezvousRank is this node's place, from 0, in the order that a rendezvous hash gives
 // to a duty's candidates. When one dies, only its own duties move.
-func rank(duty, self string, others []*membership.Member) int {
-	own := weight(duty, self)
+func rendezvousRank(duty, self string, others []*membership.Member) int {
+	own := rendezvousWeight(duty, self)
 	place := 0
 	for _, m := range others {
-		if w := weight(duty, m.Name()); w > own || (w == own && m.Name() < self) {
+		if w := rendezvousWeight(duty, m.Name()); w > own || (w == own && m.Name() < self) {
 			place++
 		}
 	}
 	return place
 }
 
-func weight(duty, name string) uint64 {
+func rendezvousWeight(duty, name string) uint64 {
 	return xxhash.Sum64String(duty + "\x00" + name)
 }
 
-// inFlight counts this entry's own requests by endpoint.
-type inFlight struct {
+// inFlightCounts counts this entry's own requests by endpoint.
+type inFlightCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func newInFlight() *inFlight { return &inFlight{counts: map[string]int{}} }
+func newInFlightCounts() *inFlightCounts { return &inFlightCounts{counts: map[string]int{}} }
 
 // Count implements routing.Outstanding.
-func (f *inFlight) Count(endpoint string) int {
+func (f *inFlightCounts) Count(endpoint string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts[endpoint]
 }
 
-func (f *inFlight) add(endpoint string, n int) {
+func (f *inFlightCounts) add(endpoint string, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[endpoint] += n
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,24 +38,24 @@
 	log       *zap.Logger
 	metrics   *metrics.Set
 	store     infra.Store
-	list      infra.VMList
+	vmList    infra.VMList
 	clients   *node.Clients
 	catalogue *node.Catalogue
 	loop      *membership.Loop
-	control   *control
+	control   *controlState
 	policy    *routing.Policy
 	limiter   *admission.Limiter
 	budgets   map[admission.Class]*admission.RetryBudget
-	inFlight  *inFlight
-	recent    *recent
+	inFlight  *inFlightCounts
+	recent    *recentRequests
 	// objectives counts good and bad events for the report on service-level burn.
-	objectives *window.Windows
-	keepers    *keeper
-	lending    *lending
-	// conns are those of callers.
-	conns    graceful.Conns
-	active   atomic.Int64
-	draining atomic.Bool
+	objectives       *window.Windows
+	powerCoordinator *powerCoordinator
+	lending          *limitLending
+	// callerConns are those of callers.
+	callerConns    graceful.Conns
+	activeRequests atomic.Int64
+	draining       atomic.Bool
 }
 
 // New makes an entry; Serve starts it.
@@ -63,9 +63,9 @@
 	client := consul.NewClient(s.Platform, s.StoreTimeout.D())
 	clients := node.NewClients()
 	e := &Entry{
-		settings: s, log: log, metrics: metrics.NewSet(), store: client, list: client,
+		settings: s, log: log, metrics: metrics.NewSet(), store: client, vmList: client,
 		clients: clients, catalogue: node.NewCatalogue(clients, log), limiter: admission.NewLimiter(),
-		budgets: map[admission.Class]*admission.RetryBudget{}, inFlight: newInFlight(), recent: newRecent(), objectives: window.New(),
+		budgets: map[admission.Class]*admission.RetryBudget{}, inFlight: newInFlightCounts(), recent: newRecentRequests(), objectives: window.New(),
 	}
 	for _, class := range []admission.Class{admission.Urgent, admission.Normal, admission.Bulk} {
 		e.budgets[class] = admission.NewRetryBudget()
@@ -75,15 +75,15 @@
 		return nil, err
 	}
 	e.policy = policy
-	e.control = newControl(e)
+	e.control = newControlState(e)
 	e.loop = membership.NewLoop(membership.Config{
 		Node: s.Name, Role: membership.RoleEntry, DataCentre: s.DataCentre, Listen: s.Listen, Advertise: s.Advertise,
 		Incarnation: uint64(time.Now().UnixMilli()), Interval: s.HeartbeatInterval.D(), SuspectAfter: s.SuspectAfter.D(),
 		Seeds: s.Seeds,
 	}, e.control)
 	e.catalogue.Attach(e.loop)
-	e.keepers = newKeeper(e)
-	e.lending = newLending(e)
+	e.powerCoordinator = newPowerCoordinator(e)
+	e.lending = newLimitLending(e)
 	return e, nil
 }
 
@@ -109,21 +109,21 @@
 		}
 		listeners = append(listeners, listener)
 	}
-	e.expose()
+	e.registerMetrics()
 	failures := make(chan error, 4)
 	go func() { failures <- e.loop.Run(ctx) }()
 	go func() { failures <- node.Serve(ctx, listeners[0], e.peerHandler()) }()
 	go func() { failures <- node.ServeHTTP(ctx, listeners[1], e.operatorsHandler()) }()
 	callers := e.callersServer()
 	go func() {
-		err := callers.Serve(e.conns.Listener(netutil.LimitListener(listeners[2], int(e.settings.ConnectionLimit))))
+		err := callers.Serve(e.callerConns.Listener(netutil.LimitListener(listeners[2], int(e.settings.ConnectionLimit))))
 		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			failures <- errors.Wrap(err, "serve callers")
 		}
 	}()
-	go e.loop.PollList(ctx, e.list, e.settings.ListInterval.D())
-	go e.followStore(ctx)
-	go e.keepers.run(ctx)
+	go e.loop.PollList(ctx, e.vmList, e.settings.ListInterval.D())
+	go e.watchStore(ctx)
+	go e.powerCoordinator.run(ctx)
 	go e.lending.run(ctx)
 	e.log.Info("entry serving", zap.String("callers", e.settings.CallersListen))
 	defer func() { _ = callers.Close() }()
@@ -140,7 +140,7 @@
 
 func (e *Entry) callersServer() *http.Server {
 	return &http.Server{
-		Handler: e.conns.Handler(e.callersHandler()), ConnState: e.conns.ConnState, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute,
+		Handler: e.callerConns.Handler(e.callersHandler()), ConnState: e.callerConns.ConnState, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute,
 		MaxHeaderBytes: 64 << 10,
 	}
 }
@@ -151,16 +151,16 @@
 	return mux
 }
 
-// balancerNotice is how long a draining entry still takes connections, so that
+// listenerCloseDelay is how long a draining entry still takes connections, so that
 // the balancer has seen its readiness before the port closes.
-const balancerNotice = time.Second
+const listenerCloseDelay = time.Second
 
 // drain ends gracefully.
 func (e *Entry) drain(callers net.Listener, signals <-chan os.Signal) {
-	e.log.Info("draining", zap.Int64("active", e.active.Load()), zap.Duration("at_most", e.settings.DrainTimeout.D()))
+	e.log.Info("draining", zap.Int64("active", e.activeRequests.Load()), zap.Duration("at_most", e.settings.DrainTimeout.D()))
 	e.draining.Store(true)
 	e.loop.Leave()
-	e.conns.DisableKeepAlives()
+	e.callerConns.DisableKeepAlives()
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout.D())
 	defer cancel()
 	go func() {
@@ -172,22 +172,22 @@
 		}
 	}()
 	select {
-	case <-time.After(balancerNotice):
+	case <-time.After(listenerCloseDelay):
 	case <-ctx.Done():
 	}
 	// Or callers who go on opening connections would keep the drain from ending.
 	if err := callers.Close(); err != nil {
 		e.log.Warn("callers' port not closed", zap.Error(err))
 	}
-	if err := e.conns.Drain(ctx, e.active.Load); err != nil {
-		e.log.Warn("stopped with requests unfinished", zap.Int64("active", e.active.Load()), zap.Error(err))
+	if err := e.callerConns.Drain(ctx, e.activeRequests.Load); err != nil {
+		e.log.Warn("stopped with requests unfinished", zap.Int64("active", e.activeRequests.Load()), zap.Error(err))
 		return
 	}
 	e.log.Info("drained")
 }
 
-// ready tells the balancer whether to send callers here.
-func (e *Entry) ready() error {
+// checkReady tells the balancer whether to send callers here.
+func (e *Entry) checkReady() error {
 	if e.draining.Load() {
 		return errors.New("draining")
 	}
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -13,17 +13,17 @@
 	"aspenyard.example/wire"
 )
 
-// sink takes a generation's output on its way to the caller.
-type sink interface {
-	// pass gives the caller the text of some tokens; an error means that the caller
+// tokenWriter takes a generation's output on its way to the caller.
+type tokenWriter interface {
+	// writeTokens gives the caller the text of some tokens; an error means that the caller
 	// is gone.
-	pass(text string, tokens int) error
+	writeTokens(text string, tokens int) error
 }
 
 const (
-	// noEndpointRetry is when to come back when no endpoint is there: about the
+	// noEndpointRetryAfter is when to come back when no endpoint is there: about the
 	// time in which a new one is heard of.
-	noEndpointRetry = 2 * time.Second
+	noEndpointRetryAfter = 2 * time.Second
 )
 
 // generation is one repeatable request to a model, through as many attempts as
@@ -33,19 +33,19 @@
 	call      *call
 	prompt    string
 	maxTokens int
-	sink      sink
+	output    tokenWriter
 	routing   routing.Request
 
-	delivered strings.Builder
-	tokens    uint64
-	ran       result.Ran
-	asking    routing.RetryState
-	refusal   *result.Error // the deferral, or the one with the shortest wait
+	delivered       strings.Builder
+	deliveredTokens uint64
+	ran             result.Ran
+	retryState      routing.RetryState
+	bestRefusal     *result.Error // the deferral, or the one with the shortest wait
 }
 
-func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, out sink) *generation {
+func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, out tokenWriter) *generation {
 	return &generation{
-		entry: e, call: c, prompt: prompt, maxTokens: maxTokens, sink: out, ran: result.RanNo,
+		entry: e, call: c, prompt: prompt, maxTokens: maxTokens, output: out, ran: result.RanNo,
 		routing: routing.Request{
 			Model: c.kind.Work.Model, Class: c.class(), PromptTokens: c.promptTokens, OutputTokens: maxTokens,
 			Prefix: routing.PrefixHashes(prompt, admission.BytesPerToken), DataCentre: e.settings.DataCentre, Tried: map[string]bool{},
@@ -53,9 +53,9 @@
 	}
 }
 
-// generate carries a request out within its deadline.
-func (g *generation) generate(ctx context.Context) *result.Error {
-	ctx, cancel := g.call.timeout(ctx)
+// run carries a request out within its deadline.
+func (g *generation) run(ctx context.Context) *result.Error {
+	ctx, cancel := g.call.withDeadline(ctx)
 	defer cancel()
 	for {
 		failure := g.attempt(ctx)
@@ -63,12 +63,12 @@
 			g.entry.budgets[g.call.class()].RecordSuccess()
 			return nil
 		}
-		g.ran = worse(g.ran, failure.Ran)
+		g.ran = combineRan(g.ran, failure.Ran)
 		if ctx.Err() != nil {
-			return g.timedOut(ctx)
+			return g.contextError(ctx)
 		}
-		if final := g.consider(failure); final != nil {
-			return g.giveUp(final)
+		if final := g.decideRetry(failure); final != nil {
+			return g.finalError(final)
 		}
 	}
 }
@@ -77,19 +77,19 @@
 func (g *generation) attempt(ctx context.Context) *result.Error {
 	g.call.attempts++
 	endpoints := *g.entry.control.endpoints.Load()
-	if endpoint := g.asking.Pick(time.Now(), g.entry.policy, &g.routing, g.key, endpoints); endpoint != nil {
-		return g.single(ctx, endpoint)
+	if endpoint := g.retryState.Pick(time.Now(), g.entry.policy, &g.routing, g.deferralKey, endpoints); endpoint != nil {
+		return g.runOnEndpoint(ctx, endpoint)
 	}
-	members, refusal := planSpan(&g.routing, endpoints)
+	members, refusal := planSplit(&g.routing, endpoints)
 	if refusal != nil {
 		return refusal
 	}
-	return g.span(ctx, members)
+	return g.runSplit(ctx, members)
 }
 
-// key is the same for every request of an account for the same work, so that a
+// deferralKey is the same for every request of an account for the same work, so that a
 // caller needs nothing but Retry-After to be known again.
-func (g *generation) key() uint64 {
+func (g *generation) deferralKey() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{g.call.account.ID, g.call.kind.ID, g.prompt} {
 		_, _ = digest.WriteString(part)
@@ -98,49 +98,49 @@
 	return digest.Sum64()
 }
 
-// consider decides whether a failed attempt is followed by another: nil for yes,
+// decideRetry decides whether a failed attempt is followed by another: nil for yes,
 // or the final error. Refusals are cheap and bounded by number; failures of
 // admitted work are bounded by the class's retry budget, so that a dead data
 // centre does not multiply the load on the others.
-func (g *generation) consider(failure *result.Error) *result.Error {
+func (g *generation) decideRetry(failure *result.Error) *result.Error {
 	if failure.Ran == result.RanNo {
-		return g.refused(failure)
+		return g.handleRefusal(failure)
 	}
 	if failure.Code == result.Cancelled || failure.Code == result.DeadlineExceeded {
 		return failure
 	}
 	if !g.entry.budgets[g.call.class()].Take() {
-		failure.Code, failure.RetryAfter = result.RetryBudget, noEndpointRetry
+		failure.Code, failure.RetryAfter = result.RetryBudget, noEndpointRetryAfter
 		return failure
 	}
 	return nil
 }
 
-// refused decides whether a refused request asks another endpoint: nil for yes.
-func (g *generation) refused(failure *result.Error) *result.Error {
-	if g.better(failure) {
-		g.refusal = failure
+// handleRefusal decides whether a handleRefusal request asks another endpoint: nil for yes.
+func (g *generation) handleRefusal(failure *result.Error) *result.Error {
+	if g.isMoreUseful(failure) {
+		g.bestRefusal = failure
 	}
 	if failure.Code == result.PromptTooLong || failure.Code == result.NoEndpoint && len(g.routing.Tried) == 0 {
 		return failure
 	}
-	if g.asking.RecordRefusal(&g.routing, *g.entry.control.endpoints.Load(), g.refusal.Code.Busy()) {
+	if g.retryState.RecordRefusal(&g.routing, *g.entry.control.endpoints.Load(), g.bestRefusal.Code.Busy()) {
 		return nil
 	}
-	return g.refusal
+	return g.bestRefusal
 }
 
-// better tells whether a refusal is of more use to the caller than the one kept.
-func (g *generation) better(failure *result.Error) bool {
-	if g.refusal == nil || failure.Deferral {
+// isMoreUseful tells whether a refusal is of more use to the caller than the one kept.
+func (g *generation) isMoreUseful(failure *result.Error) bool {
+	if g.bestRefusal == nil || failure.Deferral {
 		return true
 	}
-	return !g.refusal.Deferral && failure.RetryAfter < g.refusal.RetryAfter
+	return !g.bestRefusal.Deferral && failure.RetryAfter < g.bestRefusal.RetryAfter
 }
 
-// worse keeps what may be said of a run over several attempts: once one may have
+// combineRan keeps what may be said of a run over several attempts: once one may have
 // run, "no" is no longer true.
-func worse(a, b result.Ran) result.Ran {
+func combineRan(a, b result.Ran) result.Ran {
 	if a == result.RanYes || b == result.RanYes {
 		return result.RanYes
 	}
@@ -150,67 +150,67 @@
 	return result.RanNo
 }
 
-func (g *generation) timedOut(ctx context.Context) *result.Error {
+func (g *generation) contextError(ctx context.Context) *result.Error {
 	if ctx.Err() == context.Canceled {
 		return result.Fail(result.Cancelled, g.ran, "the caller went away")
 	}
 	return result.Fail(result.DeadlineExceeded, g.ran, "the deadline passed")
 }
 
-// giveUp makes the final error. A refusal's code says that nothing ran: it is not
+// finalError makes the final error. A refusal's code says that nothing ran: it is not
 // used for a request of which an earlier attempt may have.
-func (g *generation) giveUp(failure *result.Error) *result.Error {
+func (g *generation) finalError(failure *result.Error) *result.Error {
 	final := *failure
-	final.Ran = worse(g.ran, failure.Ran)
+	final.Ran = combineRan(g.ran, failure.Ran)
 	if final.Ran != result.RanNo && final.Code.Refusal() {
 		final.Code = result.EndpointFailed
 	}
 	return &final
 }
 
-// single runs the request on one endpoint.
-func (g *generation) single(ctx context.Context, endpoint *routing.Endpoint) *result.Error {
+// runOnEndpoint runs the request on one endpoint.
+func (g *generation) runOnEndpoint(ctx context.Context, endpoint *routing.Endpoint) *result.Error {
 	reservation, refusal := g.entry.reserve(ctx, g.call, endpoint, &g.routing)
 	if refusal != nil {
 		g.routing.Tried[endpoint.Name] = true
 		return refusal
 	}
-	failure := g.stream(ctx, endpoint, g.request(reservation))
+	failure := g.relayRun(ctx, endpoint, g.runRequest(reservation))
 	if failure != nil {
 		g.routing.Tried[endpoint.Name] = true
 	}
 	return failure
 }
 
-func (g *generation) request(reservation *wire.Reservation) *wire.RunRequest {
+func (g *generation) runRequest(reservation *wire.Reservation) *wire.RunRequest {
 	return &wire.RunRequest{
 		Reservation: reservation, RequestId: g.call.id, Attempt: g.call.attempts, Model: g.routing.Model,
 		RemainingMs: g.call.remaining().Milliseconds(), Prompt: g.prompt, MaxTokens: uint64(g.maxTokens),
-		Delivered: g.delivered.String(), DeliveredTokens: g.tokens,
+		Delivered: g.delivered.String(), DeliveredTokens: g.deliveredTokens,
 	}
 }
 
-// stream sends an order and passes its output on to the end.
-func (g *generation) stream(ctx context.Context, endpoint *routing.Endpoint, request *wire.RunRequest) *result.Error {
+// relayRun sends an order and passes its output on to the end.
+func (g *generation) relayRun(ctx context.Context, endpoint *routing.Endpoint, request *wire.RunRequest) *result.Error {
 	// Ending the context cancels the work at the agent, whatever the reason for
 	// which this attempt is over.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g.entry.inFlight.add(endpoint.Name, 1)
 	defer g.entry.inFlight.add(endpoint.Name, -1)
-	run, err := g.entry.order(ctx, endpoint.Addr, request)
+	run, err := g.entry.startRun(ctx, endpoint.Addr, request)
 	if err != nil {
-		return g.broken(endpoint, request.Reservation, err)
+		return g.resolveBrokenStream(endpoint, request.Reservation, err)
 	}
 	defer run.close()
 	for {
-		event, err := run.next()
+		event, err := run.receive()
 		if err != nil {
-			return g.broken(endpoint, request.Reservation, err)
+			return g.resolveBrokenStream(endpoint, request.Reservation, err)
 		}
 		switch body := event.Event.(type) {
 		case *wire.RunEvent_Chunk:
-			if err := g.pass(body.Chunk); err != nil {
+			if err := g.deliver(body.Chunk); err != nil {
 				return result.Fail(result.Cancelled, result.RanYes, "the caller went away")
 			}
 		case *wire.RunEvent_End:
@@ -219,21 +219,21 @@
 	}
 }
 
-func (g *generation) pass(chunk *wire.Chunk) error {
-	if g.tokens == 0 {
-		g.call.firstToken = time.Now()
+func (g *generation) deliver(chunk *wire.Chunk) error {
+	if g.deliveredTokens == 0 {
+		g.call.firstTokenAt = time.Now()
 	}
-	if err := g.sink.pass(chunk.Text, int(chunk.Tokens)); err != nil {
+	if err := g.output.writeTokens(chunk.Text, int(chunk.Tokens)); err != nil {
 		return err
 	}
 	g.delivered.WriteString(chunk.Text)
-	g.tokens += uint64(chunk.Tokens)
+	g.deliveredTokens += uint64(chunk.Tokens)
 	return nil
 }
 
-// broken says what is known after a stream broke. The agent is asked once: if
+// resolveBrokenStream says what is known after a stream broke. The agent is asked once: if
 // the order had not started, it never will, and its place is free.
-func (g *generation) broken(endpoint *routing.Endpoint, reservation *wire.Reservation, err error) *result.Error {
+func (g *generation) resolveBrokenStream(endpoint *routing.Endpoint, reservation *wire.Reservation, err error) *result.Error {
 	failure := result.FromError(err)
 	if failure.Code == result.Internal {
 		failure = result.Fail(result.EndpointFailed, result.RanUnknown, "%s: %v", endpoint.Name, err)
@@ -243,7 +243,7 @@
 	}
 	state, err := g.entry.withdraw(context.Background(), endpoint.Addr, reservation, false)
 	if err == nil && state.State == wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN {
-		return result.Refuse(result.NoEndpoint, noEndpointRetry, "%s lost the order before it started", endpoint.Name)
+		return result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the order before it started", endpoint.Name)
 	}
 	return failure
 }
--- a/entry/generate_test.go
+++ b/entry/generate_test.go
@@ -14,8 +14,8 @@
 
 var testTime = time.Unix(1_780_000_000, 0)
 
-// testGeneration is a request of 1,000 tokens before these endpoints.
-func testGeneration(t *testing.T, names ...string) *generation {
+// newTestGeneration is a request of 1,000 tokens before these endpoints.
+func newTestGeneration(t *testing.T, names ...string) *generation {
 	t.Helper()
 	policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
 	if err != nil {
@@ -25,7 +25,7 @@
 	for _, name := range names {
 		endpoints = append(endpoints, routing.Endpoint{Name: name, Models: []string{"m"}, MemoryTokens: 400_000, PrefillRate: 20_000})
 	}
-	e := &Entry{policy: policy, control: &control{}}
+	e := &Entry{policy: policy, control: &controlState{}}
 	e.control.endpoints.Store(&endpoints)
 	return &generation{
 		entry: e, call: &call{account: &catalogue.Record{ID: "crew"}, kind: &catalogue.Record{ID: "line-plan"}}, prompt: "text",
@@ -33,31 +33,31 @@
 	}
 }
 
-// next is the endpoint that an attempt would ask.
-func (g *generation) next() *routing.Endpoint {
-	return g.asking.Pick(testTime, g.entry.policy, &g.routing, g.key, *g.entry.control.endpoints.Load())
+// nextEndpoint is the endpoint that an attempt would ask.
+func (g *generation) nextEndpoint() *routing.Endpoint {
+	return g.retryState.Pick(testTime, g.entry.policy, &g.routing, g.deferralKey, *g.entry.control.endpoints.Load())
 }
 
 // refuseNext lets the endpoint whose turn it is refuse, and returns its name and the
 // final answer, nil for another turn.
 func (g *generation) refuseNext(wait time.Duration) (string, *result.Error) {
-	endpoint := g.next()
+	endpoint := g.nextEndpoint()
 	g.routing.Tried[endpoint.Name] = true
 	refusal := result.Refuse(result.Overloaded, wait, "full")
 	refusal.Deferral = g.routing.Key != 0
-	return endpoint.Name, g.refused(refusal)
+	return endpoint.Name, g.handleRefusal(refusal)
 }
 
-func TestTheHomeIsAskedLastAndItsWaitIsPassedOn(t *testing.T) {
+func TestHomeEndpointIsAskedLastAndItsRetryAfterIsReturned(t *testing.T) {
 	is := is.New(t)
-	g := testGeneration(t, "a", "b", "c", "d")
+	g := newTestGeneration(t, "a", "b", "c", "d")
 	for range routing.MaxAttempts - 1 {
 		_, final := g.refuseNext(time.Second)
 		is.True(final == nil)
 	}
 	home, final := g.refuseNext(time.Minute)
 	is.Equal(final.RetryAfter, time.Minute)
-	other := testGeneration(t, "d", "c", "b", "a")
+	other := newTestGeneration(t, "d", "c", "b", "a")
 	for range routing.MaxAttempts - 1 {
 		other.refuseNext(time.Second)
 	}
@@ -68,13 +68,13 @@
 // Symptom: an engine that has just failed a request gets it again until the retry
 // budget is gone. Sequence: all refuse, the home accepts and then fails. Cause: the
 // home was picked whatever had been tried.
-func TestTheHomeIsAskedOnce(t *testing.T) {
+func TestHomeEndpointIsAskedOnce(t *testing.T) {
 	is := is.New(t)
-	g := testGeneration(t, "a", "b")
+	g := newTestGeneration(t, "a", "b")
 	g.refuseNext(time.Second)
 	g.refuseNext(time.Second)
-	home := g.next()
+	home := g.nextEndpoint()
 	is.True(home != nil)
-	is.True(g.next() == nil) // both were tried
+	is.True(g.nextEndpoint() == nil) // both were tried
 	is.Equal(g.routing.Key, uint64(0))
 }
--- a/entry/keeper.go
+++ b/entry/keeper.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// keeperInterval is the time between looks at a site's power.
-	keeperInterval = 300 * time.Millisecond
-	grantTimeout   = time.Second
+	// powerInterval is the time between looks at a site's power.
+	powerInterval = 300 * time.Millisecond
+	grantTimeout  = time.Second
 )
 
-// keeper keeps the power ledgers of the sites for which this entry ranks first.
+// powerCoordinator keeps the power ledgers of the sites for which this entry ranks first.
 // Two keepers at once are harmless: the ledger is written by compare-and-swap,
 // and the agents refuse grants older than what they have.
-type keeper struct {
-	entry   *Entry
-	missing map[string]time.Time // endpoints in a ledger that nobody has heard of
-	mu      sync.Mutex
-	ledgers map[string]*power.Ledger // as last read, for operators
+type powerCoordinator struct {
+	entry         *Entry
+	unlistedSince map[string]time.Time // endpoints in a ledger that nobody has heard of
+	mu            sync.Mutex
+	ledgers       map[string]*power.Ledger // as last read, for operators
 }
 
-func newKeeper(e *Entry) *keeper {
-	return &keeper{entry: e, missing: map[string]time.Time{}, ledgers: map[string]*power.Ledger{}}
+func newPowerCoordinator(e *Entry) *powerCoordinator {
+	return &powerCoordinator{entry: e, unlistedSince: map[string]time.Time{}, ledgers: map[string]*power.Ledger{}}
 }
 
 func ledgerKey(site string) string { return "power/" + site }
 
-func (k *keeper) run(ctx context.Context) {
+func (k *powerCoordinator) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
 		failed := false
 		for _, site := range k.entry.catalogue.View().List(catalogue.TypeSite) {
-			if k.hasDuty(site) && !k.keep(ctx, site) {
+			if k.isCoordinator(site) && !k.updateSite(ctx, site) {
 				failed = true
 			}
 		}
@@ -51,12 +51,12 @@
 		} else {
 			failures = 0
 		}
-		pause := keeperInterval << failures
+		pause := powerInterval << failures
 		membership.Sleep(ctx, pause/2+rand.N(pause))
 	}
 }
 
-func (k *keeper) hasDuty(site *catalogue.Record) bool {
+func (k *powerCoordinator) isCoordinator(site *catalogue.Record) bool {
 	members := k.entry.loop.View()
 	mine := false
 	var others []*membership.Member
@@ -64,12 +64,12 @@
 		mine = mine || dataCentre == k.entry.settings.DataCentre
 		others = append(others, members.Entries(dataCentre)...)
 	}
-	return mine && !k.entry.draining.Load() && rank(ledgerKey(site.ID), k.entry.settings.Name, others) == 0
+	return mine && !k.entry.draining.Load() && rendezvousRank(ledgerKey(site.ID), k.entry.settings.Name, others) == 0
 }
 
-// keep does one round for a site; false when the store could not be used, which
+// updateSite does one round for a site; false when the store could not be used, which
 // leaves all grants as they are.
-func (k *keeper) keep(ctx context.Context, site *catalogue.Record) bool {
+func (k *powerCoordinator) updateSite(ctx context.Context, site *catalogue.Record) bool {
 	value, err := k.entry.store.Get(ctx, ledgerKey(site.ID))
 	if err != nil {
 		return false
@@ -79,7 +79,7 @@
 		k.entry.log.Error("the store holds a power ledger that cannot be read", zap.String("site", site.ID), zap.Error(err))
 		return false
 	}
-	reports := k.reports(site, current)
+	reports := k.siteReports(site, current)
 	if next := power.Plan(current, site.Site.PowerCapWatts, reports); next != nil {
 		data, err := next.Encode()
 		if err != nil {
@@ -95,13 +95,13 @@
 	k.mu.Lock()
 	k.ledgers[site.ID] = current
 	k.mu.Unlock()
-	k.send(ctx, current, reports)
+	k.sendGrants(ctx, current, reports)
 	return true
 }
 
-// reports gathers what the agents of a site last said, and marks what is silent
+// siteReports gathers what the agents of a site last said, and marks what is silent
 // or gone.
-func (k *keeper) reports(site *catalogue.Record, ledger *power.Ledger) []power.Report {
+func (k *powerCoordinator) siteReports(site *catalogue.Record, ledger *power.Ledger) []power.Report {
 	now := time.Now()
 	members := k.entry.loop.View()
 	inSite := map[string]bool{}
@@ -118,36 +118,36 @@
 		p := m.LastHeartbeat.Power
 		reports = append(reports, power.Report{
 			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, Floor: p.FloorWatts, Max: p.MaxWatts, Want: p.WantWatts,
-			Limit: p.LimitWatts, Revision: p.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && k.gone(now, name, members),
+			Limit: p.LimitWatts, Revision: p.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && k.isGone(now, name, members),
 		})
 	}
 	for name := range ledger.Grants {
 		if !known[name] {
-			reports = append(reports, power.Report{Endpoint: name, Silent: true, Gone: k.gone(now, name, members)})
+			reports = append(reports, power.Report{Endpoint: name, Silent: true, Gone: k.isGone(now, name, members)})
 		}
 	}
 	return reports
 }
 
-// gone tells whether a VM has been off the platform's list, as read by this
+// isGone tells whether a VM has been off the platform's list, as read by this
 // entry, for longer than the list's lag. Before that, a silent endpoint may
 // still draw its watts.
-func (k *keeper) gone(now time.Time, name string, members *membership.View) bool {
+func (k *powerCoordinator) isGone(now time.Time, name string, members *membership.View) bool {
 	m := members.Members[name]
 	if members.ListReadAt.IsZero() || (m != nil && m.Listed) {
-		delete(k.missing, name)
+		delete(k.unlistedSince, name)
 		return false
 	}
-	since, found := k.missing[name]
+	since, found := k.unlistedSince[name]
 	if !found {
-		k.missing[name] = members.ListReadAt
+		k.unlistedSince[name] = members.ListReadAt
 		return false
 	}
 	return members.ListReadAt.Sub(since) > k.entry.settings.ListLag.D()
 }
 
-// send tells the agents of grants that they do not have yet.
-func (k *keeper) send(ctx context.Context, ledger *power.Ledger, reports []power.Report) {
+// sendGrants tells the agents of grants that they do not have yet.
+func (k *powerCoordinator) sendGrants(ctx context.Context, ledger *power.Ledger, reports []power.Report) {
 	members := k.entry.loop.View()
 	var sending sync.WaitGroup
 	for _, report := range reports {
@@ -156,12 +156,12 @@
 		if grant == nil || m == nil || report.Silent || grant.Incarnation != report.Incarnation || report.Revision >= grant.Revision {
 			continue
 		}
-		sending.Go(func() { k.sendOne(ctx, m.Addr(), report.Endpoint, grant) })
+		sending.Go(func() { k.sendGrant(ctx, m.Addr(), report.Endpoint, grant) })
 	}
 	sending.Wait()
 }
 
-func (k *keeper) sendOne(ctx context.Context, addr, endpoint string, grant *power.Grant) {
+func (k *powerCoordinator) sendGrant(ctx context.Context, addr, endpoint string, grant *power.Grant) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	request := &wire.GrantRequest{Endpoint: endpoint, Incarnation: grant.Incarnation, Revision: grant.Revision, Watts: grant.Watts}
@@ -171,7 +171,7 @@
 }
 
 // ledger gives a site's ledger as this entry last had it, or nil.
-func (k *keeper) ledger(site string) *power.Ledger {
+func (k *powerCoordinator) ledger(site string) *power.Ledger {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ledgers[site]
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -17,35 +17,35 @@
 const (
 	// borrowTimeout bounds a question to a home; it ends before the next is due.
 	borrowTimeout = 400 * time.Millisecond
-	// idleAccount is how long an account's use is remembered.
-	idleAccount = time.Minute
-	permille    = 1000
+	// accountUsageTTL is how long an account's use is remembered.
+	accountUsageTTL = time.Minute
+	permille        = 1000
 )
 
-// lending is both sides of the lending of client accounts' limits: this entry
+// limitLending is both sides of the limitLending of client accounts' limits: this entry
 // lends as the home of some accounts and borrows for those whose traffic it has.
-type lending struct {
+type limitLending struct {
 	entry *Entry
 	mu    sync.Mutex
 	// lender and shares are guarded by mu: lend runs on RPC threads, share on
 	// callers' threads.
-	lender *admission.Lender
-	shares *admission.Borrower
+	lender   *admission.Lender
+	borrower *admission.Borrower
 }
 
-func newLending(e *Entry) *lending {
-	return &lending{entry: e, lender: admission.NewLender(time.Now()), shares: admission.NewBorrower()}
+func newLimitLending(e *Entry) *limitLending {
+	return &limitLending{entry: e, lender: admission.NewLender(time.Now()), borrower: admission.NewBorrower()}
 }
 
 // share is this entry's part of an account's limits, 0 to 1.
-func (l *lending) share(account string) float64 {
+func (l *limitLending) share(account string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.shares.Share(time.Now(), account, int(l.entry.control.entries.Load()))
+	return l.borrower.Share(time.Now(), account, int(l.entry.control.entryCount.Load()))
 }
 
 // lend answers another entry, or this one, that asks this one as a home.
-func (l *lending) lend(request *wire.BorrowRequest) *wire.BorrowResponse {
+func (l *limitLending) lend(request *wire.BorrowRequest) *wire.BorrowResponse {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // run borrows until ctx ends.
-func (l *lending) run(ctx context.Context) {
+func (l *limitLending) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		membership.Sleep(ctx, admission.BorrowInterval)
 		l.borrow(ctx)
@@ -66,20 +66,20 @@
 }
 
 // borrow asks the home of each limited account with traffic here for a share.
-func (l *lending) borrow(ctx context.Context) {
+func (l *limitLending) borrow(ctx context.Context) {
 	now := time.Now()
 	l.mu.Lock()
 	l.lender.Sweep(now)
 	l.mu.Unlock()
-	homes := l.homes()
+	homes := l.homeCandidates()
 	requests := map[string]*wire.BorrowRequest{}
 	view := l.entry.catalogue.View()
-	for account, arrived := range l.entry.limiter.TakeDemand(now, idleAccount) {
+	for account, arrived := range l.entry.limiter.TakeDemand(now, accountUsageTTL) {
 		record := view.Get(catalogue.TypeAccount, account)
 		if record == nil || record.Account.Limits == (catalogue.Limits{}) {
 			continue
 		}
-		home := homeOf(account, l.entry.settings.Name, homes)
+		home := homeEntry(account, l.entry.settings.Name, homes)
 		if requests[home] == nil {
 			requests[home] = &wire.BorrowRequest{Entry: l.entry.settings.Name}
 		}
@@ -87,12 +87,12 @@
 		requests[home].Accounts = append(requests[home].Accounts, &wire.AccountShare{Account: account, Demand: demand})
 	}
 	for home, request := range requests {
-		go l.ask(ctx, now, homes[home], request)
+		go l.borrowFrom(ctx, now, homes[home], request)
 	}
 }
 
-// homes lists the entries that may be homes, by name; this one has no address.
-func (l *lending) homes() map[string]string {
+// homeCandidates lists the entries that may be homeCandidates, by name; this one has no address.
+func (l *limitLending) homeCandidates() map[string]string {
 	homes := map[string]string{l.entry.settings.Name: ""}
 	for name, m := range l.entry.loop.View().Members {
 		if m.Role() == membership.RoleEntry && m.Alive() {
@@ -102,19 +102,19 @@
 	return homes
 }
 
-func homeOf(account, self string, homes map[string]string) string {
-	home, best := self, weight("limits/"+account, self)
+func homeEntry(account, self string, homes map[string]string) string {
+	home, best := self, rendezvousWeight("limits/"+account, self)
 	for name := range homes {
-		if w := weight("limits/"+account, name); w > best || (w == best && name < home) {
+		if w := rendezvousWeight("limits/"+account, name); w > best || (w == best && name < home) {
 			home, best = name, w
 		}
 	}
 	return home
 }
 
-// ask borrows from one home. Without an answer the shares lent before run out, and
+// borrowFrom borrows from one home. Without an answer the shares lent before run out, and
 // the entry is left with its own part.
-func (l *lending) ask(ctx context.Context, asked time.Time, addr string, request *wire.BorrowRequest) {
+func (l *limitLending) borrowFrom(ctx context.Context, asked time.Time, addr string, request *wire.BorrowRequest) {
 	var response *wire.BorrowResponse
 	if addr == "" {
 		response = l.lend(request)
@@ -131,6 +131,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, lent := range response.Accounts {
-		l.shares.SetLoan(asked, lent.Account, float64(lent.Permille)/permille)
+		l.borrower.SetLoan(asked, lent.Account, float64(lent.Permille)/permille)
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -12,9 +12,9 @@
 // bandNames name the prompt-length bands in metrics and reports.
 var bandNames = []string{"up_to_4k", "up_to_16k", "up_to_100k", "above_100k"}
 
-func (e *Entry) expose() {
+func (e *Entry) registerMetrics() {
 	node.LoopMetrics(e.metrics, e.loop)
-	e.metrics.NewGauge("aspenyard_entry_active_requests", func() float64 { return float64(e.active.Load()) })
+	e.metrics.NewGauge("aspenyard_entry_active_requests", func() float64 { return float64(e.activeRequests.Load()) })
 	e.metrics.NewGauge("aspenyard_entry_draining", func() float64 {
 		if e.draining.Load() {
 			return 1
@@ -34,33 +34,33 @@
 	}
 }
 
-// measure counts an ended call, and for a kind of work with an objective whether
+// observeCall counts an ended call, and for a kind of work with an objective whether
 // it was good.
-func (e *Entry) measure(c *call, code result.Code) {
+func (e *Entry) observeCall(c *call, code result.Code) {
 	e.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_entry_requests_total{code="%d"}`, code)).Inc()
 	if c.kind == nil {
 		return
 	}
 	labels := fmt.Sprintf(`kind=%q,class=%q,band=%q`, c.kind.ID, c.kind.Work.Class, bandNames[admission.Band(c.promptTokens)])
-	if !c.firstToken.IsZero() {
-		e.metrics.GetOrCreatePrometheusHistogramExt("aspenyard_entry_first_token_seconds{"+labels+"}", firstTokenBuckets).Update(c.firstToken.Sub(c.started).Seconds())
+	if !c.firstTokenAt.IsZero() {
+		e.metrics.GetOrCreatePrometheusHistogramExt("aspenyard_entry_first_token_seconds{"+labels+"}", firstTokenBuckets).Update(c.firstTokenAt.Sub(c.startedAt).Seconds())
 	}
 	objective := c.kind.Work.Objective
-	if objective == nil || code != result.OK && code < firstSystemCode || code == result.Cancelled {
+	if objective == nil || code != result.OK && code < minSystemFaultCode || code == result.Cancelled {
 		return
 	}
-	e.objectives.Register(e.metrics, "aspenyard_entry_objective_events", labels, code == result.OK && c.good(objective.FirstToken.D()))
+	e.objectives.Register(e.metrics, "aspenyard_entry_objective_events", labels, code == result.OK && c.metTarget(objective.FirstToken.D()))
 }
 
-// firstSystemCode is the lowest code that is not the caller's own fault.
-const firstSystemCode = result.RateLimited
+// minSystemFaultCode is the lowest code that is not the caller's own fault.
+const minSystemFaultCode = result.RateLimited
 
-// good tells whether the first token, or a service's whole answer, came in time.
-func (c *call) good(limit time.Duration) bool {
-	if c.firstToken.IsZero() {
-		return time.Since(c.started) <= limit
+// metTarget tells whether the first token, or a service's whole answer, came in time.
+func (c *call) metTarget(limit time.Duration) bool {
+	if c.firstTokenAt.IsZero() {
+		return time.Since(c.startedAt) <= limit
 	}
-	return c.firstToken.Sub(c.started) <= limit
+	return c.firstTokenAt.Sub(c.startedAt) <= limit
 }
 
 // firstTokenBuckets bound the histogram of times to first token, in seconds. They
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -23,25 +23,25 @@
 
 // operatorsHandler serves operators' work, metrics and health.
 func (e *Entry) operatorsHandler() http.Handler {
-	mux := node.OperatorsMux(e.metrics, e.ready)
-	mux.HandleFunc("GET /v1/status", e.operator(e.status))
-	mux.HandleFunc("GET /v1/catalogue/{type}", e.operator(e.listRecords))
-	mux.HandleFunc("GET /v1/catalogue/{type}/{id}", e.operator(e.getRecord))
-	mux.HandleFunc("GET /v1/catalogue/{type}/{id}/history", e.operator(e.getHistory))
-	mux.HandleFunc("GET /v1/catalogue/{type}/{id}/spread", e.operator(e.getSpread))
-	mux.HandleFunc("PUT /v1/catalogue/{type}/{id}", e.operator(e.putRecord))
-	mux.HandleFunc("DELETE /v1/catalogue/{type}/{id}", e.operator(e.deleteRecord))
+	mux := node.OperatorsMux(e.metrics, e.checkReady)
+	mux.HandleFunc("GET /v1/status", e.requireOperator(e.getStatus))
+	mux.HandleFunc("GET /v1/catalogue/{type}", e.requireOperator(e.listRecords))
+	mux.HandleFunc("GET /v1/catalogue/{type}/{id}", e.requireOperator(e.getRecord))
+	mux.HandleFunc("GET /v1/catalogue/{type}/{id}/history", e.requireOperator(e.getHistory))
+	mux.HandleFunc("GET /v1/catalogue/{type}/{id}/spread", e.requireOperator(e.getSpread))
+	mux.HandleFunc("PUT /v1/catalogue/{type}/{id}", e.requireOperator(e.putRecord))
+	mux.HandleFunc("DELETE /v1/catalogue/{type}/{id}", e.requireOperator(e.deleteRecord))
 	return mux
 }
 
 type operatorHandler func(w http.ResponseWriter, r *http.Request, c *call, operator string)
 
-// operator admits operators only. While the catalogue names none, the bootstrap
+// requireOperator admits operators only. While the catalogue names none, the bootstrap
 // key of the settings counts.
-func (e *Entry) operator(next operatorHandler) http.HandlerFunc {
+func (e *Entry) requireOperator(next operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		c := &call{id: newID(), started: time.Now()}
-		key := bearer(r)
+		c := &call{id: newID(), startedAt: time.Now()}
+		key := bearerKey(r)
 		view := e.catalogue.View()
 		if key == "" {
 			writeError(w, c, result.Refuse(result.NoKey, 0, "no Authorization header with a bearer key"))
@@ -78,14 +78,14 @@
 func (e *Entry) getHistory(w http.ResponseWriter, r *http.Request, c *call, _ string) {
 	records, err := catalogue.History(r.Context(), e.store, catalogue.Type(r.PathValue("type")), r.PathValue("id"))
 	if err != nil {
-		writeError(w, c, result.Refuse(result.StoreUnavailable, storeRetry, "the history cannot be read"))
+		writeError(w, c, result.Refuse(result.StoreUnavailable, storeRetryAfter, "the history cannot be read"))
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"records": records})
 }
 
 func (e *Entry) putRecord(w http.ResponseWriter, r *http.Request, c *call, operator string) {
-	data, refusal := e.read(w, r)
+	data, refusal := e.readBody(w, r)
 	if refusal != nil {
 		writeError(w, c, refusal)
 		return
@@ -99,7 +99,7 @@
 		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "type and id differ from the path's"))
 		return
 	}
-	e.edit(w, r, c, operator, record)
+	e.applyEdit(w, r, c, operator, record)
 }
 
 func (e *Entry) deleteRecord(w http.ResponseWriter, r *http.Request, c *call, operator string) {
@@ -108,18 +108,18 @@
 		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "%v", settings.FieldErrors(faults)))
 		return
 	}
-	e.edit(w, r, c, operator, record)
+	e.applyEdit(w, r, c, operator, record)
 }
 
-// editAnswer tells of an edit: the record in force and, after a lost race, that
+// editResponse tells of an edit: the record in force and, after a lost race, that
 // it is another's.
-type editAnswer struct {
+type editResponse struct {
 	Record   *catalogue.Record `json:"record"`
 	Conflict bool              `json:"conflict,omitempty"`
 	Error    *errorDetail      `json:"error,omitempty"`
 }
 
-func (e *Entry) edit(w http.ResponseWriter, r *http.Request, c *call, operator string, record *catalogue.Record) {
+func (e *Entry) applyEdit(w http.ResponseWriter, r *http.Request, c *call, operator string, record *catalogue.Record) {
 	expect, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if r.Header.Get("If-Match") != "" && err != nil {
 		writeError(w, c, result.Refuse(result.BadField, 0, "If-Match: a revision"))
@@ -131,16 +131,16 @@
 	switch {
 	case errors.Is(err, catalogue.ErrConflict):
 		failure := result.Refuse(result.EditConflict, 0, "%v", err)
-		detail := bodyOf(c, failure).Error
+		detail := errorBodyOf(c, failure).Error
 		writeHeaders(w, c, failure.Code, failure.Ran)
-		writeJSON(w, http.StatusConflict, editAnswer{Record: outcome.Current, Conflict: true, Error: &detail})
+		writeJSON(w, http.StatusConflict, editResponse{Record: outcome.Current, Conflict: true, Error: &detail})
 		return
 	case err != nil:
 		ran := result.RanUnknown
 		if errors.Is(err, catalogue.ErrOldStore) {
 			ran = result.RanNo
 		}
-		writeError(w, c, &result.Error{Code: result.StoreUnavailable, Ran: ran, RetryAfter: storeRetry, Detail: err.Error()})
+		writeError(w, c, &result.Error{Code: result.StoreUnavailable, Ran: ran, RetryAfter: storeRetryAfter, Detail: err.Error()})
 		return
 	}
 	if err := e.catalogue.OfferNow(r.Context(), outcome.Number, outcome.Page); err != nil {
@@ -151,11 +151,11 @@
 	}
 	e.log.Info("catalogue edited", zap.String("record", record.Key()), zap.Uint64("revision", outcome.Current.Revision), zap.String("operator", operator))
 	writeHeaders(w, c, result.OK, result.RanYes)
-	writeJSON(w, http.StatusOK, editAnswer{Record: outcome.Current})
+	writeJSON(w, http.StatusOK, editResponse{Record: outcome.Current})
 }
 
-// nodeSpread tells whether a node has an edit.
-type nodeSpread struct {
+// nodeRevision tells whether a node has an edit.
+type nodeRevision struct {
 	Node     string `json:"node"`
 	Revision uint64 `json:"revision"`
 	InForce  bool   `json:"in_force"`
@@ -164,8 +164,8 @@
 
 const (
 	spreadTimeout = time.Second
-	// spreadParallel bounds the nodes asked at once.
-	spreadParallel = 64
+	// maxSpreadQueries bounds the nodes asked at once.
+	maxSpreadQueries = 64
 )
 
 // getSpread asks every known node for its revision of a record's page.
@@ -177,15 +177,15 @@
 	}
 	page := catalogue.PageOf(catalogue.Key(catalogue.Type(r.PathValue("type")), r.PathValue("id")))
 	own := e.catalogue.View().Revisions()[page]
-	spread := []nodeSpread{{Node: e.settings.Name, Revision: own, InForce: own >= revision}}
+	spread := []nodeRevision{{Node: e.settings.Name, Revision: own, InForce: own >= revision}}
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	slots := make(chan struct{}, spreadParallel)
+	slots := make(chan struct{}, maxSpreadQueries)
 	for name, m := range e.loop.View().Members {
 		asking.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			n := e.askRevision(r.Context(), name, m, page, revision)
+			n := e.queryRevision(r.Context(), name, m, page, revision)
 			mu.Lock()
 			defer mu.Unlock()
 			spread = append(spread, n)
@@ -196,15 +196,15 @@
 	writeJSON(w, http.StatusOK, map[string]any{"nodes": spread})
 }
 
-func (e *Entry) askRevision(ctx context.Context, name string, m *membership.Member, page int, revision uint64) nodeSpread {
+func (e *Entry) queryRevision(ctx context.Context, name string, m *membership.Member, page int, revision uint64) nodeRevision {
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
 	response, err := e.clients.Peer(m.Addr()).Revisions(ctx, connect.NewRequest(&wire.RevisionsRequest{}))
 	if err != nil || page >= len(response.Msg.Revisions) {
-		return nodeSpread{Node: name, Silent: true}
+		return nodeRevision{Node: name, Silent: true}
 	}
 	has := response.Msg.Revisions[page]
-	return nodeSpread{Node: name, Revision: has, InForce: has >= revision}
+	return nodeRevision{Node: name, Revision: has, InForce: has >= revision}
 }
 
 // memberStatus is one node in the operators' status.
@@ -231,21 +231,21 @@
 	Known bool `json:"known"`
 }
 
-func (e *Entry) status(w http.ResponseWriter, _ *http.Request, _ *call, _ string) {
+func (e *Entry) getStatus(w http.ResponseWriter, _ *http.Request, _ *call, _ string) {
 	members := e.loop.View().Members
 	list := make([]memberStatus, 0, len(members))
 	for name, m := range members {
-		list = append(list, describe(name, m))
+		list = append(list, describeMember(name, m))
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Node < list[j].Node })
 	sum, hash := e.catalogue.View().Digest()
 	writeJSON(w, http.StatusOK, map[string]any{
 		"node": e.settings.Name, "catalogue_revision": sum, "catalogue_hash": strconv.FormatUint(hash, 16),
-		"reader": e.control.reader.Load(), "members": list, "sites": e.sites(), "active_requests": e.active.Load(),
+		"reader": e.control.isStoreReader.Load(), "members": list, "sites": e.siteStatuses(), "active_requests": e.activeRequests.Load(),
 	})
 }
 
-func describe(name string, m *membership.Member) memberStatus {
+func describeMember(name string, m *membership.Member) memberStatus {
 	status := memberStatus{Node: name, Role: m.Role(), DataCentre: m.DataCentre(), Addr: m.Addr(), State: "live"}
 	switch {
 	case m.Leaving:
@@ -266,11 +266,11 @@
 	return status
 }
 
-func (e *Entry) sites() []siteStatus {
+func (e *Entry) siteStatuses() []siteStatus {
 	var sites []siteStatus
 	for _, record := range e.catalogue.View().List(catalogue.TypeSite) {
 		status := siteStatus{Site: record.ID, CapWatts: record.Site.PowerCapWatts}
-		if ledger := e.keepers.ledger(record.ID); ledger != nil {
+		if ledger := e.powerCoordinator.ledger(record.ID); ledger != nil {
 			status.Known = true
 			status.CountedWatts = ledger.Counted()
 			status.InForceWatts = ledger.CapInForce()
--- a/entry/recent.go
+++ b/entry/recent.go
@@ -7,48 +7,48 @@
 	"aspenyard.example/result"
 )
 
-// recentLength is how many ended requests an entry remembers for status lookups,
+// maxRecentRequests is how many ended requests an entry remembers for status lookups,
 // about 200 bytes each.
-const recentLength = 10_000
+const maxRecentRequests = 10_000
 
-// recent remembers the results of ended requests by id. It is this entry's
+// recentRequests remembers the results of ended requests by id. It is this entry's
 // memory only; requests that may not be repeated are recorded in the store.
-type recent struct {
-	mu    sync.Mutex
-	byID  map[string]*list.Element
-	order *list.List
+type recentRequests struct {
+	mu          sync.Mutex
+	byID        map[string]*list.Element
+	newestFirst *list.List
 }
 
-type recentCall struct {
+type endedRequest struct {
 	id, account, key string
 	code             result.Code
 	ran              result.Ran
 }
 
-func newRecent() *recent {
-	return &recent{byID: map[string]*list.Element{}, order: list.New()}
+func newRecentRequests() *recentRequests {
+	return &recentRequests{byID: map[string]*list.Element{}, newestFirst: list.New()}
 }
 
-func (r *recent) note(c *call, code result.Code, ran result.Ran) {
+func (r *recentRequests) add(c *call, code result.Code, ran result.Ran) {
 	if c.account == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.byID[c.id] = r.order.PushFront(recentCall{id: c.id, account: c.account.ID, key: c.key, code: code, ran: ran})
-	if r.order.Len() > recentLength {
-		oldest := r.order.Remove(r.order.Back()).(recentCall)
+	r.byID[c.id] = r.newestFirst.PushFront(endedRequest{id: c.id, account: c.account.ID, key: c.idempotencyKey, code: code, ran: ran})
+	if r.newestFirst.Len() > maxRecentRequests {
+		oldest := r.newestFirst.Remove(r.newestFirst.Back()).(endedRequest)
 		delete(r.byID, oldest.id)
 	}
 }
 
-func (r *recent) find(id, account string) (recentCall, bool) {
+func (r *recentRequests) find(id, account string) (endedRequest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	element := r.byID[id]
 	if element == nil {
-		return recentCall{}, false
+		return endedRequest{}, false
 	}
-	found := element.Value.(recentCall)
+	found := element.Value.(endedRequest)
 	return found, found.account == account
 }
--- a/entry/response.go
+++ b/entry/response.go
@@ -25,7 +25,7 @@
 	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
 }
 
-func bodyOf(c *call, failure *result.Error) errorBody {
+func errorBodyOf(c *call, failure *result.Error) errorBody {
 	return errorBody{Error: errorDetail{
 		Code: failure.Code, Type: result.Lookup(failure.Code).Name, Message: failure.Detail, Ran: failure.Ran,
 		RequestID: c.id, RetryAfterMS: failure.RetryAfter.Milliseconds(),
@@ -43,7 +43,7 @@
 	if failure.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(failure.RetryAfter.Seconds()))))
 	}
-	writeJSON(w, result.Lookup(failure.Code).HTTPStatus, bodyOf(c, failure))
+	writeJSON(w, result.Lookup(failure.Code).HTTPStatus, errorBodyOf(c, failure))
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
@@ -52,18 +52,18 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// refuse ends a call that was not admitted.
-func (e *Entry) refuse(w http.ResponseWriter, c *call, refusal *result.Error) {
-	e.ended(c, refusal)
+// finishRefused ends a call that was not admitted.
+func (e *Entry) finishRefused(w http.ResponseWriter, c *call, refusal *result.Error) {
+	e.finishCall(c, refusal)
 	writeError(w, c, refusal)
 }
 
-// shape is how an answer looks: a text completion's or a chat's.
-type shape interface {
+// responseFormat is how an answer looks: a text completion's or a chat's.
+type responseFormat interface {
 	// chunk is one server-sent event; finish is "" before the last.
 	chunk(c *call, text, finish string) any
-	// whole is an answer in one piece.
-	whole(c *call, text string, tokens int) any
+	// complete is an answer in one piece.
+	complete(c *call, text string, tokens int) any
 }
 
 type usage struct {
@@ -76,7 +76,7 @@
 	return &usage{c.promptTokens, tokens, c.promptTokens + tokens}
 }
 
-type answer struct {
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -98,83 +98,83 @@
 	Content string `json:"content"`
 }
 
-func newAnswer(c *call, object string, ch choice, finish string) answer {
+func newCompletionResponse(c *call, object string, ch choice, finish string) completionResponse {
 	if finish != "" {
 		ch.FinishReason = &finish
 	}
-	return answer{ID: c.id, Object: object, Created: c.started.Unix(), Model: c.kind.ID, Choices: []choice{ch}}
+	return completionResponse{ID: c.id, Object: object, Created: c.startedAt.Unix(), Model: c.kind.ID, Choices: []choice{ch}}
 }
 
 // finishLength is the finish reason of every answer: the engines generate up to
 // the number of tokens asked for.
 const finishLength = "length"
 
-type completionShape struct{}
+type completionFormat struct{}
 
-func (completionShape) chunk(c *call, text, finish string) any {
-	return newAnswer(c, "text_completion", choice{Text: &text}, finish)
+func (completionFormat) chunk(c *call, text, finish string) any {
+	return newCompletionResponse(c, "text_completion", choice{Text: &text}, finish)
 }
 
-func (completionShape) whole(c *call, text string, tokens int) any {
-	a := newAnswer(c, "text_completion", choice{Text: &text}, finishLength)
+func (completionFormat) complete(c *call, text string, tokens int) any {
+	a := newCompletionResponse(c, "text_completion", choice{Text: &text}, finishLength)
 	a.Usage = usageOf(c, tokens)
 	return a
 }
 
-type chatShape struct{}
+type chatFormat struct{}
 
-func (chatShape) chunk(c *call, text, finish string) any {
-	return newAnswer(c, "chat.completion.chunk", choice{Delta: &message{Role: "assistant", Content: text}}, finish)
+func (chatFormat) chunk(c *call, text, finish string) any {
+	return newCompletionResponse(c, "chat.completion.chunk", choice{Delta: &message{Role: "assistant", Content: text}}, finish)
 }
 
-func (chatShape) whole(c *call, text string, tokens int) any {
-	a := newAnswer(c, "chat.completion", choice{Message: &message{Role: "assistant", Content: text}}, finishLength)
+func (chatFormat) complete(c *call, text string, tokens int) any {
+	a := newCompletionResponse(c, "chat.completion", choice{Message: &message{Role: "assistant", Content: text}}, finishLength)
 	a.Usage = usageOf(c, tokens)
 	return a
 }
 
-// response writes one generation's answer. A streamed answer begins with its
+// responseWriter writes one generation's answer. A streamed answer begins with its
 // first token, so that a failure before it has its own HTTP status. An answer
 // that fails later ends with an error event and without the end marker, and an
 // answer in one piece is only written when it is complete.
-type response struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	call    *call
-	shape   shape
-	stream  bool
-	begun   bool
-	text    strings.Builder
-	tokens  int
+type responseWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	call       *call
+	format     responseFormat
+	stream     bool
+	headSent   bool
+	text       strings.Builder
+	tokens     int
 }
 
-func newResponse(w http.ResponseWriter, c *call, s shape, stream bool) *response {
-	return &response{w: w, control: http.NewResponseController(w), call: c, shape: s, stream: stream}
+func newResponseWriter(w http.ResponseWriter, c *call, s responseFormat, stream bool) *responseWriter {
+	return &responseWriter{w: w, controller: http.NewResponseController(w), call: c, format: s, stream: stream}
 }
 
-// pass implements sink.
-func (r *response) pass(text string, tokens int) error {
+// writeTokens implements sink.
+func (r *responseWriter) writeTokens(text string, tokens int) error {
 	r.tokens += tokens
 	if !r.stream {
 		r.text.WriteString(text)
 		return nil
 	}
-	r.begin()
-	return r.event(r.shape.chunk(r.call, text, ""))
+	r.writeHead()
+	return r.writeEvent(r.format.chunk(r.call, text, ""))
 }
 
-func (r *response) begin() {
-	if r.begun {
+func (r *responseWriter) writeHead() {
+	if r.headSent {
 		return
 	}
-	r.begun = true
+	r.headSent = true
 	writeHeaders(r.w, r.call, result.OK, result.RanYes)
 	r.w.Header().Set("Content-Type", "text/event-stream")
 	r.w.Header().Set("Cache-Control", "no-cache")
 	r.w.WriteHeader(http.StatusOK)
 }
 
-func (r *response) event(body any) error {
+func (r *responseWriter) writeEvent(body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -182,23 +182,23 @@
 	if _, err := fmt.Fprintf(r.w, "data: %s\n\n", data); err != nil {
 		return err
 	}
-	return r.control.Flush()
+	return r.controller.Flush()
 }
 
 // finish ends the answer.
-func (r *response) finish(failure *result.Error) {
+func (r *responseWriter) finish(failure *result.Error) {
 	switch {
-	case failure != nil && !r.begun:
+	case failure != nil && !r.headSent:
 		writeError(r.w, r.call, failure)
 	case failure != nil:
-		_ = r.event(bodyOf(r.call, failure))
+		_ = r.writeEvent(errorBodyOf(r.call, failure))
 	case r.stream:
-		r.begin()
-		_ = r.event(r.shape.chunk(r.call, "", finishLength))
+		r.writeHead()
+		_ = r.writeEvent(r.format.chunk(r.call, "", finishLength))
 		_, _ = fmt.Fprint(r.w, "data: [DONE]\n\n")
-		_ = r.control.Flush()
+		_ = r.controller.Flush()
 	default:
 		writeHeaders(r.w, r.call, result.OK, result.RanYes)
-		writeJSON(r.w, http.StatusOK, r.shape.whole(r.call, r.text.String(), r.tokens))
+		writeJSON(r.w, http.StatusOK, r.format.complete(r.call, r.text.String(), r.tokens))
 	}
 }
--- a/entry/span.go
+++ b/entry/span.go
@@ -13,19 +13,19 @@
 	"aspenyard.example/wire"
 )
 
-// planSpan chooses the endpoints that hold a prompt together when none can
+// planSplit chooses the endpoints that hold a prompt together when none can
 // alone, in the order in which they are taken.
 //
 // All spans take their endpoints in the order of the names. Two spans that each
 // hold what the other waits for, each until its deadline, cannot happen: the one
 // that holds the later name does not wait for an earlier one.
-func planSpan(r *routing.Request, endpoints []routing.Endpoint) ([]*routing.Endpoint, *result.Error) {
+func planSplit(r *routing.Request, endpoints []routing.Endpoint) ([]*routing.Endpoint, *result.Error) {
 	need := r.PromptTokens + r.OutputTokens
 	total := 0
 	var usable []*routing.Endpoint
 	for i := range endpoints {
 		e := &endpoints[i]
-		if e.MemoryTokens == 0 || !mayServe(r, e) {
+		if e.MemoryTokens == 0 || !mightServe(r, e) {
 			continue
 		}
 		total += routing.MaxPromptTokens(e)
@@ -36,23 +36,23 @@
 	if total > 0 && total < need {
 		return nil, result.Refuse(result.PromptTooLong, 0, "%d tokens of memory are needed, all endpoints together offer %d", need, total)
 	}
-	if !fitsOne(r, endpoints) {
-		if members := cheapest(r, usable, need); members != nil {
+	if !fitsSingleEndpoint(r, endpoints) {
+		if members := leastBusy(r, usable, need); members != nil {
 			return members, nil
 		}
 	}
-	return nil, result.Refuse(result.NoEndpoint, noEndpointRetry, "no live endpoints serve %d tokens of %q", need, r.Model)
+	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoints serve %d tokens of %q", need, r.Model)
 }
 
-// mayServe tells whether an endpoint serves the model, or might when it is back:
+// mightServe tells whether an endpoint serves the model, or might when it is back:
 // one that is silent, or whose engine does not answer just now, offers nothing.
 // A prompt is only called too long if it would not fit with all of them.
-func mayServe(r *routing.Request, e *routing.Endpoint) bool {
+func mightServe(r *routing.Request, e *routing.Endpoint) bool {
 	return len(e.Models) == 0 || slices.Contains(e.Models, r.Model)
 }
 
-// fitsOne tells whether some endpoint could hold the request alone, tried or not.
-func fitsOne(r *routing.Request, endpoints []routing.Endpoint) bool {
+// fitsSingleEndpoint tells whether some endpoint could hold the request alone, tried or not.
+func fitsSingleEndpoint(r *routing.Request, endpoints []routing.Endpoint) bool {
 	for i := range endpoints {
 		e := &endpoints[i]
 		if e.MemoryTokens > 0 && (routing.FitsMemory{}).Keep(r, e) {
@@ -62,8 +62,8 @@
 	return false
 }
 
-// cheapest takes the least busy endpoints until they hold the need, sorted by name.
-func cheapest(r *routing.Request, usable []*routing.Endpoint, need int) []*routing.Endpoint {
+// leastBusy takes the least busy endpoints until they hold the need, sorted by name.
+func leastBusy(r *routing.Request, usable []*routing.Endpoint, need int) []*routing.Endpoint {
 	level := r.Level()
 	sort.SliceStable(usable, func(i, j int) bool {
 		return usable[i].Backlog.UpTo(level) < usable[j].Backlog.UpTo(level)
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// span runs the request over several endpoints: each but the last prefills and
+// runSplit runs the request over several endpoints: each but the last prefills and
 // holds its part of the prompt, the last imports their KV cache and generates.
 // Whatever ends the attempt ends its context, and with it every part's hold.
-func (g *generation) span(ctx context.Context, members []*routing.Endpoint) *result.Error {
+func (g *generation) runSplit(ctx context.Context, members []*routing.Endpoint) *result.Error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var imports []*wire.Import
@@ -92,20 +92,20 @@
 		after := len(members) - 1 - i
 		size := min(routing.MaxPromptTokens(member), admission.EstimateTokens(rest)-after)
 		var part string
-		part, rest = cut(rest, size*admission.BytesPerToken)
-		held, failure := g.hold(ctx, cancel, member, part, imports)
+		part, rest = splitText(rest, size*admission.BytesPerToken)
+		held, failure := g.prefillPart(ctx, cancel, member, part, imports)
 		if failure != nil {
 			g.routing.Tried[member.Name] = true
-			return afterParts(failure, len(imports))
+			return markRanAfterParts(failure, len(imports))
 		}
 		imports = append(imports, held)
 	}
-	return afterParts(g.lead(ctx, members[len(members)-1], imports, admission.EstimateTokens(rest)), len(imports))
+	return markRanAfterParts(g.generateOnLast(ctx, members[len(members)-1], imports, admission.EstimateTokens(rest)), len(imports))
 }
 
-// afterParts says of a failed span whose first parts were prefilled that it ran: a
+// markRanAfterParts says of a failed span whose first parts were prefilled that it ran: a
 // later member's refusal speaks of that member alone.
-func afterParts(failure *result.Error, parts int) *result.Error {
+func markRanAfterParts(failure *result.Error, parts int) *result.Error {
 	if failure == nil || parts == 0 {
 		return failure
 	}
@@ -113,9 +113,9 @@
 	return failure
 }
 
-// cut splits a text at or just before a number of bytes, never within a character:
+// splitText splits a text at or just before a number of bytes, never within a character:
 // half a character is not valid text and would not come through a message whole.
-func cut(text string, size int) (before, after string) {
+func splitText(text string, size int) (before, after string) {
 	if size >= len(text) {
 		return text, ""
 	}
@@ -125,28 +125,28 @@
 	return text[:size], text[size:]
 }
 
-// hold prefills one part and returns where its KV cache is held until ctx ends.
-func (g *generation) hold(ctx context.Context, cancel context.CancelFunc, member *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
+// prefillPart prefills one part and returns where its KV cache is held until ctx ends.
+func (g *generation) prefillPart(ctx context.Context, cancel context.CancelFunc, member *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
 	r := g.routing
 	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.EstimateTokens(part), 0, true
 	reservation, refusal := g.entry.reserve(ctx, g.call, member, &r)
 	if refusal != nil {
 		return nil, refusal
 	}
-	run, err := g.entry.order(ctx, member.Addr, &wire.RunRequest{
+	run, err := g.entry.startRun(ctx, member.Addr, &wire.RunRequest{
 		Reservation: reservation, RequestId: g.call.id, Attempt: g.call.attempts, Model: g.routing.Model,
 		RemainingMs: g.call.remaining().Milliseconds(), Prompt: part, Hold: true, Imports: imports,
 	})
 	if err != nil {
-		return nil, g.broken(member, reservation, err)
+		return nil, g.resolveBrokenStream(member, reservation, err)
 	}
-	event, err := run.next()
+	event, err := run.receive()
 	if err != nil {
 		run.close()
-		return nil, g.broken(member, reservation, err)
+		return nil, g.resolveBrokenStream(member, reservation, err)
 	}
 	if held := event.GetHeld(); held != nil {
-		go watchHold(run, cancel)
+		go watchHeldPart(run, cancel)
 		return held.Import, nil
 	}
 	run.close()
@@ -156,22 +156,22 @@
 	return nil, result.Fail(result.EndpointFailed, result.RanYes, "%s did not hold its part", member.Name)
 }
 
-// watchHold follows a held part. Its KV cache stays as long as the stream, which
+// watchHeldPart follows a held part. Its KV cache stays as long as the stream, which
 // ends with the span's context. A member that fails ends the whole span, whose
 // lead would otherwise decode from a cache that is gone.
-func watchHold(run *run, cancel context.CancelFunc) {
+func watchHeldPart(run *runStream, cancel context.CancelFunc) {
 	defer run.close()
 	defer cancel()
 	for {
-		event, err := run.next()
+		event, err := run.receive()
 		if err != nil || event.GetEnd() != nil {
 			return
 		}
 	}
 }
 
-// lead generates the answer on the last member, which prefills the last tokens.
-func (g *generation) lead(ctx context.Context, member *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
+// generateOnLast generates the answer on the last member, which prefills the last tokens.
+func (g *generation) generateOnLast(ctx context.Context, member *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
 	r := g.routing
 	r.PromptTokens, r.SpanPart = tokens, true
 	reservation, refusal := g.entry.reserve(ctx, g.call, member, &r)
@@ -179,10 +179,10 @@
 		g.routing.Tried[member.Name] = true
 		return refusal
 	}
-	request := g.request(reservation)
+	request := g.runRequest(reservation)
 	request.Imports = imports
 	request.RemainingMs = time.Until(g.call.deadline).Milliseconds()
-	failure := g.stream(ctx, member, request)
+	failure := g.relayRun(ctx, member, request)
 	if failure != nil {
 		g.routing.Tried[member.Name] = true
 	}
--- a/entry/span_test.go
+++ b/entry/span_test.go
@@ -14,13 +14,13 @@
 // Symptom: a long prompt in another script than Latin is refused or garbled.
 // Sequence: its bytes are cut into parts within a character. Cause: cutting by the
 // number of bytes alone.
-func TestPartsKeepCharactersWhole(t *testing.T) {
+func TestPromptIsSplitBetweenCharacters(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat("繫纜樁 ", 100)
 	rest, joined := text, ""
 	for rest != "" {
 		var part string
-		part, rest = cut(rest, 41)
+		part, rest = splitText(rest, 41)
 		is.True(utf8.ValidString(part))
 		is.True(len(part) <= 41 && part != "")
 		joined += part
@@ -28,15 +28,15 @@
 	is.Equal(joined, text)
 }
 
-func engineAt(name string, memory int) routing.Endpoint {
+func newTestEngine(name string, memory int) routing.Endpoint {
 	return routing.Endpoint{Name: name, Models: []string{"m"}, MemoryTokens: memory}
 }
 
-func TestSpanTakesEndpointsInOneOrder(t *testing.T) {
+func TestSplitPromptTakesEndpointsInNameOrder(t *testing.T) {
 	is := is.New(t)
-	endpoints := []routing.Endpoint{engineAt("c", 400_000), engineAt("a", 400_000), engineAt("b", 400_000), engineAt("d", 400_000)}
+	endpoints := []routing.Endpoint{newTestEngine("c", 400_000), newTestEngine("a", 400_000), newTestEngine("b", 400_000), newTestEngine("d", 400_000)}
 	endpoints[1].Backlog[0] = 1000 // a is busy and not needed
-	members, refusal := planSpan(&routing.Request{Model: "m", PromptTokens: 900_000, Tried: map[string]bool{}}, endpoints)
+	members, refusal := planSplit(&routing.Request{Model: "m", PromptTokens: 900_000, Tried: map[string]bool{}}, endpoints)
 	is.True(refusal == nil)
 	names := ""
 	for _, m := range members {
@@ -45,15 +45,15 @@
 	is.Equal(names, "bcd")
 }
 
-func TestSpanRefusals(t *testing.T) {
+func TestSplitPromptRefusals(t *testing.T) {
 	is := is.New(t)
-	endpoints := []routing.Endpoint{engineAt("a", 400_000), engineAt("b", 400_000)}
+	endpoints := []routing.Endpoint{newTestEngine("a", 400_000), newTestEngine("b", 400_000)}
 	request := &routing.Request{Model: "m", PromptTokens: 900_000, Tried: map[string]bool{}}
-	_, refusal := planSpan(request, endpoints)
+	_, refusal := planSplit(request, endpoints)
 	is.Equal(refusal.Code, result.PromptTooLong)
-	silent := engineAt("c", 400_000)
+	silent := newTestEngine("c", 400_000)
 	silent.Suspect = true
-	_, refusal = planSpan(request, append(endpoints, silent))
+	_, refusal = planSplit(request, append(endpoints, silent))
 	is.Equal(refusal.Code, result.NoEndpoint) // it may come back
 	is.True(refusal.RetryAfter > 0)
 }
--- a/entry/store.go
+++ b/entry/store.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// watchWait is how long a watch waits at the store before it is renewed.
-	watchWait = 30 * time.Second
-	// dutyPoll is how often an entry without the reader's duty looks for it.
-	dutyPoll = 200 * time.Millisecond
+	// longPollWait is how long a watch waits at the store before it is renewed.
+	longPollWait = 30 * time.Second
+	// readerPollInterval is how often an entry without the reader's duty looks for it.
+	readerPollInterval = 200 * time.Millisecond
 	// minStoreBackoff and maxStoreBackoff bound the wait after a failed read: it
 	// doubles, with jitter, so that the store's return is not met by all readers
 	// at once.
@@ -26,22 +26,22 @@
 	maxStoreBackoff = 5 * time.Second
 )
 
-// followStore watches the catalogue's pages while this entry has the reader's
+// watchStore watches the catalogue's pages while this entry has the reader's
 // duty. An entry that holds it wrongly costs the store a few watches.
-func (e *Entry) followStore(ctx context.Context) {
+func (e *Entry) watchStore(ctx context.Context) {
 	var missing atomic.Int64
 	missing.Store(catalogue.PageCount)
 	for page := range catalogue.PageCount {
-		go e.followPage(ctx, page, &missing)
+		go e.watchPage(ctx, page, &missing)
 	}
 }
 
-func (e *Entry) followPage(ctx context.Context, page int, missing *atomic.Int64) {
+func (e *Entry) watchPage(ctx context.Context, page int, missing *atomic.Int64) {
 	revision, read := uint64(0), false
 	backoff := minStoreBackoff
 	for ctx.Err() == nil {
-		if !e.control.reader.Load() && (read || e.catalogue.Ready()) {
-			membership.Sleep(ctx, dutyPoll)
+		if !e.control.isStoreReader.Load() && (read || e.catalogue.Ready()) {
+			membership.Sleep(ctx, readerPollInterval)
 			continue
 		}
 		next, err := e.readPage(ctx, page, revision, read)
@@ -67,7 +67,7 @@
 	var value infra.Value
 	var err error
 	if watch {
-		value, err = e.store.Watch(ctx, key, revision, watchWait)
+		value, err = e.store.Watch(ctx, key, revision, longPollWait)
 	} else {
 		value, err = e.store.Get(ctx, key)
 	}
