--- a/bench/idle.go
+++ b/bench/idle.go
@@ -67,7 +67,7 @@
 	values := map[string]float64{}
 	for name, family := range families {
 		if metrics := family.GetMetric(); len(metrics) == 1 {
-			values[name] = burn.Value(metrics[0])
+			values[name] = burn.MetricValue(metrics[0])
 		}
 	}
 	return values, nil
--- a/burn/burn.go
+++ b/burn/burn.go
@@ -66,32 +66,34 @@
 	Unreachable []string `json:"unreachable"`
 }
 
-// series identifies a row.
-type series struct{ kind, class, band string }
+// seriesKey identifies a row.
+type seriesKey struct{ kind, class, band string }
 
 // Collector merges the metrics of many nodes.
 type Collector struct {
-	objectives map[string]Objective
-	share      float64 // 0: kinds without an objective are left out
-	rows       map[series]*Row
-	buckets    map[series]map[float64]float64 // events up to a bound
-	report     Report
+	objectives   map[string]Objective
+	defaultShare float64 // 0: kinds without an objective are left out
+	rows         map[seriesKey]*Row
+	buckets      map[seriesKey]map[float64]float64 // events up to a bound
+	report       Report
 }
 
 // NewCollector makes an empty collector for these objectives.
 func NewCollector(objectives []Objective) *Collector {
-	c := &Collector{objectives: map[string]Objective{}, rows: map[series]*Row{}, buckets: map[series]map[float64]float64{}}
+	c := &Collector{objectives: map[string]Objective{}, rows: map[seriesKey]*Row{}, buckets: map[seriesKey]map[float64]float64{}}
 	for _, o := range objectives {
 		c.objectives[o.Kind] = o
 	}
 	return c
 }
 
-// SetShare gives every kind without an objective of its own one with this share.
-func (c *Collector) SetShare(share float64) { c.share = share }
+// SetDefaultShare gives every kind without an objective of its own one with this share.
+func (c *Collector) SetDefaultShare(share float64) { c.defaultShare = share }
 
-// Missing notes a node that could not be reached.
-func (c *Collector) Missing(node string) { c.report.Unreachable = append(c.report.Unreachable, node) }
+// AddUnreachable notes a node that could not be reached.
+func (c *Collector) AddUnreachable(node string) {
+	c.report.Unreachable = append(c.report.Unreachable, node)
+}
 
 // Add takes in one node's metrics in the text format.
 func (c *Collector) Add(node string, text io.Reader) error {
@@ -122,13 +124,13 @@
 	return labels
 }
 
-// Value is the number of a metric of any simple kind.
-func Value(metric *dto.Metric) float64 {
+// MetricValue is the number of a metric of any simple kind.
+func MetricValue(metric *dto.Metric) float64 {
 	return metric.GetUntyped().GetValue() + metric.GetGauge().GetValue() + metric.GetCounter().GetValue()
 }
 
 func (c *Collector) row(labels map[string]string) *Row {
-	key := series{labels["kind"], labels["class"], labels["band"]}
+	key := seriesKey{labels["kind"], labels["class"], labels["band"]}
 	row := c.rows[key]
 	if row == nil {
 		row = &Row{Kind: key.kind, Class: key.class, Band: key.band}
@@ -139,7 +141,7 @@
 
 func (c *Collector) addEvents(metric *dto.Metric) {
 	labels := labelsOf(metric)
-	row, value := c.row(labels), Value(metric)
+	row, value := c.row(labels), MetricValue(metric)
 	switch labels["window"] + " " + labels["outcome"] {
 	case ShortWindow + " good":
 		row.ShortGood += value
@@ -158,11 +160,11 @@
 	if err != nil {
 		return
 	}
-	key := series{labels["kind"], labels["class"], labels["band"]}
+	key := seriesKey{labels["kind"], labels["class"], labels["band"]}
 	if c.buckets[key] == nil {
 		c.buckets[key] = map[float64]float64{}
 	}
-	c.buckets[key][limit] += Value(metric)
+	c.buckets[key][limit] += MetricValue(metric)
 }
 
 // Report gives the rows of kinds with an objective, the fastest burn first.
@@ -171,13 +173,13 @@
 	for key, row := range c.rows {
 		objective, found := c.objectives[key.kind]
 		if !found {
-			objective.Share = c.share
+			objective.Share = c.defaultShare
 		}
 		if objective.Share == 0 {
 			continue
 		}
-		row.ShortBurn = burnOf(row.ShortGood, row.ShortBad, objective.Share)
-		row.LongBurn = burnOf(row.LongGood, row.LongBad, objective.Share)
+		row.ShortBurn = burnRate(row.ShortGood, row.ShortBad, objective.Share)
+		row.LongBurn = burnRate(row.LongGood, row.LongBad, objective.Share)
 		row.P95Seconds = quantile(c.buckets[key], 0.95)
 		report.Rows = append(report.Rows, *row)
 	}
@@ -193,8 +195,8 @@
 	return report
 }
 
-// burnOf is the bad share over the share that the objective allows.
-func burnOf(good, bad, share float64) float64 {
+// burnRate is the bad share over the share that the objective allows.
+func burnRate(good, bad, share float64) float64 {
 	if good+bad == 0 {
 		return 0
 	}
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -17,19 +17,19 @@
 aspenyard_entry_first_token_seconds_bucket{kind="line-plan",class="urgent",band="up_to_4k",le="+Inf"} 1000
 `
 
-func collected(t *testing.T) Report {
+func mergedReport(t *testing.T) Report {
 	t.Helper()
 	is := is.New(t)
 	c := NewCollector([]Objective{{Kind: "line-plan", FirstTokenSeconds: 1, Share: 0.95}})
 	is.NoErr(c.Add("n1", strings.NewReader(nodeMetrics)))
 	is.NoErr(c.Add("n2", strings.NewReader(nodeMetrics)))
-	c.Missing("n3")
+	c.AddUnreachable("n3")
 	return c.Report()
 }
 
 func TestReportMergesNodes(t *testing.T) {
 	is := is.New(t)
-	report := collected(t)
+	report := mergedReport(t)
 	is.Equal(len(report.Rows), 1) // a kind without an objective has no budget
 	row := report.Rows[0]
 	is.Equal(row.ShortGood, 180.0)
@@ -39,9 +39,9 @@
 	is.Equal(row.P95Seconds, 0.5)
 }
 
-func TestReportNamesWhatIsMissing(t *testing.T) {
+func TestReportNamesUnreachableNodes(t *testing.T) {
 	is := is.New(t)
-	report := collected(t)
+	report := mergedReport(t)
 	is.True(strings.Contains(report.Text(), "NOT REACHED"))
 	is.True(strings.Contains(report.Text(), "n3"))
 	is.True(strings.Contains(report.Rows[0].Advice(), "a recent rise"))
@@ -52,10 +52,10 @@
 }
 
 // Gateways have no catalogue: one share stands for all their classes.
-func TestGatewaysAreReportedByClass(t *testing.T) {
+func TestGatewaysUseDefaultShare(t *testing.T) {
 	is := is.New(t)
 	c := NewCollector(nil)
-	c.SetShare(0.9)
+	c.SetDefaultShare(0.9)
 	is.NoErr(c.Add("g1", strings.NewReader(`aspenyard_gateway_objective_events{kind="streaming_up_to_24k",outcome="good",window="5m"} 80
 aspenyard_gateway_objective_events{kind="streaming_up_to_24k",outcome="bad",window="5m"} 20
 `)))
@@ -65,12 +65,12 @@
 	is.True(report.Rows[0].ShortBurn > 1.99 && report.Rows[0].ShortBurn < 2.01)
 }
 
-func TestMetricsThatCannotBeReadAreAnError(t *testing.T) {
+func TestInvalidMetricsAreAnError(t *testing.T) {
 	is := is.New(t)
 	is.True(NewCollector(nil).Add("n1", strings.NewReader("this is } not metrics")) != nil)
 }
 
-func TestNoEvents(t *testing.T) {
+func TestReportWithoutEvents(t *testing.T) {
 	is := is.New(t)
 	report := NewCollector(nil).Report()
 	is.True(strings.Contains(report.Text(), "no events"))
--- a/burn/render.go
+++ b/burn/render.go
@@ -27,18 +27,18 @@
 	name := fmt.Sprintf("%s (%s, prompts %s)", r.Kind, r.Class, strings.ReplaceAll(r.Band, "_", " "))
 	switch {
 	case r.ShortBurn >= fastBurn:
-		return name + ": act now; the error budget burns " + times(r.ShortBurn) + " too fast over " + ShortWindow
+		return name + ": act now; the error budget burns " + formatBurn(r.ShortBurn) + " too fast over " + ShortWindow
 	case r.ShortBurn > slowBurn && r.LongBurn > slowBurn:
-		return name + ": look today; it burns " + times(r.ShortBurn) + " over " + ShortWindow + " and " + times(r.LongBurn) + " over " + LongWindow
+		return name + ": look today; it burns " + formatBurn(r.ShortBurn) + " over " + ShortWindow + " and " + formatBurn(r.LongBurn) + " over " + LongWindow
 	case r.ShortBurn > slowBurn:
-		return name + ": a recent rise, " + times(r.ShortBurn) + " over " + ShortWindow + "; watch it"
+		return name + ": a recent rise, " + formatBurn(r.ShortBurn) + " over " + ShortWindow + "; watch it"
 	case r.LongBurn > slowBurn:
-		return name + ": over, but " + times(r.LongBurn) + " over " + LongWindow
+		return name + ": over, but " + formatBurn(r.LongBurn) + " over " + LongWindow
 	}
 	return name + ": within its objective"
 }
 
-func times(burn float64) string { return fmt.Sprintf("%.1f times", burn) }
+func formatBurn(burn float64) string { return fmt.Sprintf("%.1f times", burn) }
 
 // Text prints the report as a table with advice, the worst offenders first.
 func (r Report) Text() string {
--- a/burn/window/window.go
+++ b/burn/window/window.go
@@ -17,40 +17,40 @@
 	LongMinutes  = 60
 )
 
-// Windows counts events by their labels. Safe for concurrent use.
-type Windows struct {
+// Counter counts events by their labels. Safe for concurrent use.
+type Counter struct {
 	mu     sync.Mutex
-	series map[string]*minutes
+	series map[string]*minuteCounts
 }
 
-type minutes struct {
-	counts [LongMinutes][2]uint64 // by minute, bad and good
-	stamps [LongMinutes]int64     // the minute that a slot holds
+type minuteCounts struct {
+	counts  [LongMinutes][2]uint64 // by minute, bad and good
+	minutes [LongMinutes]int64     // the minute that a slot holds
 }
 
 // New makes an empty counter.
-func New() *Windows { return &Windows{series: map[string]*minutes{}} }
+func New() *Counter { return &Counter{series: map[string]*minuteCounts{}} }
 
 // Add counts one event; it tells whether the labels are new.
-func (w *Windows) Add(now time.Time, labels string, good bool) bool {
+func (w *Counter) Add(now time.Time, labels string, good bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	series := w.series[labels]
 	isNew := series == nil
 	if isNew {
-		series = &minutes{}
+		series = &minuteCounts{}
 		w.series[labels] = series
 	}
 	minute := now.Unix() / 60
 	slot := minute % LongMinutes
-	if series.stamps[slot] != minute {
-		series.stamps[slot], series.counts[slot] = minute, [2]uint64{}
+	if series.minutes[slot] != minute {
+		series.minutes[slot], series.counts[slot] = minute, [2]uint64{}
 	}
-	series.counts[slot][index(good)]++
+	series.counts[slot][outcomeIndex(good)]++
 	return isNew
 }
 
-func index(good bool) int {
+func outcomeIndex(good bool) int {
 	if good {
 		return 1
 	}
@@ -58,7 +58,7 @@
 }
 
 // Count sums the events of the last span minutes, the present one included.
-func (w *Windows) Count(now time.Time, labels string, good bool, span int64) float64 {
+func (w *Counter) Count(now time.Time, labels string, good bool, span int64) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	series := w.series[labels]
@@ -66,17 +66,17 @@
 		return 0
 	}
 	minute, sum := now.Unix()/60, uint64(0)
-	for slot, stamp := range series.stamps {
+	for slot, stamp := range series.minutes {
 		if stamp > minute-span && stamp <= minute {
-			sum += series.counts[slot][index(good)]
+			sum += series.counts[slot][outcomeIndex(good)]
 		}
 	}
 	return float64(sum)
 }
 
-// Register counts an event and exposes its series in a set of metrics under a name, once
+// Record counts an event and exposes its series in a set of metrics under a name, once
 // for each outcome and span.
-func (w *Windows) Register(set *metrics.Set, name, labels string, good bool) {
+func (w *Counter) Record(set *metrics.Set, name, labels string, good bool) {
 	if !w.Add(time.Now(), labels, good) {
 		return
 	}
--- a/catalogue/edit.go
+++ b/catalogue/edit.go
@@ -14,9 +14,9 @@
 // ErrConflict is returned when a record has changed since the editor read it.
 var ErrConflict = errors.New("catalogue: the record has changed")
 
-// ErrOldStore is returned when the store answered with an older page than one
+// ErrStalePage is returned when the store answered with an older page than one
 // it has given before. Editing that page would undo accepted edits.
-var ErrOldStore = errors.New("catalogue: the store answered with an old page")
+var ErrStalePage = errors.New("catalogue: the store answered with an old page")
 
 // PageKey is a page's key in the store.
 func PageKey(page int) string {
@@ -60,9 +60,9 @@
 			return nil, false, err
 		}
 		if page.Revision < known {
-			return nil, false, errors.Wrapf(ErrOldStore, "page %d: revision %d, known %d", result.Number, page.Revision, known)
+			return nil, false, errors.Wrapf(ErrStalePage, "page %d: revision %d, known %d", result.Number, page.Revision, known)
 		}
-		if err := page.edit(edit); err != nil {
+		if err := page.apply(edit); err != nil {
 			result.Current = page.Records[key]
 			return nil, false, err
 		}
@@ -78,12 +78,12 @@
 		result.Page, result.Current = page, page.Records[key]
 		return true
 	}
-	err := infra.Swap(ctx, store, PageKey(result.Number), nil, change, mine)
+	err := infra.Update(ctx, store, PageKey(result.Number), nil, change, mine)
 	return result, err
 }
 
-// edit changes the page in memory.
-func (p *Page) edit(edit Edit) error {
+// apply changes the page in memory.
+func (p *Page) apply(edit Edit) error {
 	key := edit.Record.Key()
 	current := uint64(0)
 	if old := p.Records[key]; old != nil && !old.Deleted {
--- a/catalogue/history.go
+++ b/catalogue/history.go
@@ -14,9 +14,9 @@
 
 func historyKey(key string) string { return "catalogue/history/" + key }
 
-// Remember adds an accepted edit to the record's history. The history is a help
+// AppendHistory adds an accepted edit to the record's history. The history is a help
 // to operators and not an authority: it may miss an edit whose node died.
-func Remember(ctx context.Context, store infra.Store, record *Record) error {
+func AppendHistory(ctx context.Context, store infra.Store, record *Record) error {
 	change := func(data []byte) ([]byte, bool, error) {
 		records, err := decodeHistory(data)
 		if err != nil {
@@ -33,7 +33,7 @@
 		records, err := decodeHistory(data)
 		return err == nil && len(records) > 0 && records[len(records)-1].EditID == record.EditID
 	}
-	return infra.Swap(ctx, store, historyKey(record.Key()), nil, change, mine)
+	return infra.Update(ctx, store, historyKey(record.Key()), nil, change, mine)
 }
 
 // History reads a record's former values, oldest first.
--- a/catalogue/record.go
+++ b/catalogue/record.go
@@ -143,8 +143,8 @@
 	"urgent": admission.Urgent, "normal": admission.Normal, "bulk": admission.Bulk,
 }
 
-// ClassOf gives the class that a kind of work names.
-func (w *Work) ClassOf() admission.Class { return classes[w.Class] }
+// AdmissionClass gives the class that a kind of work names.
+func (w *Work) AdmissionClass() admission.Class { return classes[w.Class] }
 
 // DecodeRecord reads a record as operators write it, refusing unknown fields,
 // and checks it.
@@ -190,10 +190,10 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	return r.checkPart()
+	return r.checkBody()
 }
 
-func (r *Record) checkPart() settings.FieldErrors {
+func (r *Record) checkBody() settings.FieldErrors {
 	switch r.Type {
 	case TypeWork:
 		return r.Work.check()
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -124,7 +124,7 @@
 // AccountByKey finds the client account that a key belongs to, or nil. A key is
 // "ACCOUNT.SECRET"; its hash is compared in constant time.
 func (v *View) AccountByKey(key string) *Record {
-	record := v.Get(TypeAccount, holder(key))
+	record := v.Get(TypeAccount, keyOwner(key))
 	if record == nil || !HashMatches(record.Account.KeySHA256, key) {
 		return nil
 	}
@@ -133,14 +133,14 @@
 
 // OperatorByKey finds the operator that a key belongs to, or nil.
 func (v *View) OperatorByKey(key string) *Record {
-	record := v.Get(TypeOperator, holder(key))
+	record := v.Get(TypeOperator, keyOwner(key))
 	if record == nil || !HashMatches(record.Operator.KeySHA256, key) {
 		return nil
 	}
 	return record
 }
 
-func holder(key string) string {
+func keyOwner(key string) string {
 	id, _, _ := strings.Cut(key, keySeparator)
 	return id
 }
@@ -159,9 +159,9 @@
 // Replica is one node's copy. It belongs to the control loop; others read View.
 type Replica struct {
 	view *View
-	// Refused counts pages and records older than what the replica had: a store
+	// StaleChanges counts pages and records older than what the replica had: a store
 	// or peer that answers with old values shows here.
-	Refused uint64
+	StaleChanges uint64
 }
 
 // NewReplica makes an empty replica.
@@ -182,7 +182,7 @@
 	current := c.view.pages[change.Page]
 	if change.Revision <= current.Revision {
 		if change.Revision < current.Revision {
-			c.Refused++
+			c.StaleChanges++
 		}
 		return false
 	}
--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -20,13 +20,13 @@
 
 // fakeStore is the platform's store with the faults that matter to an edit.
 type fakeStore struct {
-	values map[string]infra.Value
-	clock  uint64
-	// lose counts the writes whose answer is lost after they took effect.
-	lose int
-	// race runs once, between a read and the write that follows it.
-	race func()
-	down bool
+	values       map[string]infra.Value
+	lastRevision uint64
+	// lostAnswers counts the writes whose answer is lost after they took effect.
+	lostAnswers int
+	// beforeWrite runs once, between a read and the write that follows it.
+	beforeWrite func()
+	down        bool
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{values: map[string]infra.Value{}} }
@@ -39,18 +39,18 @@
 }
 
 func (s *fakeStore) CompareAndSwap(_ context.Context, key string, data []byte, revision uint64) error {
-	if race := s.race; race != nil {
-		s.race = nil
+	if race := s.beforeWrite; race != nil {
+		s.beforeWrite = nil
 		race()
 	}
 	if s.values[key].Revision != revision {
 		return infra.ErrConflict
 	}
-	s.clock++
-	s.values[key] = infra.Value{Key: key, Data: data, Revision: s.clock}
-	if s.lose > 0 {
-		s.lose--
-		return infra.ErrUnclear
+	s.lastRevision++
+	s.values[key] = infra.Value{Key: key, Data: data, Revision: s.lastRevision}
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
+		return infra.ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -66,10 +66,10 @@
 // Symptom: an edit made twice, or called failed though it stands. Sequence: the
 // store applies the edit and its answer is lost. Cause, were it there: trying
 // again without reading back.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+func TestLostAnswerIsResolvedByReadingBack(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
-	store.lose = 1
+	store.lostAnswers = 1
 	result, err := put(store, "a", 1, 0)
 	is.NoErr(err)
 	is.Equal(result.Page.Revision, uint64(1)) // applied once
@@ -83,7 +83,7 @@
 	store := newFakeStore()
 	first, err := put(store, "a", 1, 0)
 	is.NoErr(err)
-	store.race = func() {
+	store.beforeWrite = func() {
 		_, err := put(store, "a", 2, first.Current.Revision)
 		is.NoErr(err)
 	}
@@ -92,7 +92,7 @@
 	is.Equal(lost.Current.Work.MaxOutputTokens, 2) // the current value is shown
 }
 
-func TestEditOfAnotherRecordOfThePageIsNoConflict(t *testing.T) {
+func TestEditsOfDifferentRecordsDoNotConflict(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	sibling := ""
@@ -101,7 +101,7 @@
 			sibling = id
 		}
 	}
-	store.race = func() {
+	store.beforeWrite = func() {
 		_, err := put(store, sibling, 7, 0)
 		is.NoErr(err)
 	}
@@ -113,16 +113,16 @@
 // Symptom: accepted edits vanish. Sequence: the store answers with an old page and
 // an edit is made on top of it. Cause, were it there: trusting the store's word
 // over one's own.
-func TestOldPageIsNotEdited(t *testing.T) {
+func TestStalePageIsNotEdited(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	_, err := put(store, "a", 1, 0)
 	is.NoErr(err)
 	_, err = Apply(context.Background(), store, Edit{Record: workRecord("b", 1), ID: "x"}, 99)
-	is.True(errors.Is(err, ErrOldStore))
+	is.True(errors.Is(err, ErrStalePage))
 }
 
-func TestReplicaNeverGoesBack(t *testing.T) {
+func TestReplicaIgnoresOlderRevisions(t *testing.T) {
 	is := is.New(t)
 	replica := NewReplica()
 	newer := *workRecord("a", 2)
@@ -133,7 +133,7 @@
 	older.Revision = 1
 	is.True(!replica.Apply(Change{Page: page, Revision: 1, Records: []*Record{&older}}))
 	is.Equal(replica.View().Get(TypeWork, "a").Work.MaxOutputTokens, 2)
-	is.Equal(replica.Refused, uint64(1))
+	is.Equal(replica.StaleChanges, uint64(1))
 }
 
 // TestReplicasAgainstModel has operators edit one store and nodes exchange what
@@ -163,8 +163,8 @@
 				}
 				record := workRecord(id, rapid.IntRange(1, 9).Draw(t, "value"))
 				record.Deleted = rapid.IntRange(0, 4).Draw(t, "delete") == 0
-				store.lose = rapid.IntRange(0, 1).Draw(t, "lose")
-				if _, err := Apply(context.Background(), store, Edit{Record: record, Expect: expect, ID: fmt.Sprint(store.clock)}, 0); err != nil {
+				store.lostAnswers = rapid.IntRange(0, 1).Draw(t, "lose")
+				if _, err := Apply(context.Background(), store, Edit{Record: record, Expect: expect, ID: fmt.Sprint(store.lastRevision)}, 0); err != nil {
 					t.Fatal(err)
 				}
 			},
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestKeys(t *testing.T) {
+func TestAccountByKey(t *testing.T) {
 	is := is.New(t)
 	replica := NewReplica()
 	record := &Record{Type: TypeAccount, ID: "crew", Owner: "ops", Revision: 1, Account: &Account{KeySHA256: HashKey("crew.secret")}}
@@ -241,7 +241,7 @@
 
 const goodWork = `{"type":"work","id":"line-plan","owner":"ops","work":{"class":"urgent","model":"m","repeatable":true}}`
 
-func TestRecordFaultsNameTheirField(t *testing.T) {
+func TestRecordErrorsNameTheirField(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"type", `"type":"work"`, `"type":"task"`, `"type"`},
 		{"id", "line-plan", "Line Plan", `"id"`},
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestNegativeLimitsAreRefused(t *testing.T) {
+func TestNegativeLimitsAreRejected(t *testing.T) {
 	for _, limits := range []string{`"requests_per_second":-1`, `"tokens_per_second":-0.5`, `"concurrent":-3`} {
 		is := is.New(t)
 		field := strings.Trim(strings.Split(limits, ":")[0], `"`)
@@ -289,7 +289,7 @@
 // Symptom: every node dies at once. Sequence: a page of the store holds a record
 // without its part, or none at all. Cause: readers use the part that the type
 // names. Found by reading what the fuzz target below allows.
-func TestPageWithABrokenRecordIsRefused(t *testing.T) {
+func TestPageWithInvalidRecordIsRejected(t *testing.T) {
 	for _, page := range []string{
 		`{"revision":3,"records":{"work/a":null}}`,
 		`{"revision":3,"records":{"work/a":{"type":"work","id":"a","owner":"o"}}}`,
@@ -312,7 +312,7 @@
 		replica := NewReplica()
 		replica.ApplyPage(0, page)
 		for _, record := range replica.View().List(TypeWork) {
-			record.Work.ClassOf()
+			record.Work.AdmissionClass()
 		}
 	})
 }
--- a/cli/bounds_test.go
+++ b/cli/bounds_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// wholeFiles are files of each kind with all fields that hold a number, a duration or a
+// completeFiles are files of each kind with all fields that hold a number, a duration or a
 // size, whether or not they may be left out.
-var wholeFiles = map[string]string{
+var completeFiles = map[string]string{
 	"gateway": `{"name":"g","data_centre":"dc","callers_listen":"127.0.0.1:1","readiness_listen":"127.0.0.1:2","metrics_listen":"127.0.0.1:3","peers_listen":"127.0.0.1:4","store":"127.0.0.1:5",
 "store_timeout":"700ms","config_within":"2s","leaving_within":"2s","drain_timeout":"10s","retry_ratio":0.1,"retry_allowance":10,"retry_window":"10s","memory_free_within":"4s","memory_idle_within":"9s","memory_limit":"256MB"}`,
 	"entry": `{"name":"e","data_centre":"dc","listen":"127.0.0.1:1","operators_listen":"127.0.0.1:2","platform":"127.0.0.1:3","callers_listen":"127.0.0.1:4",
@@ -33,8 +33,8 @@
 	isSize     = regexp.MustCompile(`^[0-9]+[KMG]?i?B$`)
 )
 
-// outOfBounds are values that no number, duration or size may have.
-func outOfBounds(value any) []any {
+// outOfBoundsValues are values that no number, duration or size may have.
+func outOfBoundsValues(value any) []any {
 	switch v := value.(type) {
 	case float64:
 		return []any{-1, 1e15}
@@ -49,21 +49,21 @@
 	return nil
 }
 
-// mutate calls try with the file as it is when one value in it is out of bounds.
-func mutate(path string, node any, try func(path string, value any)) {
+// replaceEachValue calls try with the file as it is when one value in it is out of bounds.
+func replaceEachValue(path string, node any, try func(path string, value any)) {
 	switch v := node.(type) {
 	case map[string]any:
 		for name, child := range v {
-			for _, wrong := range outOfBounds(child) {
+			for _, wrong := range outOfBoundsValues(child) {
 				v[name] = wrong
 				try(path+"."+name, wrong)
 			}
 			v[name] = child
-			mutate(path+"."+name, child, try)
+			replaceEachValue(path+"."+name, child, try)
 		}
 	case []any:
 		for _, child := range v {
-			mutate(path+"[]", child, try)
+			replaceEachValue(path+"[]", child, try)
 		}
 	}
 }
@@ -71,9 +71,9 @@
 // Symptom: a process starts with a setting that makes no sense, and fails later or
 // silently does nothing. Sequence: an operator's slip puts a minus before a number, or a
 // digit too many. Every number of every file has its bounds.
-func TestEveryNumberHasBounds(t *testing.T) {
+func TestNumbersOutOfBoundsAreRejected(t *testing.T) {
 	files := map[string]string{}
-	for name, text := range wholeFiles {
+	for name, text := range completeFiles {
 		files[name] = text
 	}
 	err := filepath.WalkDir("../examples", func(path string, d fs.DirEntry, err error) error {
@@ -101,7 +101,7 @@
 			var file any
 			is.NoErr(json.Unmarshal([]byte(text), &file))
 			is.NoErr(check(file))
-			mutate("", file, func(field string, wrong any) {
+			replaceEachValue("", file, func(field string, wrong any) {
 				if check(file) == nil {
 					t.Errorf("%s: %v is accepted", field, wrong)
 				}
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -103,10 +103,10 @@
 		parser.WriteHelp(t.out)
 		return exitUsage
 	}
-	return parsed.dispatch(t)
+	return parsed.runSubcommand(t)
 }
 
-func (a *arguments) dispatch(t terminal) int {
+func (a *arguments) runSubcommand(t terminal) int {
 	switch {
 	case a.Entry != nil:
 		return a.Entry.runEntry(t)
@@ -158,9 +158,9 @@
 	return exitOK
 }
 
-// signals delivers interrupts and terminations; the context is for commands that
+// notifySignals delivers interrupts and terminations; the context is for commands that
 // simply stop.
-func signals() (context.Context, chan os.Signal, func()) {
+func notifySignals() (context.Context, chan os.Signal, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, os.Interrupt, syscall.SIGTERM)
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -23,21 +23,21 @@
 	Verbose  bool    `arg:"--verbose" help:"show the nodes' logs"`
 }
 
-// demoLength is one row of the demo's load.
-type demoLength struct {
-	tokens int
-	share  float64 // of the requests
+// demoPromptLength is one row of the demo's load.
+type demoPromptLength struct {
+	tokens       int
+	requestShare float64 // of the requests
 }
 
-// demoLengths mixes the lengths of both users' workloads; one request of each of
+// demoPromptLengths mixes the lengths of both users' workloads; one request of each of
 // the last two is always sent.
-var demoLengths = []demoLength{{1_000, 0.5}, {4_000, 0.3}, {16_000, 0.18}, {100_000, 0.02}, {1_000_000, 0}}
+var demoPromptLengths = []demoPromptLength{{1_000, 0.5}, {4_000, 0.3}, {16_000, 0.18}, {100_000, 0.02}, {1_000_000, 0}}
 
 // demoRow is one line of the result.
 type demoRow struct {
 	PromptTokens int   `json:"prompt_tokens"`
 	Requests     int   `json:"requests"`
-	Whole        int   `json:"whole"`
+	Complete     int   `json:"whole"`
 	P50MS        int64 `json:"first_token_p50_ms"`
 	P95MS        int64 `json:"first_token_p95_ms"`
 	MaxMS        int64 `json:"first_token_max_ms"`
@@ -54,7 +54,7 @@
 	if c.Verbose {
 		log, _ = zap.NewDevelopment()
 	}
-	ctx, ch, cancel := signals()
+	ctx, ch, cancel := notifySignals()
 	defer cancel()
 	go func() {
 		<-ch
@@ -68,7 +68,7 @@
 	if err != nil {
 		return t.failf("%v", err)
 	}
-	results := c.load(ctx, t, fleet)
+	results := c.sendLoad(ctx, t, fleet)
 	rows, whole := tabulate(results)
 	held, leftovers := fleet.HeldTokens(ctx)
 	if c.JSON {
@@ -107,15 +107,15 @@
 type demoResult struct {
 	tokens     int
 	firstToken time.Duration
-	whole      bool
+	complete   bool
 	detail     string
 }
 
-// load sends the mix and returns what came back.
-func (c *demoCommand) load(ctx context.Context, t terminal, fleet *bench.Fleet) []demoResult {
+// sendLoad sends the mix and returns what came back.
+func (c *demoCommand) sendLoad(ctx context.Context, t terminal, fleet *bench.Fleet) []demoResult {
 	var lengths []int
-	for _, l := range demoLengths {
-		for range max(1, int(l.share*float64(c.Requests))) {
+	for _, l := range demoPromptLengths {
+		for range max(1, int(l.requestShare*float64(c.Requests))) {
 			lengths = append(lengths, l.tokens)
 		}
 	}
@@ -126,12 +126,12 @@
 	done := 0
 	for i, tokens := range lengths {
 		sending.Go(func() {
-			results[i] = demoOne(ctx, fleet, i, tokens)
+			results[i] = sendDemoRequest(ctx, fleet, i, tokens)
 			mu.Lock()
 			defer mu.Unlock()
 			done++
 			fmt.Fprintf(t.err, "\r%d of %d answers", done, len(lengths))
-			if !results[i].whole {
+			if !results[i].complete {
 				fmt.Fprintf(t.err, "; request %d (%d tokens): %s\n", i, tokens, results[i].detail)
 			}
 		})
@@ -142,7 +142,7 @@
 	return results
 }
 
-func demoOne(ctx context.Context, fleet *bench.Fleet, i, tokens int) demoResult {
+func sendDemoRequest(ctx context.Context, fleet *bench.Fleet, i, tokens int) demoResult {
 	prompt := bench.Prompt(uint64(i), tokens)
 	answer, err := fleet.Complete(ctx, bench.Completion{
 		Entry: i, Kind: bench.KindFor(tokens), Prompt: prompt, MaxTokens: demoOutputTokens, Deadline: demoDeadline,
@@ -154,7 +154,7 @@
 	case answer.Text != standin.Answer(prompt, demoOutputTokens):
 		r.detail = "the answer differs from the engine's text"
 	default:
-		r.whole = true
+		r.complete = true
 	}
 	return r
 }
@@ -162,7 +162,7 @@
 func tabulate(results []demoResult) ([]demoRow, bool) {
 	whole := true
 	var rows []demoRow
-	for _, l := range demoLengths {
+	for _, l := range demoPromptLengths {
 		histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		row := demoRow{PromptTokens: l.tokens}
 		for _, r := range results {
@@ -170,11 +170,11 @@
 				continue
 			}
 			row.Requests++
-			if !r.whole {
+			if !r.complete {
 				whole = false
 				continue
 			}
-			row.Whole++
+			row.Complete++
 			_ = histogram.RecordValue(r.firstToken.Microseconds())
 		}
 		ms := func(quantile float64) int64 { return histogram.ValueAtQuantile(quantile) / 1000 }
@@ -188,6 +188,6 @@
 	fmt.Fprintf(t.out, "%14s %9s %6s   %s\n", "prompt tokens", "requests", "whole", "time to first token: p50, p95, max (ms)")
 	fmt.Fprintln(t.out, strings.Repeat("-", 74))
 	for _, row := range rows {
-		fmt.Fprintf(t.out, "%14d %9d %6d   %8d %8d %8d\n", row.PromptTokens, row.Requests, row.Whole, row.P50MS, row.P95MS, row.MaxMS)
+		fmt.Fprintf(t.out, "%14d %9d %6d   %8d %8d %8d\n", row.PromptTokens, row.Requests, row.Complete, row.P50MS, row.P95MS, row.MaxMS)
 	}
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -20,22 +20,22 @@
 }
 
 func (c *experimentCommand) run(t terminal) int {
-	ctx, interrupts, cancel := signals()
+	ctx, interrupts, cancel := notifySignals()
 	defer cancel()
 	go func() {
 		<-interrupts
 		cancel()
 	}()
-	return c.play(ctx, t)
+	return c.runUntilDone(ctx, t)
 }
 
-// play runs the experiment until it is done or ctx ends; what was played by then is written.
-func (c *experimentCommand) play(ctx context.Context, t terminal) int {
-	file, err := c.read()
+// runUntilDone runs the experiment until it is done or ctx ends; what was played by then is written.
+func (c *experimentCommand) runUntilDone(ctx context.Context, t terminal) int {
+	file, err := c.readFile()
 	if err != nil {
 		return t.failf("%s: %v", c.File, err)
 	}
-	lines, err := c.create()
+	lines, err := c.createOutput()
 	if err != nil {
 		return t.failf("%v", err)
 	}
@@ -79,7 +79,7 @@
 	return exitOK
 }
 
-func (c *experimentCommand) read() (*experiment.File, error) {
+func (c *experimentCommand) readFile() (*experiment.File, error) {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -93,8 +93,8 @@
 	return strings.TrimSuffix(base, filepath.Ext(base))
 }
 
-// create makes the file of plays; nil where none is asked for.
-func (c *experimentCommand) create() (*os.File, error) {
+// createOutput makes the file of plays; nil where none is asked for.
+func (c *experimentCommand) createOutput() (*os.File, error) {
 	if c.Out == "" {
 		return nil, nil
 	}
--- a/cli/experiment_test.go
+++ b/cli/experiment_test.go
@@ -22,11 +22,11 @@
 	return path
 }
 
-func TestAnExperimentIsPlayedAndWritten(t *testing.T) {
+func TestExperimentIsRunAndWritten(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
 	c := &experimentCommand{File: writeExperiment(t, quickExperiment), Out: t.TempDir()}
-	is.Equal(c.play(context.Background(), terminal{out: &out, err: &errs}), exitOK)
+	is.Equal(c.runUntilDone(context.Background(), terminal{out: &out, err: &errs}), exitOK)
 	is.True(strings.Contains(out.String(), "| random sites | random | 4 |"))
 	is.True(strings.Contains(errs.String(), "8 of 8 plays"))
 	lines, err := os.ReadFile(filepath.Join(c.Out, "quick.jsonl"))
@@ -37,25 +37,25 @@
 	is.True(strings.Contains(string(page), "![worth](quick.svg)"))
 }
 
-func TestABadExperimentIsOneClearError(t *testing.T) {
+func TestInvalidExperimentNamesItsFields(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
 	c := &experimentCommand{File: writeExperiment(t, `{"name":"x","seeds":0,"policies":[]}`)}
-	is.Equal(c.play(context.Background(), terminal{out: &out, err: &errs}), exitFailed)
+	is.Equal(c.runUntilDone(context.Background(), terminal{out: &out, err: &errs}), exitFailed)
 	for _, field := range []string{`"seeds"`, `"policies"`, `"sites"`} {
 		is.True(strings.Contains(errs.String(), field))
 	}
 	c.File = filepath.Join(t.TempDir(), "none.json")
-	is.Equal(c.play(context.Background(), terminal{out: &out, err: &errs}), exitFailed)
+	is.Equal(c.runUntilDone(context.Background(), terminal{out: &out, err: &errs}), exitFailed)
 }
 
 // An interrupt ends an experiment; it says so and exits as failed.
-func TestAnInterruptedExperimentSaysSo(t *testing.T) {
+func TestInterruptedExperimentFails(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	c := &experimentCommand{File: writeExperiment(t, quickExperiment), Quiet: true}
-	is.Equal(c.play(ctx, terminal{out: &out, err: &errs}), exitFailed)
+	is.Equal(c.runUntilDone(ctx, terminal{out: &out, err: &errs}), exitFailed)
 	is.True(strings.Contains(errs.String(), "stopped before the end"))
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -55,43 +55,43 @@
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	for i := range lines {
-		fmt.Fprintln(t.out, lines[i].tell(lines[0].Time))
+		fmt.Fprintln(t.out, lines[i].format(lines[0].Time))
 	}
-	for _, line := range pause(lines, placed) {
+	for _, line := range describePause(lines, placed) {
 		fmt.Fprintln(t.out, line)
 	}
 	return exitOK
 }
 
 const (
-	// pauseTold is from which length on a stream's longest pause is looked into.
-	pauseTold = 200 * time.Millisecond
-	// pauseBefore is how long before a pause the prompts were placed that are told.
-	pauseBefore = time.Second
-	// pauseMost is how many of them are told, those with the longest prefill.
-	pauseMost = 5
+	// minDescribedPause is from which length on a stream's longest pause is looked into.
+	minDescribedPause = 200 * time.Millisecond
+	// placedBeforePause is how long before a pause the prompts were placed that are told.
+	placedBeforePause = time.Second
+	// maxDescribedPlacements is how many of them are told, those with the longest prefill.
+	maxDescribedPlacements = 5
 )
 
-// pause tells which other prompts were to be prefilled on a stream's engine about the
-// time of its longest pause: an engine prefills before it gives the next event.
-func pause(lines, placed []logLine) []string {
+// describePause tells which other prompts were to be prefilled on a stream's engine about the
+// time of its longest describePause: an engine prefills before it gives the next event.
+func describePause(lines, placed []logLine) []string {
 	end := &lines[len(lines)-1]
 	length := end.duration("gap_ms")
-	if end.Event != "request_ended" || length < pauseTold {
+	if end.Event != "request_ended" || length < minDescribedPause {
 		return nil
 	}
 	to := end.Time.Add(end.duration("gap_end_ms") - end.duration("took_ms"))
 	from := to.Add(-length)
 	var there []logLine
 	for _, l := range placed {
-		if l.at(end.get("endpoint")) && l.Time.After(from.Add(-pauseBefore)) && l.Time.Before(to) {
+		if l.prefillsAt(end.text("endpoint")) && l.Time.After(from.Add(-placedBeforePause)) && l.Time.Before(to) {
 			there = append(there, l)
 		}
 	}
 	slices.SortStableFunc(there, func(a, b logLine) int { return cmp.Compare(b.number("prefill_ms"), a.number("prefill_ms")) })
-	told := []string{fmt.Sprintf("placed at %s from 1 s before that pause to its end, by the logs given: %d", end.get("endpoint"), len(there))}
-	for _, l := range there[:min(len(there), pauseMost)] {
-		told = append(told, fmt.Sprintf("    request %s by %s, %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.ms("prefill_ms"), l.helpers()))
+	told := []string{fmt.Sprintf("placed at %s from 1 s before that pause to its end, by the logs given: %d", end.text("endpoint"), len(there))}
+	for _, l := range there[:min(len(there), maxDescribedPlacements)] {
+		told = append(told, fmt.Sprintf("    request %s by %s, %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.milliseconds("prefill_ms"), l.helperCountText()))
 	}
 	return told
 }
@@ -106,16 +106,16 @@
 	return time.Duration(l.number(name) * float64(time.Millisecond))
 }
 
-// at tells whether a placed request is prefilled at an endpoint, as the first or as a
+// prefillsAt tells whether a placed request is prefilled prefillsAt an endpoint, as the first or as a
 // helper.
-func (l *logLine) at(endpoint string) bool {
+func (l *logLine) prefillsAt(endpoint string) bool {
 	return slices.Contains(l.endpoints(), endpoint)
 }
 
 // endpoints are those that a placed request is prefilled at, the one that it was sent to
 // first.
 func (l *logLine) endpoints() []string {
-	list := []string{l.get("endpoint")}
+	list := []string{l.text("endpoint")}
 	helpers, _ := l.fields["helpers"].([]any)
 	for _, helper := range helpers {
 		if name, ok := helper.(string); ok {
@@ -167,34 +167,34 @@
 	return lines, nil
 }
 
-// tell puts a line into words; times are from start.
-func (l *logLine) tell(start time.Time) string {
-	return fmt.Sprintf("%10.1f ms  %s  %s", float64(l.Time.Sub(start).Microseconds())/1000, l.Node, l.words())
+// format puts a line into words; times are from start.
+func (l *logLine) format(start time.Time) string {
+	return fmt.Sprintf("%10.1f ms  %s  %s", float64(l.Time.Sub(start).Microseconds())/1000, l.Node, l.describe())
 }
 
-func (l *logLine) words() string {
+func (l *logLine) describe() string {
 	switch l.Event {
 	case "queue_left":
-		return fmt.Sprintf("long prompt: its turn after %s (first token expected after %s; %s others still wait)", l.ms("waited_ms"), l.ms("expected_ms"), l.get("waiting"))
+		return fmt.Sprintf("long prompt: its turn after %s (first token expected after %s; %s others still wait)", l.milliseconds("waited_ms"), l.milliseconds("expected_ms"), l.text("waiting"))
 	case "queue_refused":
-		return fmt.Sprintf("long prompt: its first token is expected after %s, at most %s is accepted; refused after %s", l.ms("expected_ms"), l.ms("limit_ms"), l.ms("waited_ms"))
+		return fmt.Sprintf("long prompt: its first token is expected after %s, at most %s is accepted; refused after %s", l.milliseconds("expected_ms"), l.milliseconds("limit_ms"), l.milliseconds("waited_ms"))
 	case "capacity_refused":
-		return fmt.Sprintf("no room: %s of prefill on each of %s engines, on which %s requests are open, %s of which it would make late", l.ms("prefill_ms"), l.get("engines"), l.get("open"), l.get("harmed"))
+		return fmt.Sprintf("no room: %s of prefill on each of %s engines, on which %s requests are open, %s of which it would make late", l.milliseconds("prefill_ms"), l.text("engines"), l.text("open"), l.text("harmed"))
 	case "placed":
-		return fmt.Sprintf("placed at %s of %s, out of %s by the list at revision %s; estimated delay %s, prefill %s%s", l.get("endpoint"), l.get("service"), l.get("candidates"), l.get("at"), l.ms("cost_ms"), l.ms("prefill_ms"), l.helpers())
+		return fmt.Sprintf("placed at %s of %s, out of %s by the list at revision %s; estimated delay %s, prefill %s%s", l.text("endpoint"), l.text("service"), l.text("candidates"), l.text("at"), l.milliseconds("cost_ms"), l.milliseconds("prefill_ms"), l.helperCountText())
 	case "memory_reserved":
-		return fmt.Sprintf("KV cache reserved at %s helpers (%s refused): %s of %s tokens", l.get("helpers"), l.get("refused"), l.get("tokens"), l.get("needed"))
+		return fmt.Sprintf("KV cache reserved at %s helpers (%s refused): %s of %s tokens", l.text("helpers"), l.text("refused"), l.text("tokens"), l.text("needed"))
 	case "attempt_failed":
-		return fmt.Sprintf("%s: %s (%s); then: %s, after %s arrivals", l.get("endpoint"), l.get("outcome"), l.get("error"), l.get("next"), l.get("arrivals"))
+		return fmt.Sprintf("%s: %s (%s); then: %s, after %s arrivals", l.text("endpoint"), l.text("outcome"), l.text("error"), l.text("next"), l.text("arrivals"))
 	case "caller_lost":
-		return "the caller did not take the answer: " + l.get("error")
+		return "the caller did not take the answer: " + l.text("error")
 	case "request_ended":
-		return l.ending()
+		return l.describeEnd()
 	}
 	return l.Event
 }
 
-func (l *logLine) helpers() string {
+func (l *logLine) helperCountText() string {
 	list, _ := l.fields["helpers"].([]any)
 	if len(list) == 0 {
 		return ""
@@ -202,22 +202,22 @@
 	return fmt.Sprintf(" on each of %d engines", len(list)+1)
 }
 
-func (l *logLine) ending() string {
+func (l *logLine) describeEnd() string {
 	var b strings.Builder
 	code := l.number("code")
 	info := result.Lookup(result.Code(code))
-	fmt.Fprintf(&b, "ended after %s: %s (%d), HTTP %d", l.ms("took_ms"), info.Name, int(code), info.HTTPStatus)
-	if ran := l.get("ran"); ran != "" {
-		fmt.Fprintf(&b, "; ran: %s; %s", ran, l.get("detail"))
+	fmt.Fprintf(&b, "ended after %s: %s (%d), HTTP %d", l.milliseconds("took_ms"), info.Name, int(code), info.HTTPStatus)
+	if ran := l.text("ran"); ran != "" {
+		fmt.Fprintf(&b, "; ran: %s; %s", ran, l.text("detail"))
 	}
-	if l.get("first_ms") != "" {
-		fmt.Fprintf(&b, "; first event after %s, longest pause %s (it ended at %s), %s events", l.ms("first_ms"), l.ms("gap_ms"), l.ms("gap_end_ms"), l.get("events"))
+	if l.text("first_ms") != "" {
+		fmt.Fprintf(&b, "; first event after %s, longest pause %s (it ended at %s), %s events", l.milliseconds("first_ms"), l.milliseconds("gap_ms"), l.milliseconds("gap_end_ms"), l.text("events"))
 	}
-	fmt.Fprintf(&b, "; route %s, configuration %s, prompt of %s tokens", l.get("route"), l.get("config"), l.get("prompt_tokens"))
+	fmt.Fprintf(&b, "; route %s, configuration %s, prompt of %s tokens", l.text("route"), l.text("config"), l.text("prompt_tokens"))
 	return b.String()
 }
 
-func (l *logLine) get(name string) string {
+func (l *logLine) text(name string) string {
 	value, found := l.fields[name]
 	if !found {
 		return ""
@@ -228,4 +228,4 @@
 	return fmt.Sprint(value)
 }
 
-func (l *logLine) ms(name string) string { return l.get(name) + " ms" }
+func (l *logLine) milliseconds(name string) string { return l.text(name) + " ms" }
--- a/cli/explain_test.go
+++ b/cli/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-const storyLog = `  1.2 edge-1 {"level":"info","time":"2026-04-12T21:25:27.5Z","event":"attempt_failed","node":"g1","endpoint":"i-1","outcome":"broken","arrivals":1,"next":"fail","error":"read answer: EOF","request":"q1"}
+const sampleLog = `  1.2 edge-1 {"level":"info","time":"2026-04-12T21:25:27.5Z","event":"attempt_failed","node":"g1","endpoint":"i-1","outcome":"broken","arrivals":1,"next":"fail","error":"read answer: EOF","request":"q1"}
 {"level":"info","time":"2026-04-12T21:25:27.4Z","event":"placed","node":"g1","endpoint":"i-1","service":"s","at":29,"candidates":23,"cost_ms":22,"prefill_ms":22.1,"helpers":["i-2","i-3"],"request":"q1"}
 not a line
 {"level":"info","time":"2026-04-12T21:25:27.6Z","event":"request_ended","node":"g1","code":4003,"took_ms":200.5,"config":8,"route":"r","endpoint":"i-1","prompt_tokens":3279,"ran":"unknown","detail":"EOF","retry_after_ms":0,"request":"q1"}
@@ -29,9 +29,9 @@
 	return code, o.String(), e.String()
 }
 
-func TestAStoryIsToldInOrder(t *testing.T) {
+func TestExplainPrintsEventsInOrder(t *testing.T) {
 	is := is.New(t)
-	code, out, _ := explain(t, "q1", storyLog)
+	code, out, _ := explain(t, "q1", sampleLog)
 	is.Equal(code, exitOK)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	is.Equal(len(lines), 3)
@@ -41,9 +41,9 @@
 	is.True(strings.Contains(lines[2], "endpoint_failed (4003), HTTP 502; ran: unknown"))
 }
 
-func TestWhatCannotBeExplainedIsSaid(t *testing.T) {
+func TestExplainReportsMissingRequestOrLog(t *testing.T) {
 	is := is.New(t)
-	code, _, err := explain(t, "nobody", storyLog)
+	code, _, err := explain(t, "nobody", sampleLog)
 	is.Equal(code, exitFailed)
 	is.True(strings.Contains(err, `no line of request "nobody"`))
 	code, _, err = explain(t, "q1", "hello\n")
@@ -55,7 +55,7 @@
 }
 
 // Unknown fields at the top of a catalogue file are refused, as in records.
-func TestACatalogueFileWithAnAddedFieldIsRefused(t *testing.T) {
+func TestUnknownFieldInCatalogueFileIsRejected(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"citara", "keelung"} {
 		data, err := os.ReadFile("../examples/" + name + "/catalogue.json")
@@ -85,7 +85,7 @@
 	is.Equal(run([]string{"report", "days", "--out", dir, filepath.Join(dir, "days.md")}, terminal{out: &o, err: &e}), exitFailed)
 }
 
-const lossLog = `{"level":"info","time":"2026-04-12T21:25:20Z","event":"start","node":"g1"}
+const sampleLossLog = `{"level":"info","time":"2026-04-12T21:25:20Z","event":"start","node":"g1"}
 {"level":"info","time":"2026-04-12T21:25:27.4Z","event":"placed","node":"g1","endpoint":"i-1","service":"s","prefill_ms":300,"helpers":["i-2"],"request":"long1"}
 {"level":"info","time":"2026-04-12T21:25:27.9Z","event":"request_ended","node":"g1","code":1000,"took_ms":500,"route":"long","endpoint":"i-1","prompt_tokens":150000,"late":"no","first_ms":400,"gap_ms":50,"gap_end_ms":450,"request":"long1"}
 {"level":"info","time":"2026-04-12T21:25:27Z","event":"placed","node":"g1","endpoint":"i-2","service":"s","prefill_ms":20,"helpers":[],"request":"q1"}
@@ -94,7 +94,7 @@
 `
 
 // Each refusal of a prompt is put down to what the log says of it, by the prompt's size.
-func TestLossesAreReportedByTheSizeOfPrompts(t *testing.T) {
+func TestLossesAreReportedByPromptSize(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	var log strings.Builder
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	dir := t.TempDir()
 	log, played := filepath.Join(dir, "log"), filepath.Join(dir, "played.json")
-	is.NoErr(os.WriteFile(log, []byte(lossLog), 0o600))
+	is.NoErr(os.WriteFile(log, []byte(sampleLossLog), 0o600))
 	is.NoErr(os.WriteFile(played, []byte(`{"G":0.75,"classes":[{"name":"short","n":2,"worth":0.5}],"prices":[["orders",3,0.01]]}`), 0o600))
 	var o, e bytes.Buffer
 	is.Equal(run([]string{"report", "losses", "--out", dir, "--name", "day", "--played", played, log}, terminal{out: &o, err: &e}), exitOK)
--- a/cli/gateway.go
+++ b/cli/gateway.go
@@ -15,8 +15,8 @@
 // roleGateway is the role's name in logs.
 const roleGateway = "gateway"
 
-// logClose bounds the wait for the last lines of the log.
-const logClose = 200 * time.Millisecond
+// logCloseTimeout bounds the wait for the last lines of the log.
+const logCloseTimeout = 200 * time.Millisecond
 
 func (c *nodeCommand) loadGateway() (settings.Gateway, error) {
 	var s settings.Gateway
@@ -25,7 +25,7 @@
 }
 
 func (c *nodeCommand) runGateway(t terminal) int {
-	ctx, ch, cancel := signals()
+	ctx, ch, cancel := notifySignals()
 	defer cancel()
 	signal.Notify(ch, syscall.SIGHUP)
 	s, err := c.loadGateway()
@@ -35,7 +35,7 @@
 	writer := eventlog.NewWriter(os.Stdout)
 	defer func() {
 		timeout := make(chan struct{})
-		time.AfterFunc(logClose, func() { close(timeout) })
+		time.AfterFunc(logCloseTimeout, func() { close(timeout) })
 		writer.Close(timeout)
 	}()
 	store := platform.NewStore(s.Store, gateway.Dialer(s.StoreTimeout.D()))
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -20,7 +20,7 @@
 }
 
 func (c *reportLosses) run(t terminal) int {
-	played, err := c.played()
+	played, err := c.readPlayed()
 	if err != nil {
 		return t.failf("%v", err)
 	}
@@ -40,8 +40,8 @@
 	return exitOK
 }
 
-// played reads the users' report; nil where none is named.
-func (c *reportLosses) played() (*days.Played, error) {
+// readPlayed reads the users' report; nil where none is named.
+func (c *reportLosses) readPlayed() (*days.Played, error) {
 	if c.Played == "" {
 		return nil, nil
 	}
@@ -52,16 +52,16 @@
 	return journal.DecodeReport(data)
 }
 
-// course is what the log tells of a request before its end.
-type course struct {
+// requestTrace is what the log tells of a request before its end.
+type requestTrace struct {
 	// placed is the last plan.
 	placed           *logLine
 	waited, expected time.Duration
 	refusal          losses.Refusal
 }
 
-// note takes in a line of the request.
-func (c *course) note(l *logLine) {
+// add takes in a line of the request.
+func (c *requestTrace) add(l *logLine) {
 	switch l.Event {
 	case "placed":
 		if c.placed == nil || c.placed.Time.Before(l.Time) {
@@ -84,20 +84,20 @@
 // starts of processes.
 func lossRecords(lines []logLine) *losses.Records {
 	records := &losses.Records{}
-	courses := map[string]*course{}
+	courses := map[string]*requestTrace{}
 	for i := range lines {
 		l := &lines[i]
 		if l.Event == "start" {
 			records.Starts = append(records.Starts, l.Time)
 		}
-		if courses[l.key()] == nil {
-			courses[l.key()] = &course{}
+		if courses[l.requestKey()] == nil {
+			courses[l.requestKey()] = &requestTrace{}
 		}
-		courses[l.key()].note(l)
+		courses[l.requestKey()].add(l)
 	}
 	for i := range lines {
 		if l := &lines[i]; l.Event == "request_ended" {
-			course := courses[l.key()]
+			course := courses[l.requestKey()]
 			request := lossRequest(l, course)
 			records.Requests = append(records.Requests, request)
 			if course.placed != nil {
@@ -108,17 +108,17 @@
 	return records
 }
 
-// key names one request at one gateway: a caller that comes back may use its ID again.
-func (l *logLine) key() string { return l.Node + " " + l.Request }
+// requestKey names one request at one gateway: a caller that comes back may use its ID again.
+func (l *logLine) requestKey() string { return l.Node + " " + l.Request }
 
-func lossRequest(l *logLine, course *course) losses.Request {
+func lossRequest(l *logLine, course *requestTrace) losses.Request {
 	code := result.Code(l.number("code"))
 	began := l.Time.Add(-l.duration("took_ms"))
 	status := result.Lookup(code).HTTPStatus
 	q := losses.Request{
-		ID: l.Request, Node: l.Node, Route: l.get("route"), Began: began, Ended: l.Time, PromptTokens: int(l.number("prompt_tokens")),
-		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, NotOwed: notOwed(code), Late: late(l.get("late")),
-		First: l.duration("first_ms"), Endpoint: l.get("endpoint"), Waited: course.waited, Expected: course.expected, Resumed: l.get("resumed") == "true",
+		ID: l.Request, Node: l.Node, Route: l.text("route"), Began: began, Ended: l.Time, PromptTokens: int(l.number("prompt_tokens")),
+		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, NotOwed: answerNotOwed(code), Late: parseLate(l.text("late")),
+		First: l.duration("first_ms"), Endpoint: l.text("endpoint"), Waited: course.waited, Expected: course.expected, Resumed: l.text("resumed") == "true",
 	}
 	if q.Refused {
 		q.Refusal = course.refusal
@@ -128,8 +128,8 @@
 	return q
 }
 
-// notOwed tells whether a caller had no claim to an answer, or took none.
-func notOwed(code result.Code) bool {
+// answerNotOwed tells whether a caller had no claim to an answer, or took none.
+func answerNotOwed(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
 		return true
@@ -137,8 +137,8 @@
 	return false
 }
 
-// late reads a log's word; plain answers have one way of being late.
-func late(word string) losses.Late {
+// parseLate reads a log's word; plain answers have one way of being parseLate.
+func parseLate(word string) losses.Late {
 	switch word {
 	case "answer", "first":
 		return losses.LateFirst
--- a/cli/node.go
+++ b/cli/node.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return t.failf("%v", err)
 	}
-	ctx, ch, cancel := signals()
+	ctx, ch, cancel := notifySignals()
 	defer cancel()
 	if err := e.Serve(ctx, ch); err != nil {
 		return t.failf("%v", err)
@@ -31,7 +31,7 @@
 	if err := settings.Load(c.Settings, &s); err != nil {
 		return t.failf("%v", err)
 	}
-	ctx, ch, cancel := signals()
+	ctx, ch, cancel := notifySignals()
 	defer cancel()
 	if err := agent.New(s, node.NewLogger(s.Name, membership.RoleAgent)).Serve(ctx, ch); err != nil {
 		return t.failf("%v", err)
--- a/cli/operators.go
+++ b/cli/operators.go
@@ -181,18 +181,18 @@
 	}
 	fmt.Fprintf(t.out, "%s/%s revision %d\n", kind, id, reply.Record.Revision)
 	if wait > 0 {
-		return a.await(t, path, reply.Record.Revision, wait)
+		return a.awaitSpread(t, path, reply.Record.Revision, wait)
 	}
 	return exitOK
 }
 
-const spreadPoll = 200 * time.Millisecond
+const spreadPollInterval = 200 * time.Millisecond
 
-// await waits until every known node has the revision, and names those that lag.
-func (a *operatorAccess) await(t terminal, path string, revision uint64, wait time.Duration) int {
+// awaitSpread waits until every known node has the revision, and names those that lag.
+func (a *operatorAccess) awaitSpread(t terminal, path string, revision uint64, wait time.Duration) int {
 	deadline := time.Now().Add(wait)
 	for {
-		lagging, total, err := a.lagging(path, revision)
+		lagging, total, err := a.laggingNodes(path, revision)
 		if err == nil && len(lagging) == 0 {
 			fmt.Fprintf(t.out, "in force on %d nodes\n", total)
 			return exitOK
@@ -200,11 +200,11 @@
 		if time.Now().After(deadline) {
 			return t.failf("not in force on %d of %d nodes: %s %v", len(lagging), total, strings.Join(lagging, ", "), err)
 		}
-		time.Sleep(spreadPoll)
+		time.Sleep(spreadPollInterval)
 	}
 }
 
-func (a *operatorAccess) lagging(path string, revision uint64) (names []string, total int, err error) {
+func (a *operatorAccess) laggingNodes(path string, revision uint64) (names []string, total int, err error) {
 	_, data, err := a.call(http.MethodGet, fmt.Sprintf("%s/spread?revision=%d", path, revision), nil, 0)
 	if err != nil {
 		return nil, 0, err
--- a/cli/report.go
+++ b/cli/report.go
@@ -107,7 +107,7 @@
 		return c.collectEntries(operatorAccess{Entry: c.Entry, Key: c.Key})
 	}
 	collector := burn.NewCollector(nil)
-	collector.SetShare(c.Share)
+	collector.SetDefaultShare(c.Share)
 	for _, addr := range c.Gateways {
 		scrape(collector, addr, addr)
 	}
@@ -163,11 +163,11 @@
 	client := &http.Client{Timeout: scrapeTimeout}
 	response, err := client.Get("http://" + addr + "/metrics")
 	if err != nil {
-		collector.Missing(name)
+		collector.AddUnreachable(name)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	if collector.Add(name, response.Body) != nil {
-		collector.Missing(name)
+		collector.AddUnreachable(name)
 	}
 }
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return t.failf("%v", err)
 	}
-	ctx, ch, cancel := signals()
+	ctx, ch, cancel := notifySignals()
 	defer cancel()
 	go func() {
 		<-ch
--- a/entry/call.go
+++ b/entry/call.go
@@ -43,7 +43,7 @@
 	attempts     uint32
 }
 
-func (c *call) class() admission.Class { return c.kind.Work.ClassOf() }
+func (c *call) class() admission.Class { return c.kind.Work.AdmissionClass() }
 
 func (c *call) remaining() time.Duration { return time.Until(c.deadline) }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,7 +49,7 @@
 	inFlight  *inFlightCounts
 	recent    *recentRequests
 	// objectives counts good and bad events for the report on service-level burn.
-	objectives       *window.Windows
+	objectives       *window.Counter
 	powerCoordinator *powerCoordinator
 	lending          *limitLending
 	// callerConns are those of callers.
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -49,7 +49,7 @@
 	if objective == nil || code != result.OK && code < minSystemFaultCode || code == result.Cancelled {
 		return
 	}
-	e.objectives.Register(e.metrics, "aspenyard_entry_objective_events", labels, code == result.OK && c.metTarget(objective.FirstToken.D()))
+	e.objectives.Record(e.metrics, "aspenyard_entry_objective_events", labels, code == result.OK && c.metTarget(objective.FirstToken.D()))
 }
 
 // minSystemFaultCode is the lowest code that is not the caller's own fault.
--- a/entry/once.go
+++ b/entry/once.go
@@ -238,7 +238,7 @@
 		current, err := attempt.DecodeClaim(data)
 		return err == nil && current != nil && current.Attempt == next.Attempt && current.State == next.State
 	}
-	return infra.Swap(ctx, o.entry.store, o.claimKey, known, change, mine)
+	return infra.Update(ctx, o.entry.store, o.claimKey, known, change, mine)
 }
 
 func sameClaim(a, b *attempt.Claim) bool {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -137,7 +137,7 @@
 		return
 	case err != nil:
 		ran := result.RanUnknown
-		if errors.Is(err, catalogue.ErrOldStore) {
+		if errors.Is(err, catalogue.ErrStalePage) {
 			ran = result.RanNo
 		}
 		writeError(w, c, &result.Error{Code: result.StoreUnavailable, Ran: ran, RetryAfter: storeRetryAfter, Detail: err.Error()})
@@ -146,7 +146,7 @@
 	if err := e.catalogue.ApplyPage(r.Context(), outcome.Number, outcome.Page); err != nil {
 		e.log.Warn("edit not in force here yet", zap.String("record", record.Key()), zap.Error(err))
 	}
-	if err := catalogue.Remember(r.Context(), e.store, outcome.Current); err != nil {
+	if err := catalogue.AppendHistory(r.Context(), e.store, outcome.Current); err != nil {
 		e.log.Warn("history not written", zap.String("record", record.Key()), zap.Error(err))
 	}
 	e.log.Info("catalogue edited", zap.String("record", record.Key()), zap.Uint64("revision", outcome.Current.Revision), zap.String("operator", operator))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -58,7 +58,7 @@
 	peerLoop       atomic.Pointer[membership.Loop]
 	active         atomic.Int64
 	releasing      atomic.Int64 // requests whose memory is being given back
-	objectives     *window.Windows
+	objectives     *window.Counter
 	// configAppliedAt is when the configuration came into force, storeAnsweredAt when the store last
 	// answered, both in nanoseconds since start.
 	configAppliedAt, storeAnsweredAt atomic.Int64
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -108,7 +108,7 @@
 	g.metrics.GetOrCreatePrometheusHistogramExt(fmt.Sprintf(`aspenyard_gateway_request_seconds{class=%q}`, class), latencyBuckets).Update(took.Seconds())
 	if c.route != nil && c.route.Target > 0 && code != result.Cancelled {
 		good := code == result.OK && late == onTime
-		g.objectives.Register(g.metrics, "aspenyard_gateway_objective_events", fmt.Sprintf("kind=%q", class), good)
+		g.objectives.Record(g.metrics, "aspenyard_gateway_objective_events", fmt.Sprintf("kind=%q", class), good)
 	}
 	if c.firstByteAt.IsZero() {
 		return
--- a/infra/consul/client.go
+++ b/infra/consul/client.go
@@ -60,7 +60,7 @@
 func (c *Client) read(ctx context.Context, key string, query url.Values, timeout time.Duration) (infra.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, body, err := c.call(ctx, http.MethodGet, "/v1/kv/"+key, query, nil)
+	status, body, err := c.send(ctx, http.MethodGet, "/v1/kv/"+key, query, nil)
 	if err != nil {
 		return infra.Value{}, errors.Wrapf(infra.ErrUnavailable, "get %s: %v", key, err)
 	}
@@ -86,16 +86,16 @@
 	sent := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }})
 	query := url.Values{"cas": {strconv.FormatUint(revision, 10)}}
-	status, body, err := c.call(ctx, http.MethodPut, "/v1/kv/"+key, query, data)
+	status, body, err := c.send(ctx, http.MethodPut, "/v1/kv/"+key, query, data)
 	switch {
 	case err != nil && sent:
-		return errors.Wrapf(infra.ErrUnclear, "put %s: %v", key, err)
+		return errors.Wrapf(infra.ErrOutcomeUnknown, "put %s: %v", key, err)
 	case err != nil:
 		return errors.Wrapf(infra.ErrUnavailable, "put %s: %v", key, err)
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		return errors.Wrapf(infra.ErrUnavailable, "put %s: HTTP status %d", key, status)
 	case status != http.StatusOK:
-		return errors.Wrapf(infra.ErrUnclear, "put %s: HTTP status %d", key, status)
+		return errors.Wrapf(infra.ErrOutcomeUnknown, "put %s: HTTP status %d", key, status)
 	case strings.TrimSpace(string(body)) != "true":
 		return errors.Wrapf(infra.ErrConflict, "put %s at revision %d", key, revision)
 	}
@@ -113,7 +113,7 @@
 func (c *Client) VMs(ctx context.Context) ([]infra.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	status, body, err := c.call(ctx, http.MethodGet, "/v1/catalog/nodes", nil, nil)
+	status, body, err := c.send(ctx, http.MethodGet, "/v1/catalog/nodes", nil, nil)
 	if err != nil {
 		return nil, errors.Wrapf(infra.ErrUnavailable, "list VMs: %v", err)
 	}
@@ -134,7 +134,7 @@
 	return vms, nil
 }
 
-func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
+func (c *Client) send(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
 	target := c.base + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -19,9 +19,9 @@
 // ErrUnavailable is returned when the store certainly did not apply the call.
 var ErrUnavailable = errors.New("infra: store unavailable")
 
-// ErrUnclear is returned when a write may or may not have taken effect. The
+// ErrOutcomeUnknown is returned when a write may or may not have taken effect. The
 // caller settles it by reading the key back.
-var ErrUnclear = errors.New("infra: outcome of write unclear")
+var ErrOutcomeUnknown = errors.New("infra: outcome of write unclear")
 
 // Value is a stored value and its revision. Revision 0 means: no such key.
 type Value struct {
@@ -58,7 +58,7 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// Swap changes a key by compare-and-swap, settling unclear writes by reading
+// Update changes a key by compare-and-swap, settling unclear writes by reading
 // back, and repeats after a conflict, at most maxSwapTries times.
 //
 // known is the value that the caller has just read, to save a read; nil to read
@@ -66,9 +66,9 @@
 // stop ends the swap without a write. mine tells whether data read back is what
 // this call wrote: without it, a lost answer followed by another try would apply
 // the change twice.
-func Swap(ctx context.Context, store Store, key string, known *Value, change Change, mine func(data []byte) bool) error {
-	for try := 0; try < maxSwapTries; try++ {
-		current, err := read(ctx, store, key, known)
+func Update(ctx context.Context, store Store, key string, known *Value, change UpdateFunc, mine func(data []byte) bool) error {
+	for try := 0; try < maxUpdateTries; try++ {
+		current, err := readUnlessKnown(ctx, store, key, known)
 		if err != nil {
 			return err
 		}
@@ -84,21 +84,21 @@
 		if err == nil {
 			return nil
 		}
-		if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrUnclear) {
+		if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrOutcomeUnknown) {
 			return err
 		}
 	}
 	return errors.Wrapf(ErrConflict, "key %s kept changing", key)
 }
 
-// Change makes a key's next data out of its current data.
-type Change func(current []byte) (next []byte, stop bool, err error)
+// UpdateFunc makes a key's next data out of its current data.
+type UpdateFunc func(current []byte) (next []byte, stop bool, err error)
 
-func read(ctx context.Context, store Store, key string, known *Value) (Value, error) {
+func readUnlessKnown(ctx context.Context, store Store, key string, known *Value) (Value, error) {
 	if known != nil {
 		return *known, nil
 	}
 	return store.Get(ctx, key)
 }
 
-const maxSwapTries = 16
+const maxUpdateTries = 16
--- a/mutation/cmd/aspenyard-mutate/main.go
+++ b/mutation/cmd/aspenyard-mutate/main.go
@@ -47,7 +47,7 @@
 			fmt.Printf("%s: %s must fail (%s)\n", m.Name, m.Test, m.File)
 			continue
 		}
-		outcome, err := tryOne(ctx, m, args.Root)
+		outcome, err := runMutation(ctx, m, args.Root)
 		if err != nil {
 			return err
 		}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func tryOne(ctx context.Context, m *mutation.Mutation, root string) (mutation.Outcome, error) {
+func runMutation(ctx context.Context, m *mutation.Mutation, root string) (mutation.Outcome, error) {
 	dir, err := os.MkdirTemp("", "aspenyard-mutate-")
 	if err != nil {
 		return "", err
--- a/mutation/mutation.go
+++ b/mutation/mutation.go
@@ -31,18 +31,18 @@
 }
 
 //go:embed mutations.json
-var listed []byte
+var mutationsJSON []byte
 
 // List gives the mutations of this workspace.
 func List() ([]Mutation, error) {
 	var list []Mutation
-	decoder := json.NewDecoder(bytes.NewReader(listed))
+	decoder := json.NewDecoder(bytes.NewReader(mutationsJSON))
 	decoder.DisallowUnknownFields()
 	return list, errors.WithStack(decoder.Decode(&list))
 }
 
-// Mutate gives the changed text of the mutation's file.
-func (m *Mutation) Mutate(text string) (string, error) {
+// Apply gives the changed text of the mutation's file.
+func (m *Mutation) Apply(text string) (string, error) {
 	if n := strings.Count(text, m.Old); n != 1 {
 		return "", errors.Errorf("%s: %d places in %s, one is needed", m.Name, n, m.File)
 	}
@@ -58,8 +58,8 @@
 	Killed Outcome = "killed"
 	// Survived: the test passed without the mechanism.
 	Survived Outcome = "survived"
-	// Broken: the changed code does not build, which shows nothing.
-	Broken Outcome = "does not build"
+	// BuildFailed: the changed code does not build, which shows nothing.
+	BuildFailed Outcome = "does not build"
 )
 
 // testTimeout bounds a test that hangs without its mechanism, which is a failure too.
@@ -72,7 +72,7 @@
 	if err := copyWorkspace(root, dir); err != nil {
 		return "", err
 	}
-	if out, err := m.test(ctx, dir); err != nil {
+	if out, err := m.runTest(ctx, dir); err != nil {
 		return "", errors.Errorf("%s fails without the mutation: %s", m.Test, out)
 	}
 	path := filepath.Join(dir, m.File)
@@ -80,25 +80,25 @@
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
-	changed, err := m.Mutate(string(text))
+	changed, err := m.Apply(string(text))
 	if err != nil {
 		return "", err
 	}
 	if err := os.WriteFile(path, []byte(changed), 0o644); err != nil {
 		return "", errors.WithStack(err)
 	}
-	out, err := m.test(ctx, dir)
+	out, err := m.runTest(ctx, dir)
 	switch {
 	case err == nil:
 		return Survived, nil
 	case strings.Contains(out, "[build failed]") || strings.Contains(out, "[setup failed]"):
-		return Broken, nil
+		return BuildFailed, nil
 	}
 	return Killed, ctx.Err()
 }
 
-// leftOut are entries of the workspace that no test needs.
-var leftOut = []string{".git", "journal", "bin", "docs"}
+// skippedEntries are entries of the workspace that no test needs.
+var skippedEntries = []string{".git", "journal", "bin", "docs"}
 
 func copyWorkspace(root, dir string) error {
 	entries, err := os.ReadDir(root)
@@ -111,7 +111,7 @@
 	for _, e := range entries {
 		from, to := filepath.Join(root, e.Name()), filepath.Join(dir, e.Name())
 		switch {
-		case slices.Contains(leftOut, e.Name()):
+		case slices.Contains(skippedEntries, e.Name()):
 		case e.IsDir():
 			if err := os.CopyFS(to, os.DirFS(from)); err != nil {
 				return errors.Wrap(err, "copy the workspace")
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// test runs the mutation's test and gives what it printed.
-func (m *Mutation) test(ctx context.Context, dir string) (string, error) {
+// runTest runs the mutation's runTest and gives what it printed.
+func (m *Mutation) runTest(ctx context.Context, dir string) (string, error) {
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-timeout", testTimeout.String(), "-run", "^"+m.Test+"$", m.Package)
 	cmd.Dir = dir
 	out, err := cmd.CombinedOutput()
--- a/mutation/mutation_test.go
+++ b/mutation/mutation_test.go
@@ -10,7 +10,7 @@
 )
 
 // The list cannot rot: each place that it changes is there once, and each test exists.
-func TestEveryMutationFitsTheCode(t *testing.T) {
+func TestMutationsMatchTheSource(t *testing.T) {
 	is := is.New(t)
 	list, err := List()
 	is.NoErr(err)
@@ -24,7 +24,7 @@
 			names[m.Name] = true
 			text, err := os.ReadFile(filepath.Join("..", m.File))
 			is.NoErr(err)
-			changed, err := m.Mutate(string(text))
+			changed, err := m.Apply(string(text))
 			is.NoErr(err)
 			is.True(changed != string(text))
 			is.True(hasTest(t, filepath.Join("..", m.Package), m.Test))
@@ -50,14 +50,14 @@
 	return false
 }
 
-func TestAMutationNeedsOnePlace(t *testing.T) {
+func TestMutationMustMatchExactlyOnce(t *testing.T) {
 	is := is.New(t)
 	m := &Mutation{Name: "m", Old: "a", New: "b"}
-	changed, err := m.Mutate("xay")
+	changed, err := m.Apply("xay")
 	is.NoErr(err)
 	is.Equal(changed, "xby")
 	for _, text := range []string{"xy", "aa"} {
-		_, err := m.Mutate(text)
+		_, err := m.Apply(text)
 		is.True(err != nil)
 	}
 }
--- a/node/catalogue.go
+++ b/node/catalogue.go
@@ -124,11 +124,11 @@
 }
 
 func (c *CatalogueSync) applyPage(number int, page catalogue.Page) {
-	before := c.replica.Refused
+	before := c.replica.StaleChanges
 	if c.replica.ApplyPage(number, page) {
 		c.view.Store(c.replica.View())
 	}
-	if c.replica.Refused > before {
+	if c.replica.StaleChanges > before {
 		c.log.Warn("refused an old catalogue page from the store", zap.Int("page", number), zap.Uint64("revision", page.Revision))
 	}
 }
