--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -24,8 +24,8 @@
 	"aspenyard.example/wire"
 )
 
-// Slope is one measured cost.
-type Slope struct {
+// Cost is one measured cost.
+type Cost struct {
 	// Name says of what; Size at which size.
 	Name string `json:"name"`
 	Size string `json:"size"`
@@ -63,9 +63,9 @@
 }
 
 // Capacity measures the slopes that docs/CAPACITY.md is made of.
-func Capacity() ([]Slope, error) {
-	var slopes []Slope
-	for _, measure := range []func() ([]Slope, error){
+func Capacity() ([]Cost, error) {
+	var slopes []Cost
+	for _, measure := range []func() ([]Cost, error){
 		heartbeatSlopes, routingSlopes, catalogueSlopes, powerSlopes, agentSlopes, limiterSlopes, claimSlopes,
 	} {
 		measured, err := measure()
@@ -94,14 +94,14 @@
 // fleetSizes are the endpoints per data centre at which slopes are taken.
 var fleetSizes = []int{100, 400, 1600}
 
-func heartbeatSlopes() ([]Slope, error) {
-	var slopes []Slope
+func heartbeatSlopes() ([]Cost, error) {
+	var slopes []Cost
 	one, err := proto.Marshal(AgentHeartbeat(1, 1))
 	if err != nil {
 		return nil, err
 	}
 	const headers = 28
-	slopes = append(slopes, Slope{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
+	slopes = append(slopes, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
 	for _, size := range fleetSizes {
 		loop, err := idleEntry()
 		if err != nil {
@@ -130,8 +130,8 @@
 			loop.Step(time.Now())
 		})
 		slopes = append(slopes,
-			Slope{Name: "heartbeat received and answered by an entry", Size: fmt.Sprint(size, " agents"), Microseconds: received},
-			Slope{Name: "tick of an entry: detector, view, routing snapshot", Size: fmt.Sprint(size, " agents"), Microseconds: tick - received, HeapBytes: kept / size, Note: "heap per agent"},
+			Cost{Name: "heartbeat received and answered by an entry", Size: fmt.Sprint(size, " agents"), Microseconds: received},
+			Cost{Name: "tick of an entry: detector, view, routing snapshot", Size: fmt.Sprint(size, " agents"), Microseconds: tick - received, HeapBytes: kept / size, Note: "heap per agent"},
 		)
 	}
 	return slopes, nil
@@ -164,8 +164,8 @@
 	return endpoints
 }
 
-func routingSlopes() ([]Slope, error) {
-	var slopes []Slope
+func routingSlopes() ([]Cost, error) {
+	var slopes []Cost
 	for _, size := range fleetSizes {
 		policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
 		if err != nil {
@@ -180,10 +180,10 @@
 				Model: "model-a", PromptTokens: 4000, OutputTokens: 200, Prefix: prompts[i%2], DataCentre: "bogota-1",
 			}, endpoints)
 		})
-		slopes = append(slopes, Slope{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
+		slopes = append(slopes, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
 	}
 	prompt := Prompt(3, 100_000)
-	slopes = append(slopes, Slope{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: repeat(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
+	slopes = append(slopes, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: repeat(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
 	return slopes, nil
 }
 
@@ -195,8 +195,8 @@
 	}
 }
 
-func catalogueSlopes() ([]Slope, error) {
-	var slopes []Slope
+func catalogueSlopes() ([]Cost, error) {
+	var slopes []Cost
 	for _, accounts := range []int{480, 4_800, 48_000} {
 		replica := catalogue.NewReplica()
 		kept := heapGrowth(func() any { fillReplica(replica, accounts); return replica })
@@ -217,16 +217,16 @@
 		})
 		size := fmt.Sprint(accounts, " accounts")
 		slopes = append(slopes,
-			Slope{Name: "catalogue replica", Size: size, HeapBytes: kept},
-			Slope{Name: "one edit applied to a replica", Size: size, Microseconds: apply},
-			Slope{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: editing, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
+			Cost{Name: "catalogue replica", Size: size, HeapBytes: kept},
+			Cost{Name: "one edit applied to a replica", Size: size, Microseconds: apply},
+			Cost{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: editing, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
 		)
 	}
 	encoded, err := json.Marshal(accountRecord(7))
-	slopes = append(slopes, Slope{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
+	slopes = append(slopes, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
 	view := catalogue.NewReplica()
 	fillReplica(view, 48_000)
-	slopes = append(slopes, Slope{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: repeat(func() { view.View().AccountByKey("account-00007.secret") })})
+	slopes = append(slopes, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: repeat(func() { view.View().AccountByKey("account-00007.secret") })})
 	return slopes, err
 }
 
@@ -266,8 +266,8 @@
 	return decoded.Records[key].Revision
 }
 
-func powerSlopes() ([]Slope, error) {
-	var slopes []Slope
+func powerSlopes() ([]Cost, error) {
+	var slopes []Cost
 	for _, endpoints := range []int{25, 400, 1_200} {
 		ledger, err := power.DecodeLedger(nil)
 		if err != nil {
@@ -288,12 +288,12 @@
 		if err != nil {
 			return nil, err
 		}
-		slopes = append(slopes, Slope{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
+		slopes = append(slopes, Cost{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
 	}
 	return slopes, nil
 }
 
-func agentSlopes() ([]Slope, error) {
+func agentSlopes() ([]Cost, error) {
 	table := attempt.NewTable(1, time.Second, time.Hour)
 	queue := admission.NewQueue(admission.Config{MaxRunning: 1 << 20, MemoryTokens: 1 << 30, PrefillRate: 20_000, MaxWait: [3]time.Duration{time.Hour, time.Hour, time.Hour}})
 	now := time.Now()
@@ -318,13 +318,13 @@
 		}
 		return full
 	})
-	return []Slope{
+	return []Cost{
 		{Name: "one request through an agent's table and queue", Size: "1", Microseconds: cost},
 		{Name: "outcome kept by an agent", Size: "1", HeapBytes: kept / 10_000, Note: "kept for an hour"},
 	}, nil
 }
 
-func limiterSlopes() ([]Slope, error) {
+func limiterSlopes() ([]Cost, error) {
 	limiter := admission.NewLimiter()
 	limits := admission.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrent: 1 << 30}
 	names := make([]string, 48_000)
@@ -343,17 +343,17 @@
 		limiter.Admit(time.Now(), names[i%len(names)], limits, 1, 1000)
 		limiter.Done(names[i%len(names)])
 	})
-	return []Slope{{Name: "one request through the limits", Size: "48000 accounts", Microseconds: cost, HeapBytes: kept / len(names), Note: "heap per active account"}}, nil
+	return []Cost{{Name: "one request through the limits", Size: "48000 accounts", Microseconds: cost, HeapBytes: kept / len(names), Note: "heap per active account"}}, nil
 }
 
-func claimSlopes() ([]Slope, error) {
+func claimSlopes() ([]Cost, error) {
 	claim := &attempt.Claim{
 		Digest: attempt.Digest("excuse-filing", []byte("x")), Attempt: "0123456789abcdef01234567", RequestID: "0123456789abcdef01234567",
 		State: attempt.ClaimDone, Endpoint: "worker-00001", Addr: "10.0.0.1:7400", Reservation: attempt.Reservation{Incarnation: 1_780_000_000_000, Number: 123_456},
 		Outcome: &attempt.ClaimOutcome{Code: 1000, ServiceStatus: 200, Body: make([]byte, 300)},
 	}
 	data, err := claim.Encode()
-	return []Slope{{Name: "claim with its outcome in the store", Size: "300-byte reply", Bytes: len(data), Note: "2 reads and 2 writes of the store a call"}}, err
+	return []Cost{{Name: "claim with its outcome in the store", Size: "300-byte reply", Bytes: len(data), Note: "2 reads and 2 writes of the store a call"}}, err
 }
 
 // memoryStore is a store in this process, without faults.
--- a/bench/days/days.go
+++ b/bench/days/days.go
@@ -20,12 +20,12 @@
 
 // Score is one measurement of a site's standard days.
 type Score struct {
-	ID, Site, Commit, Why string
-	At                    time.Time
-	Score                 float64
-	// Charged is set when processor time was charged.
-	Charged bool
-	Days    []Day
+	ID, Site, Commit, Description string
+	MeasuredAt                    time.Time
+	Score                         float64
+	// CPUCharged is set when processor time was charged.
+	CPUCharged bool
+	Days       []Day
 }
 
 // Day is one played day.
@@ -34,16 +34,16 @@
 	// Worth is what was earned less prices, of what was owed.
 	Worth float64
 	// Passed is set when the day keeps its floors; Broken names rules that it broke.
-	Passed bool
-	Broken []string
-	// Classes holds what each kind of request earned of what it was owed.
-	Classes []float64
+	Passed      bool
+	BrokenRules []string
+	// ClassWorths holds what each kind of request earned of what it was owed.
+	ClassWorths []float64
 	// Prices holds what was taken off, by what for, as a part of what was owed.
 	Prices map[string]float64
 }
 
-// Mean is the mean worth over the standard days.
-func (s *Score) Mean() float64 {
+// MeanWorth is the mean worth over the standard days.
+func (s *Score) MeanWorth() float64 {
 	sum := 0.0
 	for _, d := range s.Days {
 		sum += d.Worth
@@ -58,15 +58,15 @@
 	pricesPlotted = 6
 )
 
-// Write writes days.md and its plots, for each site a plot of worth and one of prices.
-func Write(dir string, scores []*Score) error {
+// WritePage writes days.md and its plots, for each site a plot of worth and one of prices.
+func WritePage(dir string, scores []*Score) error {
 	if len(scores) == 0 {
 		return errors.New("no scores of standard days among the files")
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.WithStack(err)
 	}
-	slices.SortFunc(scores, func(a, b *Score) int { return a.At.Compare(b.At) })
+	slices.SortFunc(scores, func(a, b *Score) int { return a.MeasuredAt.Compare(b.MeasuredAt) })
 	bySite := map[string][]*Score{}
 	var sites []string
 	for _, s := range scores {
@@ -96,11 +96,11 @@
 	page.WriteString("| # | Commit | Score | Mean worth | Worst day | Worst class | Prices | Processor time | What was tried |\n|---|---|---|---|---|---|---|---|---|\n")
 	for i, s := range list {
 		charged := "not charged"
-		if s.Charged {
+		if s.CPUCharged {
 			charged = "charged"
 		}
 		day, class, prices := worst(s)
-		fmt.Fprintf(page, "| %d | %.8s | %.3f | %.3f | %s %.3f | %.3f | %.3f | %s | %s |\n", i+1, s.Commit, s.Score, s.Mean(), day.Name, day.Worth, class, prices, charged, strings.ReplaceAll(s.Why, "|", "/"))
+		fmt.Fprintf(page, "| %d | %.8s | %.3f | %.3f | %s %.3f | %.3f | %.3f | %s | %s |\n", i+1, s.Commit, s.Score, s.MeanWorth(), day.Name, day.Worth, class, prices, charged, strings.ReplaceAll(s.Description, "|", "/"))
 	}
 }
 
@@ -112,7 +112,7 @@
 		if i == 0 || d.Worth < day.Worth {
 			day = d
 		}
-		for _, c := range d.Classes {
+		for _, c := range d.ClassWorths {
 			class = min(class, c)
 		}
 		for _, p := range d.Prices {
@@ -125,7 +125,7 @@
 func plotWorth(path, site string, list []*Score) error {
 	lines := map[string]plotter.XYs{}
 	for i, s := range list {
-		lines["mean"] = append(lines["mean"], plotter.XY{X: float64(i + 1), Y: s.Mean()})
+		lines["mean"] = append(lines["mean"], plotter.XY{X: float64(i + 1), Y: s.MeanWorth()})
 		for _, d := range s.Days {
 			if !strings.HasPrefix(d.Name, "fresh") {
 				lines[d.Name] = append(lines[d.Name], plotter.XY{X: float64(i + 1), Y: d.Worth})
--- a/bench/days/days_test.go
+++ b/bench/days/days_test.go
@@ -12,19 +12,19 @@
 
 // The page has a row for each score, oldest first, with the worst day and class, and plots
 // beside it.
-func TestThePageTellsOfEachScore(t *testing.T) {
+func TestPageHasARowForEachScore(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	score := func(minute int, worth float64, why string) *Score {
 		return &Score{
-			Site: "a", Commit: "0123456789", Why: why, At: time.Unix(0, 0).Add(time.Duration(minute) * time.Minute), Score: worth, Charged: true,
+			Site: "a", Commit: "0123456789", Description: why, MeasuredAt: time.Unix(0, 0).Add(time.Duration(minute) * time.Minute), Score: worth, CPUCharged: true,
 			Days: []Day{
-				{Name: "one", Worth: worth, Classes: []float64{0.9, 0.7}, Prices: map[string]float64{"orders": 0.02}},
-				{Name: "two", Worth: worth + 0.2, Classes: []float64{0.8, 0.95}, Prices: map[string]float64{"orders": 0.04}},
+				{Name: "one", Worth: worth, ClassWorths: []float64{0.9, 0.7}, Prices: map[string]float64{"orders": 0.02}},
+				{Name: "two", Worth: worth + 0.2, ClassWorths: []float64{0.8, 0.95}, Prices: map[string]float64{"orders": 0.04}},
 			},
 		}
 	}
-	is.NoErr(Write(dir, []*Score{score(2, 0.6, "new | limit"), score(1, 0.5, "base")}))
+	is.NoErr(WritePage(dir, []*Score{score(2, 0.6, "new | limit"), score(1, 0.5, "base")}))
 	page, err := os.ReadFile(filepath.Join(dir, "days.md"))
 	is.NoErr(err)
 	var rows []string
@@ -41,5 +41,5 @@
 		_, err := os.Stat(filepath.Join(dir, name))
 		is.NoErr(err)
 	}
-	is.True(Write(dir, nil) != nil) // nothing to tell is an error
+	is.True(WritePage(dir, nil) != nil) // nothing to tell is an error
 }
--- a/bench/days/played.go
+++ b/bench/days/played.go
@@ -1,7 +1,7 @@
 package days
 
-// Played is one played day as its users reported it.
-type Played struct {
+// DayReport is one played day as its users reported it.
+type DayReport struct {
 	Worth   float64
 	Classes []Class
 	// Prices holds what was taken off, by what for, as a part of what was owed.
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -20,31 +20,31 @@
 // Kind is a kind of request.
 type Kind struct {
 	Name string
-	// Tokens is the mean prompt, Spread its standard deviation over the mean, MostTokens
+	// MeanTokens is the mean prompt, Spread its standard deviation over the mean, MostTokens
 	// the longest.
-	Tokens, Spread float64
-	MostTokens     int
+	MeanTokens, Spread float64
+	MaxTokens          int
 	// Events is how many a stream has.
 	Events int
-	// PerSecond is how many come.
-	PerSecond float64
-	// Target is the time to the first event, PauseLimit that between events.
-	Target, PauseLimit time.Duration
+	// RequestsPerSecond is how many come.
+	RequestsPerSecond float64
+	// Target is the time to the first event, MaxPause that between events.
+	Target, MaxPause time.Duration
 }
 
-// Turn changes how many requests of each kind come, from a time on.
-type Turn struct {
+// LoadChange changes how many requests of each kind come, from a time on.
+type LoadChange struct {
 	At time.Duration
-	// Factors multiply PerSecond, by kind.
-	Factors []float64
+	// RateFactors multiply PerSecond, by kind.
+	RateFactors []float64
 }
 
-// Slow makes engines slow for a time.
-type Slow struct {
+// Slowdown makes engines slow for a time.
+type Slowdown struct {
 	From, To time.Duration
 	// Engines is how many, Pace how many times as long their work takes.
 	Engines int
-	Pace    float64
+	Factor  float64
 }
 
 // Config is a site and its load.
@@ -53,19 +53,19 @@
 	Entries, Engines int
 	Engine           directory.Engine
 	Kinds            []Kind
-	Turns            []Turn
-	Slows            []Slow
-	// Length is for how long requests come.
-	Length time.Duration
-	// PaceKnown is how long after it the entries know that an engine has turned slow; 0:
+	LoadChanges      []LoadChange
+	Slowdowns        []Slowdown
+	// Duration is for how long requests come.
+	Duration time.Duration
+	// SlowdownKnownAfter is how long after it the entries know that an engine has turned slow; 0:
 	// never.
-	PaceKnown time.Duration
+	SlowdownKnownAfter time.Duration
 	// Policy places requests; empty: the product's.
 	Policy Policy
-	// Without are mechanisms of the product's policy that are taken out.
-	Without []Mechanism
-	// Heartbeat is the time between two words of an entry to the others; 0: 100 ms.
-	Heartbeat time.Duration
+	// Disabled are mechanisms of the product's policy that are taken out.
+	Disabled []Mechanism
+	// HeartbeatInterval is the time between two words of an entry to the others; 0: 100 ms.
+	HeartbeatInterval time.Duration
 	// HeartbeatLoss is the part of these words that is lost, 0 to 1.
 	HeartbeatLoss float64
 	// Skew is how many times as much the busiest entry gets as the idlest; the others lie
@@ -116,7 +116,7 @@
 	return []Mechanism{Affinity, Heartbeats, Announcing, Waiting, Refusing}
 }
 
-func (c *Config) has(m Mechanism) bool { return !slices.Contains(c.Without, m) }
+func (c *Config) has(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
 
 // Result is what callers of one kind got.
 type Result struct {
@@ -139,8 +139,8 @@
 	r.LargestServed += other.LargestServed
 }
 
-// Share is the part of requests that were on time.
-func (r Result) Share() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
+// OnTimeShare is the part of requests that were on time.
+func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
 
 const (
 	// heartbeat is the time between two words of an entry to the others.
@@ -192,16 +192,16 @@
 	latest time.Duration
 }
 
-// Play plays a load and gives what callers of each kind got.
-func Play(c *Config) []Result {
+// Simulate plays a load and gives what callers of each kind got.
+func Simulate(c *Config) []Result {
 	w := &world{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
 	w.service = &directory.Service{Name: service, Engine: &c.Engine}
 	for _, k := range c.Kinds {
 		w.results = append(w.results, Result{Kind: k.Name})
-		w.service.AddTargetPause(k.PauseLimit)
+		w.service.AddTargetPause(k.MaxPause)
 	}
 	w.populate()
-	w.Run(math.MaxInt64)
+	w.RunUntil(math.MaxInt64)
 	return w.results
 }
 
@@ -220,29 +220,29 @@
 		e := &entry{name: fmt.Sprint(i), outstanding: map[*engine]int{}, ledger: ledger, policy: direct.NewPolicy(ledger, rand.New(rand.NewPCG(w.config.Seed, uint64(i+2))))}
 		w.entries = append(w.entries, e)
 		if w.config.has(Heartbeats) {
-			w.After(w.heartbeat()*time.Duration(i)/time.Duration(w.config.Entries), func() { w.beat(e) })
+			w.AfterFunc(w.heartbeat()*time.Duration(i)/time.Duration(w.config.Entries), func() { w.beat(e) })
 		}
 	}
 	for i := range w.config.Kinds {
-		w.After(0, func() { w.arrive(i) })
+		w.AfterFunc(0, func() { w.arrive(i) })
 	}
-	for i := range w.config.Slows {
-		w.slow(&w.config.Slows[i])
+	for i := range w.config.Slowdowns {
+		w.slow(&w.config.Slowdowns[i])
 	}
 }
 
 // slow makes the last engines slow, which are those for long prompts, and every other one.
-func (w *world) slow(s *Slow) {
+func (w *world) slow(s *Slowdown) {
 	for i := range s.Engines {
 		listed := w.list[len(w.list)-1-2*i]
 		set := func(pace float64) {
 			w.engines[listed.Incarnation].pace = pace
-			if w.config.PaceKnown > 0 {
-				w.After(w.config.PaceKnown, func() { w.tellPace(listed.Incarnation, pace, s.To) })
+			if w.config.SlowdownKnownAfter > 0 {
+				w.AfterFunc(w.config.SlowdownKnownAfter, func() { w.tellPace(listed.Incarnation, pace, s.To) })
 			}
 		}
-		w.After(s.From, func() { set(s.Pace) })
-		w.After(s.To, func() { set(1) })
+		w.AfterFunc(s.From, func() { set(s.Factor) })
+		w.AfterFunc(s.To, func() { set(1) })
 	}
 }
 
@@ -252,7 +252,7 @@
 		e.ledger.SetSlowdown(w.clock(), life, pace)
 	}
 	if pace > 1 && w.Now() < until {
-		w.After(time.Second, func() { w.tellPace(life, w.engines[life].pace, until) })
+		w.AfterFunc(time.Second, func() { w.tellPace(life, w.engines[life].pace, until) })
 	}
 }
 
@@ -261,19 +261,19 @@
 // beat tells the other entries of one's load, and again while requests come.
 func (w *world) beat(e *entry) {
 	w.tell(e)
-	if w.Now() < w.config.Length {
-		w.After(w.heartbeat(), func() { w.beat(e) })
+	if w.Now() < w.config.Duration {
+		w.AfterFunc(w.heartbeat(), func() { w.beat(e) })
 	}
 }
 
-func (w *world) heartbeat() time.Duration { return cmp.Or(w.config.Heartbeat, heartbeat) }
+func (w *world) heartbeat() time.Duration { return cmp.Or(w.config.HeartbeatInterval, heartbeat) }
 
 func (w *world) tell(e *entry) {
 	demands, opens := e.ledger.Demands(w.clock()), e.ledger.Loads(w.clock())
 	for _, other := range w.entries {
 		lost := w.config.HeartbeatLoss > 0 && w.rand.Float64() < w.config.HeartbeatLoss
 		if other != e && !lost {
-			w.After(w.way(), func() { other.ledger.ReplacePeerLoad(w.clock(), e.name, demands, opens) })
+			w.AfterFunc(w.way(), func() { other.ledger.ReplacePeerLoad(w.clock(), e.name, demands, opens) })
 		}
 	}
 }
@@ -285,11 +285,11 @@
 
 // arrive begins a request of a kind and lets the next one come.
 func (w *world) arrive(kind int) {
-	if w.Now() >= w.config.Length {
+	if w.Now() >= w.config.Duration {
 		return
 	}
 	k := &w.config.Kinds[kind]
-	rate := k.PerSecond * w.factor(kind)
+	rate := k.RequestsPerSecond * w.factor(kind)
 	if rate > 0 && w.Now() > 0 {
 		r := &request{world: w, entry: w.anyEntry(), kind: k, result: &w.results[kind], tokens: w.tokens(k), began: w.Now()}
 		r.result.Asked++
@@ -298,7 +298,7 @@
 		}
 		r.begin()
 	}
-	w.After(time.Duration(w.rand.ExpFloat64()/max(rate, leastRate)*float64(time.Second)), func() { w.arrive(kind) })
+	w.AfterFunc(time.Duration(w.rand.ExpFloat64()/max(rate, leastRate)*float64(time.Second)), func() { w.arrive(kind) })
 }
 
 // anyEntry gives the entry that a caller comes to.
@@ -322,9 +322,9 @@
 
 func (w *world) factor(kind int) float64 {
 	factor := 1.0
-	for _, t := range w.config.Turns {
+	for _, t := range w.config.LoadChanges {
 		if w.Now() >= t.At {
-			factor = t.Factors[kind]
+			factor = t.RateFactors[kind]
 		}
 	}
 	return factor
@@ -337,7 +337,7 @@
 // large tells whether a prompt is longer than nine of ten of its kind.
 func (k *Kind) large(tokens int) bool {
 	sigma := k.sigma()
-	return float64(tokens) > k.Tokens*math.Exp(largeQuantile*sigma-sigma*sigma/2)
+	return float64(tokens) > k.MeanTokens*math.Exp(largeQuantile*sigma-sigma*sigma/2)
 }
 
 // sigma is the standard deviation of the logarithm of a prompt's length.
@@ -346,8 +346,8 @@
 // tokens draws a prompt's length: log-normal, with the kind's mean and spread.
 func (w *world) tokens(k *Kind) int {
 	sigma := k.sigma()
-	drawn := k.Tokens * math.Exp(sigma*w.rand.NormFloat64()-sigma*sigma/2)
-	return min(max(int(drawn), 1), k.MostTokens)
+	drawn := k.MeanTokens * math.Exp(sigma*w.rand.NormFloat64()-sigma*sigma/2)
+	return min(max(int(drawn), 1), k.MaxTokens)
 }
 
 // begin places a request; a long prompt is refused when it would be late, or waits.
@@ -376,7 +376,7 @@
 	w := r.world
 	room := !w.config.has(Waiting) || r.held.MayStart(w.clock(), w.list)
 	if !room && w.Now()-r.began < r.latest {
-		w.After(direct.QueuePollInterval, r.wait)
+		w.AfterFunc(direct.QueuePollInterval, r.wait)
 		return
 	}
 	r.held.Dequeue()
@@ -390,7 +390,7 @@
 // place sends a request to an engine, or to another one where its memory finds no room.
 func (r *request) place() {
 	w := r.world
-	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.PauseLimit, Tried: map[directory.Incarnation]bool{}}
+	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
 	for range placings {
 		plan := r.entry.policy.Place(w.clock(), &placing, w.list)
 		if plan == nil || plan.Overloaded {
@@ -416,7 +416,7 @@
 		r.world.tell(r.entry)
 	}
 	r.engine = r.world.engines[plan.Endpoint.Incarnation]
-	r.world.After(r.world.way(), func() { r.engine.submit(j) })
+	r.world.AfterFunc(r.world.way(), func() { r.engine.submit(j) })
 }
 
 func (r *request) prefilled() {
@@ -437,7 +437,7 @@
 	switch {
 	case j.first-r.began > r.kind.Target:
 		r.result.LateFirst++
-	case r.gap > r.kind.PauseLimit:
+	case r.gap > r.kind.MaxPause:
 		r.result.LatePause++
 	default:
 		r.result.OnTime++
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -26,9 +26,9 @@
 
 func siteKinds() []Kind {
 	return []Kind{
-		{Name: "short", Tokens: 5000, Spread: 0.9, MostTokens: 23_800, Events: 32, PerSecond: 44.6, Target: 300 * time.Millisecond, PauseLimit: 250 * time.Millisecond},
-		{Name: "medium", Tokens: 45_000, Spread: 0.5, MostTokens: 110_000, Events: 19, PerSecond: 2.4, Target: 1500 * time.Millisecond, PauseLimit: 600 * time.Millisecond},
-		{Name: "long", Tokens: 133_000, Spread: 0.55, MostTokens: 600_000, Events: 16, PerSecond: 2, Target: 2500 * time.Millisecond, PauseLimit: time.Second},
+		{Name: "short", MeanTokens: 5000, Spread: 0.9, MaxTokens: 23_800, Events: 32, RequestsPerSecond: 44.6, Target: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond},
+		{Name: "medium", MeanTokens: 45_000, Spread: 0.5, MaxTokens: 110_000, Events: 19, RequestsPerSecond: 2.4, Target: 1500 * time.Millisecond, MaxPause: 600 * time.Millisecond},
+		{Name: "long", MeanTokens: 133_000, Spread: 0.55, MaxTokens: 600_000, Events: 16, RequestsPerSecond: 2, Target: 2500 * time.Millisecond, MaxPause: time.Second},
 	}
 }
 
@@ -36,8 +36,8 @@
 // back.
 func turning(seed uint64) *Config {
 	return &Config{
-		Seed: seed, Entries: siteEntries, Engines: siteEngines, Engine: siteEngine(), Kinds: siteKinds(), Length: 33 * time.Second,
-		Turns: []Turn{{2 * time.Second, []float64{0.39, 1.3, 2.7}}, {12 * time.Second, []float64{1.8, 0.5, 0.05}}, {22 * time.Second, []float64{0.39, 1.3, 2.7}}},
+		Seed: seed, Entries: siteEntries, Engines: siteEngines, Engine: siteEngine(), Kinds: siteKinds(), Duration: 33 * time.Second,
+		LoadChanges: []LoadChange{{2 * time.Second, []float64{0.39, 1.3, 2.7}}, {12 * time.Second, []float64{1.8, 0.5, 0.05}}, {22 * time.Second, []float64{0.39, 1.3, 2.7}}},
 	}
 }
 
@@ -46,13 +46,13 @@
 	t.Helper()
 	sums := make([]Result, 3)
 	for seed := range uint64(seeds) {
-		for i, r := range Play(config(seed + 1)) {
+		for i, r := range Simulate(config(seed + 1)) {
 			sums[i].Kind = r.Kind
 			sums[i].Add(r)
 		}
 	}
 	for _, r := range sums {
-		t.Logf("%.3f on time of %+v", r.Share(), r)
+		t.Logf("%.3f on time of %+v", r.OnTimeShare(), r)
 	}
 	return sums[0], sums[1], sums[2]
 }
@@ -66,40 +66,40 @@
 // prompts on engines for long ones (0.75 of short ones), no waiting for engines with enough
 // to prefill (0.76 of short ones), no refusal of what would hold up others (0.73 of long
 // ones), parts of medium ones on engines for short ones (0.809 of short ones).
-func TestKindsOfPromptsKeepApartAsTheMixTurns(t *testing.T) {
+func TestTargetsAreMetAsTheLoadMixChanges(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := play(t, turning)
-	is.True(short.Share() > 0.82)
-	is.True(medium.Share() > 0.92)
-	is.True(long.Share() > 0.78)
+	is.True(short.OnTimeShare() > 0.82)
+	is.True(medium.OnTimeShare() > 0.92)
+	is.True(long.OnTimeShare() > 0.78)
 }
 
 // large is a load in which a third of the long prompts need more memory than one engine has.
 func large(seed uint64) *Config {
 	c := turning(seed)
-	c.Turns = nil
-	c.Kinds[2].Tokens, c.Kinds[2].PerSecond = 170_000, 1.5
+	c.LoadChanges = nil
+	c.Kinds[2].MeanTokens, c.Kinds[2].RequestsPerSecond = 170_000, 1.5
 	return c
 }
 
 // Symptom: short streams pause whenever a prompt comes that needs more memory than one
 // engine has. Cause: its parts were prefilled on all engines (0.51 of short ones on time).
-func TestShortStreamsAreNotStoppedByPromptsOverOneEnginesMemory(t *testing.T) {
+func TestShortStreamsAreNotDelayedByPromptsLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
 	short, _, long := play(t, large)
-	is.True(short.Share() > 0.9)
-	is.True(long.Share() > 0.85)
+	is.True(short.OnTimeShare() > 0.9)
+	is.True(long.OnTimeShare() > 0.85)
 }
 
 // wide is a load on 69 engines behind 24 entries, whose mix turns from long prompts to short
 // ones; the mean long prompt needs as much memory as one engine has.
 func wide(seed uint64) *Config {
-	c := &Config{Seed: seed, Entries: 24, Engines: 69, Engine: siteEngine(), Kinds: siteKinds(), Length: 20 * time.Second}
+	c := &Config{Seed: seed, Entries: 24, Engines: 69, Engine: siteEngine(), Kinds: siteKinds(), Duration: 20 * time.Second}
 	c.Engine.Slots, c.Engine.KVCacheTokens, c.Engine.Stride = 12, 197_200, 48
 	short, medium, long := &c.Kinds[0], &c.Kinds[1], &c.Kinds[2]
-	short.PerSecond, medium.PerSecond, long.PerSecond = 115, 7.8, 4.8
-	long.Tokens, long.Target = 190_000, 3*time.Second
-	c.Turns = []Turn{{time.Second, []float64{0.36, 1.3, 2.7}}, {10 * time.Second, []float64{2.5, 0.5, 0.05}}}
+	short.RequestsPerSecond, medium.RequestsPerSecond, long.RequestsPerSecond = 115, 7.8, 4.8
+	long.MeanTokens, long.Target = 190_000, 3*time.Second
+	c.LoadChanges = []LoadChange{{time.Second, []float64{0.36, 1.3, 2.7}}, {10 * time.Second, []float64{2.5, 0.5, 0.05}}}
 	return c
 }
 
@@ -113,12 +113,12 @@
 // under the same limit, whatever they take of it (0.755 of long ones, 0.701 of short ones).
 // With neither: 0.488, 0.867 and 0.625. And short prompts of several entries met in one pass
 // of an engine, as these weighed engines drawn anew for each prompt (0.764 of short ones).
-func TestPromptsAsLargeAsAnEnginesMemoryDoNotHoldOthersUp(t *testing.T) {
+func TestPromptsAsLargeAsAnEngineDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := play(t, wide)
-	is.True(short.Share() > 0.78)
-	is.True(medium.Share() > 0.92)
-	is.True(long.Share() > 0.79)
+	is.True(short.OnTimeShare() > 0.78)
+	is.True(medium.OnTimeShare() > 0.92)
+	is.True(long.OnTimeShare() > 0.79)
 	is.True(10*long.LargestServed > 2*long.Largest) // the longest tenth is not starved
 }
 
@@ -126,9 +126,9 @@
 // for a while.
 func slowing(seed uint64) *Config {
 	c := turning(seed)
-	c.Turns = nil
-	c.Slows = []Slow{{4 * time.Second, 12 * time.Second, 4, 3}, {18 * time.Second, 28 * time.Second, 3, 5}}
-	c.PaceKnown = 600 * time.Millisecond
+	c.LoadChanges = nil
+	c.Slowdowns = []Slowdown{{4 * time.Second, 12 * time.Second, 4, 3}, {18 * time.Second, 28 * time.Second, 3, 5}}
+	c.SlowdownKnownAfter = 600 * time.Millisecond
 	return c
 }
 
@@ -137,13 +137,13 @@
 func TestSlowEnginesDoNotMakeLongPromptsLate(t *testing.T) {
 	is := is.New(t)
 	_, _, long := play(t, slowing)
-	is.True(long.Share() > 0.66)
+	is.True(long.OnTimeShare() > 0.66)
 }
 
 // The same seed gives the same play, and every request ends once.
-func TestAPlayRepeatsAndEveryRequestEndsOnce(t *testing.T) {
+func TestSimulationIsDeterministicAndEveryRequestEndsOnce(t *testing.T) {
 	is := is.New(t)
-	one, two := Play(turning(7)), Play(turning(7))
+	one, two := Simulate(turning(7)), Simulate(turning(7))
 	is.Equal(one, two)
 	for _, r := range one {
 		is.Equal(r.Asked, r.OnTime+r.LateFirst+r.LatePause+r.Refused)
@@ -157,17 +157,17 @@
 func crowding(load float64) func(seed uint64) *Config {
 	return func(seed uint64) *Config {
 		return &Config{
-			Seed: seed, Entries: 22, Engines: 65, Length: 33 * time.Second,
+			Seed: seed, Entries: 22, Engines: 65, Duration: 33 * time.Second,
 			Engine: directory.Engine{
 				Slots: 10, KVCacheTokens: 405_000, Stride: 53, ChunkTokens: 2048, StepTime: 1310 * time.Microsecond, StepTimePerRequest: 917 * time.Nanosecond,
 				StepTimePerContext: 2130 * time.Nanosecond, PrefillTokensPerSecond: 154_000, AttentionTimePerMillionPairs: 162 * time.Microsecond,
 			},
 			Kinds: []Kind{
-				{Name: "short", Tokens: 4960, Spread: 0.9, MostTokens: 23_800, Events: 26, PerSecond: 88 * load, Target: 400 * time.Millisecond, PauseLimit: 300 * time.Millisecond},
-				{Name: "medium", Tokens: 45_000, Spread: 0.5, MostTokens: 110_000, Events: 16, PerSecond: 7.2 * load, Target: 1500 * time.Millisecond, PauseLimit: 800 * time.Millisecond},
-				{Name: "long", Tokens: 260_000, Spread: 0.55, MostTokens: 900_000, Events: 13, PerSecond: 1.8 * load, Target: 4 * time.Second, PauseLimit: 1200 * time.Millisecond},
+				{Name: "short", MeanTokens: 4960, Spread: 0.9, MaxTokens: 23_800, Events: 26, RequestsPerSecond: 88 * load, Target: 400 * time.Millisecond, MaxPause: 300 * time.Millisecond},
+				{Name: "medium", MeanTokens: 45_000, Spread: 0.5, MaxTokens: 110_000, Events: 16, RequestsPerSecond: 7.2 * load, Target: 1500 * time.Millisecond, MaxPause: 800 * time.Millisecond},
+				{Name: "long", MeanTokens: 260_000, Spread: 0.55, MaxTokens: 900_000, Events: 13, RequestsPerSecond: 1.8 * load, Target: 4 * time.Second, MaxPause: 1200 * time.Millisecond},
 			},
-			Turns: []Turn{{2 * time.Second, []float64{0.38, 1.3, 2.8}}, {12 * time.Second, []float64{2.4, 0.5, 0.05}}, {23 * time.Second, []float64{0.33, 1.3, 2.6}}},
+			LoadChanges: []LoadChange{{2 * time.Second, []float64{0.38, 1.3, 2.8}}, {12 * time.Second, []float64{2.4, 0.5, 0.05}}, {23 * time.Second, []float64{0.33, 1.3, 2.6}}},
 		}
 	}
 }
@@ -187,9 +187,9 @@
 }
 
 // Guards against long prompts that are sent when they can only be late, into a rush of short ones.
-func TestLongPromptsThatCannotBeOnTimeAreNotInTheWayOfARushOfShortOnes(t *testing.T) {
+func TestUnmeetableLongPromptsDoNotDelayABurstOfShortOnes(t *testing.T) {
 	is := is.New(t)
 	short, _, long := play(t, crowding(1))
-	is.True(short.Share() > 0.75)
+	is.True(short.OnTimeShare() > 0.75)
 	is.True(long.LateFirst*20 < long.Asked) // refused in time rather than late
 }
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -98,7 +98,7 @@
 	e.running = true
 	reading := e.parts
 	e.parts = nil
-	e.world.After(e.paced(e.passTime(reading)), func() { e.end(reading) })
+	e.world.AfterFunc(e.paced(e.passTime(reading)), func() { e.end(reading) })
 }
 
 func (e *engine) paced(d time.Duration) time.Duration { return time.Duration(e.pace * float64(d)) }
@@ -112,7 +112,7 @@
 	e.readings++
 	number, newest := e.readings, e.parts[len(e.parts)-1]
 	length := newest.prefill + time.Duration(e.readSteps(newest.tokens))*e.model.StepTime
-	e.world.After(e.paced(length), func() {
+	e.world.AfterFunc(e.paced(length), func() {
 		if !e.readingNewest || e.readings != number {
 			return
 		}
--- a/bench/emulator/engine_test.go
+++ b/bench/emulator/engine_test.go
@@ -16,19 +16,19 @@
 
 // Engines read the newest part first while nobody decodes there, and take up the older one
 // where they left it.
-func TestAnEngineReadsTheNewestPartFirst(t *testing.T) {
+func TestEnginePrefillsTheNewestPartFirst(t *testing.T) {
 	is := is.New(t)
 	w := &world{config: &Config{Engine: siteEngine()}}
 	e := &engine{world: w, model: &w.config.Engine, pace: 1}
 	var older, newer *job
-	w.After(0, func() { older = give(e, 300*time.Millisecond) })
-	w.After(100*time.Millisecond, func() { newer = give(e, 200*time.Millisecond) })
-	w.After(310*time.Millisecond, func() {
+	w.AfterFunc(0, func() { older = give(e, 300*time.Millisecond) })
+	w.AfterFunc(100*time.Millisecond, func() { newer = give(e, 200*time.Millisecond) })
+	w.AfterFunc(310*time.Millisecond, func() {
 		is.Equal(newer.missing, 1)
 		is.Equal(older.missing, 2)
 	})
-	w.After(500*time.Millisecond, func() { is.Equal(older.missing, 2) })
-	w.After(510*time.Millisecond, func() { is.Equal(older.missing, 1) })
-	w.Run(time.Second)
+	w.AfterFunc(500*time.Millisecond, func() { is.Equal(older.missing, 2) })
+	w.AfterFunc(510*time.Millisecond, func() { is.Equal(older.missing, 1) })
+	w.RunUntil(time.Second)
 	is.Equal(older.missing, 1)
 }
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -18,33 +18,33 @@
 // small is an experiment of a few short plays.
 func small() *File {
 	site := (&RandomSites{Count: 1, Seed: 3}).draw()[0]
-	site.Name, site.Entries, site.Engines, site.Length, site.Turns = "one", 2, 6, settings.Duration(3*time.Second), nil
+	site.Name, site.Entries, site.Engines, site.Duration, site.LoadChanges = "one", 2, 6, settings.Duration(3*time.Second), nil
 	for i := range site.Kinds {
-		site.Kinds[i].PerSecond = []float64{10, 1, 0.5}[i]
+		site.Kinds[i].RequestsPerSecond = []float64{10, 1, 0.5}[i]
 	}
-	return &File{Name: "small", Seeds: 3, Sites: []Site{site}, Policies: []Policy{{Name: "product"}, {Name: "random", Policy: emulator.Random}, {Name: "one view", OneView: true}}}
+	return &File{Name: "small", Seeds: 3, Sites: []Site{site}, Policies: []Policy{{Name: "product"}, {Name: "random", Policy: emulator.Random}, {Name: "one view", SingleEntry: true}}}
 }
 
 func run(t *testing.T, f *File) *Summary {
 	t.Helper()
 	s := NewSummary(f)
-	if err := f.Run(context.Background(), func(p *Play, _ int) { s.Add(p) }); err != nil {
+	if err := f.Run(context.Background(), func(p *RunResult, _ int) { s.Add(p) }); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func TestAnExperimentRepeats(t *testing.T) {
+func TestExperimentIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	one, two := run(t, small()), run(t, small())
 	is.Equal(Table(one.Rows()), Table(two.Rows()))
 	rows := one.Rows()
 	is.Equal(len(rows), 3)
 	for _, r := range rows {
-		is.Equal(r.Plays, 3)
+		is.Equal(r.Runs, 3)
 		is.Equal(r.Pairs, 3)
 		is.True(r.Worth > 0 && r.Worth <= 1)
-		is.Equal(len(r.Shares), 3)
+		is.Equal(len(r.OnTimeShares), 3)
 	}
 	is.Equal(rows[0].Difference, 0.0) // to itself
 }
@@ -54,18 +54,18 @@
 	f := small()
 	s := NewSummary(f)
 	for seed, worth := range []float64{0.5, 0.9} {
-		s.Add(&Play{Site: "one", Policy: "product", Seed: uint64(seed), Worth: worth})
-		s.Add(&Play{Site: "one", Policy: "random", Seed: uint64(seed), Worth: worth - 0.1})
+		s.Add(&RunResult{Site: "one", Policy: "product", Seed: uint64(seed), Worth: worth})
+		s.Add(&RunResult{Site: "one", Policy: "random", Seed: uint64(seed), Worth: worth - 0.1})
 	}
-	s.Add(&Play{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no pair
+	s.Add(&RunResult{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no pair
 	row := s.Rows()[1]
 	is.Equal(row.Pairs, 2)
-	is.Equal(row.Lost, 2)
+	is.Equal(row.WorsePairs, 2)
 	is.True(row.Difference < -0.0999 && row.Difference > -0.1001)
-	is.True(row.Error < 1e-9) // the same in each pair, though the seeds differ
+	is.True(row.StandardError < 1e-9) // the same in each pair, though the seeds differ
 }
 
-func TestEveryWrongFieldIsNamed(t *testing.T) {
+func TestEveryInvalidFieldIsReported(t *testing.T) {
 	is := is.New(t)
 	_, err := Decode([]byte(`{"name":"","seeds":0,"colour":1,"random_sites":{"count":0},
 		"sites":[{"name":"a","entries":0,"engines":1,"kinds":[{"name":"","tokens":-1,"worth":-1}],"turns":[{"factors":[]}],"slow":[{"engines":9,"pace":0}],"heartbeat_loss":2,"skew":-1}],
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestRandomSitesAreValidAndRepeat(t *testing.T) {
+func TestRandomSitesAreValidAndDeterministic(t *testing.T) {
 	is := is.New(t)
 	asked := &RandomSites{Count: 100, Seed: 5}
 	sites, again := asked.draw(), asked.draw()
@@ -93,13 +93,13 @@
 }
 
 // What was played before an interrupt is kept.
-func TestARunThatIsStoppedKeepsWhatWasPlayed(t *testing.T) {
+func TestCancelledExperimentKeepsFinishedRuns(t *testing.T) {
 	is := is.New(t)
 	f := small()
 	f.Seeds = 1000
 	s := NewSummary(f)
 	ctx, cancel := context.WithCancel(context.Background())
-	err := f.Run(ctx, func(p *Play, _ int) {
+	err := f.Run(ctx, func(p *RunResult, _ int) {
 		s.Add(p)
 		if s.count == 6 {
 			cancel()
@@ -118,14 +118,14 @@
 
 // The product's policy is not tuned to the sites of the examples alone: on drawn ones it
 // earns more than each baseline, in the mean and on nearly all.
-func TestTheProductEarnsMoreThanBaselinesOnRandomSites(t *testing.T) {
+func TestProductBeatsBaselinesOnRandomSites(t *testing.T) {
 	is := is.New(t)
 	f := &File{Name: "drawn", Seeds: 1, Random: &RandomSites{Count: 12, Seed: 1}, Policies: []Policy{{Name: "product"}}}
 	for _, policy := range emulator.Policies()[1:] {
 		f.Policies = append(f.Policies, Policy{Name: string(policy), Policy: policy})
 	}
 	for _, row := range run(t, f).Rows()[1:] {
-		is.True(row.Difference < -2*row.Error)
-		is.True(row.Lost >= 10) // of 12
+		is.True(row.Difference < -2*row.StandardError)
+		is.True(row.WorsePairs >= 10) // of 12
 	}
 }
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -34,12 +34,12 @@
 	Engines int    `json:"engines"`
 	Engine  Engine `json:"engine"`
 	Kinds   []Kind `json:"kinds"`
-	// Length is for how long requests come.
-	Length settings.Duration `json:"length"`
-	Turns  []Turn            `json:"turns"`
-	// Slow engines are known to the entries after PaceKnown; 0: never.
-	Slow      []Slow            `json:"slow"`
-	PaceKnown settings.Duration `json:"pace_known"`
+	// Duration is for how long requests come.
+	Duration    settings.Duration `json:"length"`
+	LoadChanges []LoadChange      `json:"turns"`
+	// Slowdowns engines are known to the entries after PaceKnown; 0: never.
+	Slowdowns          []Slowdown        `json:"slow"`
+	SlowdownKnownAfter settings.Duration `json:"pace_known"`
 	// HeartbeatLoss is the part of the entries' words to each other that is lost.
 	HeartbeatLoss float64 `json:"heartbeat_loss"`
 	// Skew is how many times as much the busiest entry gets as the idlest; 1 if left out.
@@ -48,65 +48,65 @@
 
 // Engine describes a model engine.
 type Engine struct {
-	Slots        int `json:"slots"`
-	MemoryTokens int `json:"memory_tokens"`
+	Slots         int `json:"slots"`
+	KVCacheTokens int `json:"memory_tokens"`
 	// Stride is how many steps a pass of requests that decode has. Step, StepPerRequest and
 	// StepPerThousand are the time of one, in microseconds: its own, for each request, and
 	// for each thousand tokens of context.
-	Stride          int     `json:"stride"`
-	Step            float64 `json:"step_us"`
-	StepPerRequest  float64 `json:"step_per_request_us"`
-	StepPerThousand float64 `json:"step_per_thousand_us"`
-	// PrefillPerSecond is in tokens; PairsPerMillion is the time for a million pairs of
+	Stride                      int     `json:"stride"`
+	StepMicros                  float64 `json:"step_us"`
+	StepMicrosPerRequest        float64 `json:"step_per_request_us"`
+	StepMicrosPerThousandTokens float64 `json:"step_per_thousand_us"`
+	// PrefillTokensPerSecond is in tokens; PairsPerMillion is the time for a million pairs of
 	// tokens, in microseconds.
-	PrefillPerSecond float64 `json:"prefill_per_second"`
-	PairsPerMillion  float64 `json:"pairs_per_million_us"`
+	PrefillTokensPerSecond         float64 `json:"prefill_per_second"`
+	AttentionMicrosPerMillionPairs float64 `json:"pairs_per_million_us"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name string `json:"name"`
-	// Tokens is the mean prompt, Spread its standard deviation over the mean, MostTokens the
+	// MeanTokens is the mean prompt, Spread its standard deviation over the mean, MostTokens the
 	// longest.
-	Tokens     float64 `json:"tokens"`
-	Spread     float64 `json:"spread"`
-	MostTokens int     `json:"most_tokens"`
-	Events     int     `json:"events"`
-	PerSecond  float64 `json:"per_second"`
+	MeanTokens        float64 `json:"tokens"`
+	Spread            float64 `json:"spread"`
+	MaxTokens         int     `json:"most_tokens"`
+	Events            int     `json:"events"`
+	RequestsPerSecond float64 `json:"per_second"`
 	// Target is the time to the first event, PauseLimit that between events.
-	Target     settings.Duration `json:"target"`
-	PauseLimit settings.Duration `json:"pause_limit"`
+	Target   settings.Duration `json:"target"`
+	MaxPause settings.Duration `json:"pause_limit"`
 	// Worth is what an answer in time earns, 1 if left out; a late one earns a quarter.
 	Worth float64 `json:"worth"`
 }
 
-// Turn changes how many requests of each kind come.
-type Turn struct {
+// LoadChange changes how many requests of each kind come.
+type LoadChange struct {
 	At settings.Duration `json:"at"`
-	// Factors multiply per_second, by kind.
-	Factors []float64 `json:"factors"`
+	// RateFactors multiply per_second, by kind.
+	RateFactors []float64 `json:"factors"`
 }
 
-// Slow makes engines slow for a time.
-type Slow struct {
+// Slowdown makes engines slow for a time.
+type Slowdown struct {
 	From    settings.Duration `json:"from"`
 	To      settings.Duration `json:"to"`
 	Engines int               `json:"engines"`
-	// Pace is how many times as long their work takes.
-	Pace float64 `json:"pace"`
+	// Factor is how many times as long their work takes.
+	Factor float64 `json:"pace"`
 }
 
 // Policy is one way of placing requests.
 type Policy struct {
 	Name   string          `json:"name"`
 	Policy emulator.Policy `json:"policy"`
-	// Without are mechanisms of the product's policy that are taken out.
-	Without []emulator.Mechanism `json:"without"`
-	// OneView plays as if all entries were one, which knows at once what all have sent: a
+	// Disabled are mechanisms of the product's policy that are taken out.
+	Disabled []emulator.Mechanism `json:"without"`
+	// SingleEntry plays as if all entries were one, which knows at once what all have sent: a
 	// bound for what entries can gain by telling each other more.
-	OneView bool `json:"one_view"`
-	// Heartbeat is the time between two words of an entry to the others; 100ms if left out.
-	Heartbeat settings.Duration `json:"heartbeat"`
+	SingleEntry bool `json:"one_view"`
+	// HeartbeatInterval is the time between two words of an entry to the others; 100ms if left out.
+	HeartbeatInterval settings.Duration `json:"heartbeat"`
 }
 
 // Limits of what a file may ask for: an experiment of the largest takes some hours.
@@ -171,8 +171,8 @@
 func (s *Site) check(field string, faults *settings.FieldErrors) {
 	faults.CheckInt(field+".entries", int64(s.Entries), 1, mostEntries)
 	faults.CheckInt(field+".engines", int64(s.Engines), 1, mostEngines)
-	faults.CheckRange(field+".length", s.Length.D(), time.Second, longestPlay)
-	faults.CheckRange(field+".pace_known", s.PaceKnown.D(), 0, longestPlay)
+	faults.CheckRange(field+".length", s.Duration.D(), time.Second, longestPlay)
+	faults.CheckRange(field+".pace_known", s.SlowdownKnownAfter.D(), 0, longestPlay)
 	faults.CheckNumber(field+".heartbeat_loss", s.HeartbeatLoss, 0, 1)
 	faults.CheckNumber(field+".skew", s.Skew, 0, 1000)
 	s.Engine.check(field+".engine", faults)
@@ -182,44 +182,44 @@
 	for i := range s.Kinds {
 		s.Kinds[i].check(fmt.Sprintf("%s.kinds[%d]", field, i), faults)
 	}
-	for i, t := range s.Turns {
+	for i, t := range s.LoadChanges {
 		at := fmt.Sprintf("%s.turns[%d]", field, i)
 		faults.CheckRange(at+".at", t.At.D(), 0, longestPlay)
-		if len(t.Factors) != len(s.Kinds) || slices.ContainsFunc(t.Factors, func(x float64) bool { return !(x >= 0 && x <= mostRate) }) {
-			faults.Add(at+".factors", t.Factors, "a number from 0 for each kind")
+		if len(t.RateFactors) != len(s.Kinds) || slices.ContainsFunc(t.RateFactors, func(x float64) bool { return !(x >= 0 && x <= mostRate) }) {
+			faults.Add(at+".factors", t.RateFactors, "a number from 0 for each kind")
 		}
 	}
-	for i, slow := range s.Slow {
+	for i, slow := range s.Slowdowns {
 		at := fmt.Sprintf("%s.slow[%d]", field, i)
 		faults.CheckRange(at+".from", slow.From.D(), 0, longestPlay)
 		faults.CheckRange(at+".to", slow.To.D(), slow.From.D(), longestPlay)
 		faults.CheckInt(at+".engines", int64(slow.Engines), 1, int64(max((s.Engines+1)/2, 1)))
-		faults.CheckNumber(at+".pace", slow.Pace, 1, 1000)
+		faults.CheckNumber(at+".pace", slow.Factor, 1, 1000)
 	}
 }
 
 func (e *Engine) check(field string, faults *settings.FieldErrors) {
 	faults.CheckInt(field+".slots", int64(e.Slots), 1, 10_000)
-	faults.CheckInt(field+".memory_tokens", int64(e.MemoryTokens), 1, 1e9)
+	faults.CheckInt(field+".memory_tokens", int64(e.KVCacheTokens), 1, 1e9)
 	faults.CheckInt(field+".stride", int64(e.Stride), 1, 10_000)
-	faults.CheckNumber(field+".step_us", e.Step, 1, 1e6)
-	faults.CheckNumber(field+".step_per_request_us", e.StepPerRequest, 0, 1e6)
-	faults.CheckNumber(field+".step_per_thousand_us", e.StepPerThousand, 0, 1e6)
-	faults.CheckNumber(field+".prefill_per_second", e.PrefillPerSecond, 1, 1e9)
-	faults.CheckNumber(field+".pairs_per_million_us", e.PairsPerMillion, 0, 1e6)
+	faults.CheckNumber(field+".step_us", e.StepMicros, 1, 1e6)
+	faults.CheckNumber(field+".step_per_request_us", e.StepMicrosPerRequest, 0, 1e6)
+	faults.CheckNumber(field+".step_per_thousand_us", e.StepMicrosPerThousandTokens, 0, 1e6)
+	faults.CheckNumber(field+".prefill_per_second", e.PrefillTokensPerSecond, 1, 1e9)
+	faults.CheckNumber(field+".pairs_per_million_us", e.AttentionMicrosPerMillionPairs, 0, 1e6)
 }
 
 func (k *Kind) check(field string, faults *settings.FieldErrors) {
 	if k.Name == "" {
 		faults.Add(field+".name", k.Name, "a text")
 	}
-	faults.CheckNumber(field+".tokens", k.Tokens, 1, mostTokens)
+	faults.CheckNumber(field+".tokens", k.MeanTokens, 1, mostTokens)
 	faults.CheckNumber(field+".spread", k.Spread, 0, 10)
-	faults.CheckInt(field+".most_tokens", int64(k.MostTokens), 1, mostTokens)
+	faults.CheckInt(field+".most_tokens", int64(k.MaxTokens), 1, mostTokens)
 	faults.CheckInt(field+".events", int64(k.Events), 1, mostEvents)
-	faults.CheckNumber(field+".per_second", k.PerSecond, 0, mostRate)
+	faults.CheckNumber(field+".per_second", k.RequestsPerSecond, 0, mostRate)
 	faults.CheckRange(field+".target", k.Target.D(), time.Millisecond, longestPlay)
-	faults.CheckRange(field+".pause_limit", k.PauseLimit.D(), time.Millisecond, longestPlay)
+	faults.CheckRange(field+".pause_limit", k.MaxPause.D(), time.Millisecond, longestPlay)
 	faults.CheckNumber(field+".worth", k.Worth, 0, 1e6)
 }
 
@@ -227,33 +227,33 @@
 	if p.Policy != "" && !slices.Contains(emulator.Policies(), p.Policy) {
 		faults.Add(field+".policy", p.Policy, fmt.Sprintf("one of %v", emulator.Policies()))
 	}
-	for _, m := range p.Without {
+	for _, m := range p.Disabled {
 		if !slices.Contains(emulator.Mechanisms(), m) {
 			faults.Add(field+".without", m, fmt.Sprintf("some of %v", emulator.Mechanisms()))
 		}
 	}
-	faults.CheckRange(field+".heartbeat", p.Heartbeat.D(), 0, time.Minute)
+	faults.CheckRange(field+".heartbeat", p.HeartbeatInterval.D(), 0, time.Minute)
 }
 
 // config is the play of a site under a policy.
 func (s *Site) config(p *Policy, seed uint64) *emulator.Config {
 	c := &emulator.Config{
-		Seed: seed, Entries: s.Entries, Engines: s.Engines, Engine: s.Engine.model(), Length: s.Length.D(), PaceKnown: s.PaceKnown.D(),
-		Policy: p.Policy, Without: p.Without, Heartbeat: p.Heartbeat.D(), HeartbeatLoss: s.HeartbeatLoss, Skew: s.Skew,
+		Seed: seed, Entries: s.Entries, Engines: s.Engines, Engine: s.Engine.model(), Duration: s.Duration.D(), SlowdownKnownAfter: s.SlowdownKnownAfter.D(),
+		Policy: p.Policy, Disabled: p.Disabled, HeartbeatInterval: p.HeartbeatInterval.D(), HeartbeatLoss: s.HeartbeatLoss, Skew: s.Skew,
 	}
-	if p.OneView {
+	if p.SingleEntry {
 		c.Entries = 1
 	}
 	for _, k := range s.Kinds {
 		c.Kinds = append(c.Kinds, emulator.Kind{
-			Name: k.Name, Tokens: k.Tokens, Spread: k.Spread, MostTokens: k.MostTokens, Events: k.Events, PerSecond: k.PerSecond, Target: k.Target.D(), PauseLimit: k.PauseLimit.D(),
+			Name: k.Name, MeanTokens: k.MeanTokens, Spread: k.Spread, MaxTokens: k.MaxTokens, Events: k.Events, RequestsPerSecond: k.RequestsPerSecond, Target: k.Target.D(), MaxPause: k.MaxPause.D(),
 		})
 	}
-	for _, t := range s.Turns {
-		c.Turns = append(c.Turns, emulator.Turn{At: t.At.D(), Factors: t.Factors})
+	for _, t := range s.LoadChanges {
+		c.LoadChanges = append(c.LoadChanges, emulator.LoadChange{At: t.At.D(), RateFactors: t.RateFactors})
 	}
-	for _, slow := range s.Slow {
-		c.Slows = append(c.Slows, emulator.Slow{From: slow.From.D(), To: slow.To.D(), Engines: slow.Engines, Pace: slow.Pace})
+	for _, slow := range s.Slowdowns {
+		c.Slowdowns = append(c.Slowdowns, emulator.Slowdown{From: slow.From.D(), To: slow.To.D(), Engines: slow.Engines, Factor: slow.Factor})
 	}
 	return c
 }
@@ -261,7 +261,7 @@
 func (e *Engine) model() directory.Engine {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	return directory.Engine{
-		Slots: e.Slots, KVCacheTokens: e.MemoryTokens, Stride: e.Stride, StepTime: us(e.Step), StepTimePerRequest: us(e.StepPerRequest), StepTimePerContext: us(e.StepPerThousand),
-		PrefillTokensPerSecond: e.PrefillPerSecond, AttentionTimePerMillionPairs: us(e.PairsPerMillion),
+		Slots: e.Slots, KVCacheTokens: e.KVCacheTokens, Stride: e.Stride, StepTime: us(e.StepMicros), StepTimePerRequest: us(e.StepMicrosPerRequest), StepTimePerContext: us(e.StepMicrosPerThousandTokens),
+		PrefillTokensPerSecond: e.PrefillTokensPerSecond, AttentionTimePerMillionPairs: us(e.AttentionMicrosPerMillionPairs),
 	}
 }
--- a/bench/experiment/page.go
+++ b/bench/experiment/page.go
@@ -33,7 +33,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\nMade by `aspenyard experiment`: %d plays in virtual time. Worth is what was earned of what was owed, a late answer a\nquarter; differences are to the first policy, paired by site and seed, with their standard errors.\n\n![worth](%s.svg)\n\n", s.file.Name, s.count, page)
 	b.WriteString(Table(rows))
-	if beaten := s.Beaten(); len(beaten) > 0 {
+	if beaten := s.Outperformed(); len(beaten) > 0 {
 		fmt.Fprintf(&b, "\nRandom sites on which another policy earns more, by more than twice the error: %d.\n\n", len(beaten))
 		b.WriteString(Table(beaten[:min(len(beaten), mostBeaten)]))
 	}
--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -52,12 +52,12 @@
 }
 
 func (d drawer) site(name string) Site {
-	s := Site{Name: name, Entries: int(d.between(1, 30)), Engines: int(d.between(8, 100)), Length: settings.Duration(randomLength)}
+	s := Site{Name: name, Entries: int(d.between(1, 30)), Engines: int(d.between(8, 100)), Duration: settings.Duration(randomLength)}
 	s.Engine = Engine{
-		Slots: int(d.between(8, 32)), MemoryTokens: int(d.between(150_000, 800_000)), Stride: int(d.between(20, 60)), Step: d.between(600, 2000),
-		StepPerRequest: d.between(1, 6), StepPerThousand: d.between(1, 8), PrefillPerSecond: d.between(80_000, 400_000), PairsPerMillion: d.between(60, 250),
+		Slots: int(d.between(8, 32)), KVCacheTokens: int(d.between(150_000, 800_000)), Stride: int(d.between(20, 60)), StepMicros: d.between(600, 2000),
+		StepMicrosPerRequest: d.between(1, 6), StepMicrosPerThousandTokens: d.between(1, 8), PrefillTokensPerSecond: d.between(80_000, 400_000), AttentionMicrosPerMillionPairs: d.between(60, 250),
 	}
-	pass := s.Engine.Step * float64(s.Engine.Stride) / 1000 // ms
+	pass := s.Engine.StepMicros * float64(s.Engine.Stride) / 1000 // ms
 	s.Kinds = []Kind{
 		d.kind("short", d.between(1500, 10_000), d.between(3, 8)*pass, d.between(3, 8)*pass, shortWorth),
 		d.kind("medium", d.between(20_000, 80_000), d.between(800, 3000), d.between(300, 1000), mediumWorth),
@@ -65,15 +65,15 @@
 	}
 	d.rates(&s)
 	long, short := d.between(1, 3), d.between(1, 3)
-	s.Turns = []Turn{{settings.Duration(randomTurnAt / 2), []float64{1 / short, 1, long}}, {settings.Duration(randomTurnAt), []float64{short, 1, 1 / (2 * long)}}}
+	s.LoadChanges = []LoadChange{{settings.Duration(randomTurnAt / 2), []float64{1 / short, 1, long}}, {settings.Duration(randomTurnAt), []float64{short, 1, 1 / (2 * long)}}}
 	return s
 }
 
 func (d drawer) kind(name string, tokens, targetMS, pauseMS, worth float64) Kind {
 	ms := func(x float64) settings.Duration { return settings.Duration(x * float64(time.Millisecond)) }
 	return Kind{
-		Name: name, Tokens: tokens, Spread: d.between(0.3, 1), MostTokens: int(largestFactor * tokens), Events: int(d.between(10, 40)),
-		Target: ms(targetMS), PauseLimit: ms(pauseMS), Worth: worth,
+		Name: name, MeanTokens: tokens, Spread: d.between(0.3, 1), MaxTokens: int(largestFactor * tokens), Events: int(d.between(10, 40)),
+		Target: ms(targetMS), MaxPause: ms(pauseMS), Worth: worth,
 	}
 }
 
@@ -83,16 +83,16 @@
 	parts := []float64{0.2 + d.Float64(), 0.1 + d.Float64()/2, 0.2 + d.Float64()}
 	sum := parts[0] + parts[1] + parts[2]
 	for i := range s.Kinds {
-		s.Kinds[i].PerSecond = load * float64(s.Engines) * parts[i] / sum / s.Engine.cost(&s.Kinds[i])
+		s.Kinds[i].RequestsPerSecond = load * float64(s.Engines) * parts[i] / sum / s.Engine.cost(&s.Kinds[i])
 	}
 }
 
 // cost is the time of an engine that a request of a kind takes, in seconds: its prefill, and
 // its part of the passes in which it decodes beside others in half of the slots.
 func (e *Engine) cost(k *Kind) float64 {
-	prefill := k.Tokens/e.PrefillPerSecond + k.Tokens*k.Tokens/2*(1+k.Spread*k.Spread)/1e6*e.PairsPerMillion/1e6
+	prefill := k.MeanTokens/e.PrefillTokensPerSecond + k.MeanTokens*k.MeanTokens/2*(1+k.Spread*k.Spread)/1e6*e.AttentionMicrosPerMillionPairs/1e6
 	beside := float64(e.Slots) / 2
 	steps := float64(k.Events * e.Stride)
-	decode := steps * (e.Step/beside + e.StepPerRequest + e.StepPerThousand*k.Tokens/1000) / 1e6
+	decode := steps * (e.StepMicros/beside + e.StepMicrosPerRequest + e.StepMicrosPerThousandTokens*k.MeanTokens/1000) / 1e6
 	return prefill + decode
 }
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -11,8 +11,8 @@
 // lateWorth is what a late answer earns of its worth, as on the users' sites.
 const lateWorth = 0.25
 
-// Play is what one site's callers got in one play.
-type Play struct {
+// RunResult is what one site's callers got in one play.
+type RunResult struct {
 	Site   string `json:"site"`
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
@@ -54,14 +54,14 @@
 // Run makes the plays of an experiment on all cores and tells each one that is done, in any
 // order, from one goroutine at a time, with how many there are. It returns early when ctx
 // ends; plays that are under way then are dropped.
-func (f *File) Run(ctx context.Context, done func(p *Play, of int)) error {
+func (f *File) Run(ctx context.Context, done func(p *RunResult, of int)) error {
 	tasks := f.tasks()
 	next := make(chan task, len(tasks))
 	for _, t := range tasks {
 		next <- t
 	}
 	close(next)
-	plays := make(chan *Play)
+	plays := make(chan *RunResult)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
@@ -91,8 +91,8 @@
 	}
 }
 
-func (t *task) play() *Play {
-	p := &Play{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Play(t.site.config(t.policy, t.seed))}
+func (t *task) play() *RunResult {
+	p := &RunResult{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Simulate(t.site.config(t.policy, t.seed))}
 	p.Worth = t.site.worth(p.Kinds)
 	return p
 }
--- a/bench/experiment/summary.go
+++ b/bench/experiment/summary.go
@@ -14,7 +14,7 @@
 // Summary compares policies over the plays of an experiment.
 type Summary struct {
 	file  *File
-	plays map[string]map[playKey]*Play // by policy
+	plays map[string]map[playKey]*RunResult // by policy
 	count int
 }
 
@@ -30,13 +30,13 @@
 
 // NewSummary makes an empty summary.
 func NewSummary(f *File) *Summary {
-	return &Summary{file: f, plays: map[string]map[playKey]*Play{}}
+	return &Summary{file: f, plays: map[string]map[playKey]*RunResult{}}
 }
 
 // Add takes a play in.
-func (s *Summary) Add(p *Play) {
+func (s *Summary) Add(p *RunResult) {
 	if s.plays[p.Policy] == nil {
-		s.plays[p.Policy] = map[playKey]*Play{}
+		s.plays[p.Policy] = map[playKey]*RunResult{}
 	}
 	s.plays[p.Policy][playKey{p.Site, p.Seed}] = p
 	s.count++
@@ -45,18 +45,18 @@
 // Row is one policy on one site, or on all random ones.
 type Row struct {
 	Site, Policy string
-	Plays        int
+	Runs         int
 	Worth        float64
-	// Difference is to the first policy over Pairs of plays, Error its standard error; Lost
+	// Difference is to the first policy over Pairs of plays, StandardError its standard error; Lost
 	// is in how many of the pairs the first policy did better.
-	Difference, Error float64
-	Pairs, Lost       int
-	// Shares are the parts of each kind's requests that were on time.
-	Shares []Share
+	Difference, StandardError float64
+	Pairs, WorsePairs         int
+	// OnTimeShares are the parts of each kind's requests that were on time.
+	OnTimeShares []KindShare
 }
 
-// Share is how many of a kind's requests were on time.
-type Share struct {
+// KindShare is how many of a kind's requests were on time.
+type KindShare struct {
 	Kind   string
 	OnTime float64
 }
@@ -84,7 +84,7 @@
 func (s *Summary) rows(site string, among func(k playKey) bool) []Row {
 	var rows []Row
 	for i := range s.file.Policies {
-		if row := s.row(site, s.file.Policies[i].Name, among); row.Plays > 0 {
+		if row := s.row(site, s.file.Policies[i].Name, among); row.Runs > 0 {
 			rows = append(rows, row)
 		}
 	}
@@ -103,17 +103,17 @@
 			continue
 		}
 		p := plays[key]
-		row.Plays++
+		row.Runs++
 		row.Worth += p.Worth
 		if before := base[key]; before != nil {
 			differences = append(differences, p.Worth-before.Worth)
 		}
 		kinds = addResults(kinds, p.Kinds)
 	}
-	row.Worth /= float64(max(row.Plays, 1))
+	row.Worth /= float64(max(row.Runs, 1))
 	row.compare(differences)
 	for _, k := range kinds {
-		row.Shares = append(row.Shares, Share{k.Kind, k.Share()})
+		row.OnTimeShares = append(row.OnTimeShares, KindShare{k.Kind, k.OnTimeShare()})
 	}
 	return row
 }
@@ -140,7 +140,7 @@
 	for _, d := range differences {
 		sum += d
 		if d < 0 {
-			r.Lost++
+			r.WorsePairs++
 		}
 	}
 	r.Pairs, r.Difference = len(differences), sum/n
@@ -148,20 +148,20 @@
 		squares += (d - r.Difference) * (d - r.Difference)
 	}
 	if n > 1 {
-		r.Error = math.Sqrt(squares / (n - 1) / n)
+		r.StandardError = math.Sqrt(squares / (n - 1) / n)
 	}
 }
 
-// Beaten lists the random sites on which another policy earns more than the first by more
+// Outperformed lists the random sites on which another policy earns more than the first by more
 // than twice the error, worst first.
-func (s *Summary) Beaten() []Row {
+func (s *Summary) Outperformed() []Row {
 	if s.file.Random == nil {
 		return nil
 	}
 	var list []Row
 	for _, site := range s.file.Random.draw() {
 		for _, row := range s.rows(site.Name, func(k playKey) bool { return k.site == site.Name }) {
-			if row.Difference > 2*row.Error && row.Difference > 0 {
+			if row.Difference > 2*row.StandardError && row.Difference > 0 {
 				list = append(list, row)
 			}
 		}
@@ -176,14 +176,14 @@
 	b.WriteString("| Site | Policy | Plays | Worth | Difference | Worse in | On time |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
 		difference := "–"
-		if r.Pairs > 0 && (r.Difference != 0 || r.Error != 0) {
-			difference = fmt.Sprintf("%+.3f ± %.3f", r.Difference, r.Error)
+		if r.Pairs > 0 && (r.Difference != 0 || r.StandardError != 0) {
+			difference = fmt.Sprintf("%+.3f ± %.3f", r.Difference, r.StandardError)
 		}
 		var shares []string
-		for _, s := range r.Shares {
+		for _, s := range r.OnTimeShares {
 			shares = append(shares, fmt.Sprintf("%s %.3f", s.Kind, s.OnTime))
 		}
-		fmt.Fprintf(&b, "| %s | %s | %d | %.3f | %s | %d of %d | %s |\n", r.Site, r.Policy, r.Plays, r.Worth, difference, r.Lost, r.Pairs, strings.Join(shares, ", "))
+		fmt.Fprintf(&b, "| %s | %s | %d | %.3f | %s | %d of %d | %s |\n", r.Site, r.Policy, r.Runs, r.Worth, difference, r.WorsePairs, r.Pairs, strings.Join(shares, ", "))
 	}
 	return b.String()
 }
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -287,9 +287,9 @@
 	return errors.WithStack(json.NewDecoder(response.Body).Decode(into))
 }
 
-// HeldTokens sums the engines' held memory once it is zero, or after a wait; the
+// AwaitNoHeldTokens sums the engines' held memory once it is zero, or after a wait; the
 // error names the engines that still hold some.
-func (f *Fleet) HeldTokens(ctx context.Context) (int, error) {
+func (f *Fleet) AwaitNoHeldTokens(ctx context.Context) (int, error) {
 	deadline := time.Now().Add(readyWait)
 	for {
 		held, err := f.heldNow(ctx)
@@ -328,46 +328,46 @@
 	Deadline  time.Duration
 }
 
-// Answer is what came back.
-type Answer struct {
+// CompletionResult is what came back.
+type CompletionResult struct {
 	Text       string
 	FirstToken time.Duration
-	Took       time.Duration
+	Duration   time.Duration
 }
 
 // Complete sends a streamed completion and reads it to its end. An answer
 // without its end marker is an error.
-func (f *Fleet) Complete(ctx context.Context, c Completion) (Answer, error) {
+func (f *Fleet) Complete(ctx context.Context, c Completion) (CompletionResult, error) {
 	body, err := json.Marshal(map[string]any{"model": c.Kind, "prompt": c.Prompt, "max_tokens": c.MaxTokens, "stream": true})
 	if err != nil {
-		return Answer{}, errors.WithStack(err)
+		return CompletionResult{}, errors.WithStack(err)
 	}
 	header := http.Header{"Authorization": {"Bearer " + fleetKey}, "X-Request-Deadline": {c.Deadline.String()}}
 	return Stream(ctx, f.client, "http://"+f.Callers[c.Entry%len(f.Callers)]+"/v1/completions", header, body)
 }
 
 // Stream posts a completion and reads its server-sent events.
-func Stream(ctx context.Context, client *http.Client, url string, header http.Header, body []byte) (Answer, error) {
+func Stream(ctx context.Context, client *http.Client, url string, header http.Header, body []byte) (CompletionResult, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.WithStack(err)
+		return CompletionResult{}, errors.WithStack(err)
 	}
 	request.Header = header
 	started := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		return Answer{}, errors.WithStack(err)
+		return CompletionResult{}, errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 1024))
-		return Answer{}, errors.Errorf("HTTP status %d: %s", response.StatusCode, bytes.TrimSpace(text))
+		return CompletionResult{}, errors.Errorf("HTTP status %d: %s", response.StatusCode, bytes.TrimSpace(text))
 	}
 	return readEvents(response.Body, started)
 }
 
-func readEvents(body io.Reader, started time.Time) (Answer, error) {
-	var answer Answer
+func readEvents(body io.Reader, started time.Time) (CompletionResult, error) {
+	var answer CompletionResult
 	var text strings.Builder
 	reader := bufio.NewReader(body)
 	for {
@@ -380,7 +380,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			answer.Text, answer.Took = text.String(), time.Since(started)
+			answer.Text, answer.Duration = text.String(), time.Since(started)
 			return answer, nil
 		}
 		var event struct {
--- a/bench/gatewaydemo.go
+++ b/bench/gatewaydemo.go
@@ -17,10 +17,10 @@
 type GatewayDemoResult struct {
 	Workers  int `json:"workers"`
 	Requests int `json:"requests"`
-	// Whole is how many streams came whole, as the workers' own text has it.
-	Whole int `json:"whole"`
-	// Cut is how many of the workers' answers broke off in the midst of an event.
-	Cut int `json:"cut_by_workers"`
+	// Complete is how many streams came whole, as the workers' own text has it.
+	Complete int `json:"whole"`
+	// CutByWorkers is how many of the workers' answers broke off in the midst of an event.
+	CutByWorkers int `json:"cut_by_workers"`
 }
 
 const (
@@ -58,7 +58,7 @@
 	for i := range requests {
 		if i%demoCutEvery == 0 {
 			workers[i%demoWorkers].Next(standinplatform.FaultCut)
-			result.Cut++
+			result.CutByWorkers++
 		}
 		sending.Go(func() {
 			id := fmt.Sprint("q", i)
@@ -66,7 +66,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if whole {
-				result.Whole++
+				result.Complete++
 			}
 		})
 		time.Sleep(demoInterval)
--- a/bench/input_test.go
+++ b/bench/input_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	fleet := testFleet(t)
 	for _, c := range badInputs() {
 		t.Run(c.name, func(t *testing.T) { checkBadInput(t, fleet, c) })
@@ -119,7 +119,7 @@
 // or running, no memory held.
 func checkNothingLeft(t *testing.T, fleet *Fleet) {
 	is := is.New(t)
-	_, err := fleet.HeldTokens(context.Background())
+	_, err := fleet.AwaitNoHeldTokens(context.Background())
 	is.NoErr(err)
 	var status struct {
 		Active  int `json:"active_requests"`
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestOperatorsRefusals(t *testing.T) {
+func TestInvalidOperatorRequestsAreRefused(t *testing.T) {
 	fleet := testFleet(t)
 	site := `{"type":"site","id":"port","owner":"demo","site":{"power_cap_watts":1,"data_centres":["d"]}}`
 	cases := []struct {
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -11,60 +11,60 @@
 	"aspenyard.example/result"
 )
 
-// Late tells in which way a served request was late.
-type Late string
+// Lateness tells in which way a served request was late.
+type Lateness string
 
 // The ways of being late.
 const (
-	OnTime    Late = ""
-	LateFirst Late = "first"
-	LatePause Late = "pause"
-	LateBoth  Late = "both"
+	OnTime    Lateness = ""
+	LateFirst Lateness = "first"
+	LatePause Lateness = "pause"
+	LateBoth  Lateness = "both"
 )
 
 // Request is one request as its gateway logged it.
 type Request struct {
 	ID, Node, Route string
-	// Began is when it came, Ended when its answer had ended.
-	Began, Ended time.Time
+	// ArrivedAt is when it came, EndedAt when its answer had ended.
+	ArrivedAt, EndedAt time.Time
 	// PromptTokens is 0 for requests of plain services.
 	PromptTokens int
 	// Code is the result code; Refused is set where it has not run and the caller may come
 	// back, NotOwed where the caller has no claim to an answer (unknown key or route, or it
 	// left).
-	Code             result.Code
-	Refused, NotOwed bool
-	Late             Late
-	// First is the time to the first event. PauseFrom and PauseTo bound the longest pause.
-	First              time.Duration
-	PauseFrom, PauseTo time.Time
+	Code              result.Code
+	Refused, Excluded bool
+	Late              Lateness
+	// TimeToFirstEvent is the time to the first event. PauseFrom and PauseTo bound the longest pause.
+	TimeToFirstEvent     time.Duration
+	PauseStart, PauseEnd time.Time
 	// Endpoint is where it was sent last.
 	Endpoint string
-	// Waited is how long a long prompt was held back, Expected when its first token was
+	// QueueTime is how long a long prompt was held back, ExpectedFirstToken when its first token was
 	// expected on arrival; 0 where neither was said.
-	Waited, Expected time.Duration
-	// Refusal is what it was refused for, as far as the log says.
-	Refusal Refusal
+	QueueTime, ExpectedFirstToken time.Duration
+	// RefusalReason is what it was refused for, as far as the log says.
+	RefusalReason RefusalReason
 	// Resumed requests go on with a stream that broke off.
 	Resumed bool
 }
 
-// Part is a part of a prompt that an endpoint was given to prefill.
-type Part struct {
-	Request  string
-	Endpoint string
-	// From is when it was sent, To when its prompt's first token came.
-	From, To time.Time
-	Prefill  time.Duration
-	Route    string
+// PrefillPart is a part of a prompt that an endpoint was given to prefill.
+type PrefillPart struct {
+	RequestID string
+	Endpoint  string
+	// SentAt is when it was sent, FirstTokenAt when its prompt's first token came.
+	SentAt, FirstTokenAt time.Time
+	PrefillTime          time.Duration
+	Route                string
 }
 
 // Records are what the logs of all gateways of a deployment tell.
 type Records struct {
 	Requests []Request
-	Parts    []Part
-	// Starts are when processes started.
-	Starts []time.Time
+	Parts    []PrefillPart
+	// ProcessStarts are when processes started.
+	ProcessStarts []time.Time
 }
 
 // Cause is what a request was lost to.
@@ -72,18 +72,18 @@
 
 // The causes.
 const (
-	CauseRefused   Cause = "refused"
-	CauseNotReady  Cause = "no configuration yet"
-	CauseFailed    Cause = "failed at its endpoint"
-	CauseDeadline  Cause = "deadline passed"
-	CauseRestart   Cause = "in the seconds after a start"
-	CauseResumed   Cause = "went on after a break"
-	CauseWaited    Cause = "first event: held back"
-	CauseBlocked   Cause = "first event: not begun"
-	CauseFirst     Cause = "first event: read too late"
-	CauseAnswer    Cause = "answer of a plain service"
-	causePausePart       = "pause: parts of "
-	causePauseNone Cause = "pause: no prefill known"
+	CauseRefused     Cause = "refused"
+	CauseNotReady    Cause = "no configuration yet"
+	CauseFailed      Cause = "failed at its endpoint"
+	CauseDeadline    Cause = "deadline passed"
+	CauseRestart     Cause = "in the seconds after a start"
+	CauseResumed     Cause = "went on after a break"
+	CauseQueued      Cause = "first event: held back"
+	CauseNotStarted  Cause = "first event: not begun"
+	CauseSlowPrefill Cause = "first event: read too late"
+	CauseLateAnswer  Cause = "answer of a plain service"
+	causePausePart         = "pause: parts of "
+	causePauseNone   Cause = "pause: no prefill known"
 )
 
 const (
@@ -110,38 +110,38 @@
 type RouteTotal struct {
 	Route string
 	// Asked leaves out what is not owed; MeanTokens is the mean prompt.
-	Asked      int
-	MeanTokens int
-	OnTime     int
+	Asked            int
+	MeanPromptTokens int
+	OnTime           int
 }
 
-// Account is where a deployment's worth was lost.
-type Account struct {
+// Report is where a deployment's worth was lost.
+type Report struct {
 	// Start is when the first request came.
 	Start  time.Time
 	Routes []RouteTotal
 	// Losses are sorted by route and share, the largest first.
 	Losses []Loss
-	// Sizes is what callers got by the size of their prompts.
-	Sizes []SizeClass
-	// Seconds holds, by cause, what was lost of the requests that began in each second.
-	Seconds map[Cause][]float64
+	// SizeClasses is what callers got by the size of their prompts.
+	SizeClasses []SizeClass
+	// LossBySecond holds, by cause, what was lost of the requests that began in each second.
+	LossBySecond map[Cause][]float64
 }
 
 // lateWorth is what a late answer is worth beside one on time; the users' sheets have a
 // quarter to a third.
 const lateWorth = 0.25
 
-// New makes the account.
-func New(r *Records) *Account {
-	a := &Account{Seconds: map[Cause][]float64{}, Sizes: bySize(r)}
+// Analyze makes the account.
+func Analyze(r *Records) *Report {
+	a := &Report{LossBySecond: map[Cause][]float64{}, SizeClasses: bySize(r)}
 	totals := routeTotals(r.Requests)
 	for i := range r.Requests {
-		if !r.Requests[i].NotOwed && (a.Start.IsZero() || r.Requests[i].Began.Before(a.Start)) {
-			a.Start = r.Requests[i].Began
+		if !r.Requests[i].Excluded && (a.Start.IsZero() || r.Requests[i].ArrivedAt.Before(a.Start)) {
+			a.Start = r.Requests[i].ArrivedAt
 		}
 	}
-	byEndpoint := map[string][]Part{}
+	byEndpoint := map[string][]PrefillPart{}
 	for _, p := range r.Parts {
 		byEndpoint[p.Endpoint] = append(byEndpoint[p.Endpoint], p)
 	}
@@ -153,12 +153,12 @@
 	weights := map[string]float64{}
 	for i := range r.Requests {
 		q := &r.Requests[i]
-		if q.NotOwed {
+		if q.Excluded {
 			continue
 		}
 		weight := size(q, totals[q.Route])
 		weights[q.Route] += weight
-		cause, lost := judge(q, r.Starts, byEndpoint[q.Endpoint])
+		cause, lost := judge(q, r.ProcessStarts, byEndpoint[q.Endpoint])
 		if lost == 0 {
 			continue
 		}
@@ -168,7 +168,7 @@
 		}
 		sums[k].Count++
 		sums[k].Share += weight * lost
-		a.addSecond(cause, q.Began, weight*lost)
+		a.addSecond(cause, q.ArrivedAt, weight*lost)
 	}
 	for _, loss := range sums {
 		loss.Share /= weights[loss.Route]
@@ -184,12 +184,12 @@
 	return a
 }
 
-func (a *Account) addSecond(cause Cause, began time.Time, lost float64) {
+func (a *Report) addSecond(cause Cause, began time.Time, lost float64) {
 	second := int(began.Sub(a.Start).Seconds())
-	for len(a.Seconds[cause]) <= second {
-		a.Seconds[cause] = append(a.Seconds[cause], 0)
+	for len(a.LossBySecond[cause]) <= second {
+		a.LossBySecond[cause] = append(a.LossBySecond[cause], 0)
 	}
-	a.Seconds[cause][second] += lost
+	a.LossBySecond[cause][second] += lost
 }
 
 func routeTotals(requests []Request) map[string]*RouteTotal {
@@ -197,7 +197,7 @@
 	tokens := map[string]int{}
 	for i := range requests {
 		q := &requests[i]
-		if q.NotOwed {
+		if q.Excluded {
 			continue
 		}
 		if totals[q.Route] == nil {
@@ -206,7 +206,7 @@
 		t := totals[q.Route]
 		t.Asked++
 		tokens[q.Route] += q.PromptTokens
-		t.MeanTokens = tokens[q.Route] / t.Asked
+		t.MeanPromptTokens = tokens[q.Route] / t.Asked
 		if served(q) && q.Late == OnTime {
 			t.OnTime++
 		}
@@ -223,16 +223,16 @@
 )
 
 func size(q *Request, t *RouteTotal) float64 {
-	if t.MeanTokens == 0 {
+	if t.MeanPromptTokens == 0 {
 		return 1
 	}
-	return min(fixedWeight+sizeWeight*float64(q.PromptTokens)/float64(t.MeanTokens), mostWeight)
+	return min(fixedWeight+sizeWeight*float64(q.PromptTokens)/float64(t.MeanPromptTokens), mostWeight)
 }
 
 func served(q *Request) bool { return q.Code == result.OK }
 
 // judge gives what a request was lost to, and which part of its worth; 0: nothing.
-func judge(q *Request, starts []time.Time, there []Part) (Cause, float64) {
+func judge(q *Request, starts []time.Time, there []PrefillPart) (Cause, float64) {
 	switch {
 	case served(q) && q.Late == OnTime:
 		return "", 0
@@ -243,7 +243,7 @@
 	case q.Resumed:
 		return CauseResumed, 1 - lateWorth
 	case q.PromptTokens == 0:
-		return CauseAnswer, 1 - lateWorth
+		return CauseLateAnswer, 1 - lateWorth
 	case q.Late == LateFirst || q.Late == LateBoth:
 		return lateFirst(q, there), 1 - lateWorth
 	}
@@ -264,38 +264,38 @@
 
 func afterAStart(q *Request, starts []time.Time) bool {
 	return slices.ContainsFunc(starts, func(s time.Time) bool {
-		return !q.Began.Before(s) && q.Began.Sub(s) < afterStart
+		return !q.ArrivedAt.Before(s) && q.ArrivedAt.Sub(s) < afterStart
 	})
 }
 
 // lateFirst tells why a first event was late: the prompt was held back, an engine did not
 // begin it, or there was too much to read.
-func lateFirst(q *Request, there []Part) Cause {
-	if q.Waited > time.Duration(heldShare*float64(q.First)) {
-		return CauseWaited
+func lateFirst(q *Request, there []PrefillPart) Cause {
+	if q.QueueTime > time.Duration(heldShare*float64(q.TimeToFirstEvent)) {
+		return CauseQueued
 	}
 	ahead, own := time.Duration(0), time.Duration(0)
-	sent := q.Began.Add(q.Waited)
+	sent := q.ArrivedAt.Add(q.QueueTime)
 	for _, p := range there {
 		switch {
-		case p.Request == q.ID:
-			own = p.Prefill
-		case p.From.Before(q.Began.Add(q.First)) && p.To.After(sent):
-			ahead += p.Prefill
+		case p.RequestID == q.ID:
+			own = p.PrefillTime
+		case p.SentAt.Before(q.ArrivedAt.Add(q.TimeToFirstEvent)) && p.FirstTokenAt.After(sent):
+			ahead += p.PrefillTime
 		}
 	}
-	if q.First-q.Waited > blockedFactor*(ahead+own) {
-		return CauseBlocked
+	if q.TimeToFirstEvent-q.QueueTime > blockedFactor*(ahead+own) {
+		return CauseNotStarted
 	}
-	return CauseFirst
+	return CauseSlowPrefill
 }
 
 // latePause names the route whose parts were most of what was prefilled in a pause.
-func latePause(q *Request, there []Part) Cause {
+func latePause(q *Request, there []PrefillPart) Cause {
 	sums := map[string]time.Duration{}
 	for _, p := range there {
-		if p.Request != q.ID && p.From.Before(q.PauseTo) && p.To.After(q.PauseFrom) {
-			sums[p.Route] += p.Prefill
+		if p.RequestID != q.ID && p.SentAt.Before(q.PauseEnd) && p.FirstTokenAt.After(q.PauseStart) {
+			sums[p.Route] += p.PrefillTime
 		}
 	}
 	most := ""
--- a/bench/losses/page.go
+++ b/bench/losses/page.go
@@ -26,7 +26,7 @@
 
 // Write writes name.md and name.svg into a directory. played is what the users reported of
 // the same day; nil where they did not.
-func (a *Account) Write(dir, name string, played *days.Played) error {
+func (a *Report) Write(dir, name string, played *days.DayReport) error {
 	if len(a.Routes) == 0 {
 		return errors.New("the logs hold no request that was owed an answer")
 	}
@@ -39,7 +39,7 @@
 	return errors.WithStack(os.WriteFile(filepath.Join(dir, name+".md"), []byte(a.markdown(name, played)), 0o644))
 }
 
-func (a *Account) markdown(name string, played *days.Played) string {
+func (a *Report) markdown(name string, played *days.DayReport) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Losses: %s\n\nMade by `aspenyard report losses`. Shares are parts of what a route is owed, weighed by size; a late answer\nloses %.2f of its worth. Logs leave some of the requests that ended well out, so that shares of a busy day are too large.\n\n![losses](%s.svg)\n", name, 1-lateWorth, name)
 	if played != nil {
@@ -47,7 +47,7 @@
 	}
 	b.WriteString("\n| Route | Logged | Mean prompt | On time | Lost to | Requests | Share |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range a.Routes {
-		head := fmt.Sprintf("| %s | %d | %d | %d ", r.Route, r.Asked, r.MeanTokens, r.OnTime)
+		head := fmt.Sprintf("| %s | %d | %d | %d ", r.Route, r.Asked, r.MeanPromptTokens, r.OnTime)
 		for _, l := range a.Losses {
 			if l.Route == r.Route {
 				fmt.Fprintf(&b, "%s| %s | %d | %.3f |\n", head, l.Cause, l.Count, l.Share)
@@ -58,12 +58,12 @@
 			fmt.Fprintf(&b, "%s| nothing | 0 | 0 |\n", head)
 		}
 	}
-	writeSizes(&b, a.Sizes)
+	writeSizes(&b, a.SizeClasses)
 	return b.String()
 }
 
 // writePlayed puts what the users reported of the day beside it.
-func writePlayed(b *strings.Builder, played *days.Played) {
+func writePlayed(b *strings.Builder, played *days.DayReport) {
 	fmt.Fprintf(b, "\nWorth %.3f as reported.\n\n| Kind | Asked | On time | Late | Refused | Failed | Earned |\n|---|---|---|---|---|---|---|\n", played.Worth)
 	for _, c := range played.Classes {
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %.3f |\n", c.Name, c.Asked, c.OnTime, c.Late, c.Refused, c.Failed, c.Earned)
@@ -75,7 +75,7 @@
 }
 
 // plot draws what was lost over the seconds, stacked by cause.
-func (a *Account) plot(path, title string) error {
+func (a *Report) plot(path, title string) error {
 	p := plot.New()
 	p.Title.Text = title + ": lost by the second in which a request began"
 	p.X.Label.Text = "seconds"
@@ -106,15 +106,15 @@
 }
 
 // stacked gives the causes that lost most, and all others as one, over the same seconds.
-func (a *Account) stacked() []stackedRow {
+func (a *Report) stacked() []stackedRow {
 	seconds := 0
-	for _, values := range a.Seconds {
+	for _, values := range a.LossBySecond {
 		seconds = max(seconds, len(values))
 	}
 	var rows []stackedRow
-	for _, cause := range slices.Sorted(maps.Keys(a.Seconds)) {
+	for _, cause := range slices.Sorted(maps.Keys(a.LossBySecond)) {
 		row := stackedRow{name: string(cause), values: make(plotter.Values, seconds)}
-		for i, v := range a.Seconds[cause] {
+		for i, v := range a.LossBySecond[cause] {
 			row.values[i] = v
 			row.sum += v
 		}
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Refusal is what a prompt was refused for, or failed to find.
-type Refusal string
+// RefusalReason is what a prompt was refused for, or failed to find.
+type RefusalReason string
 
 // The refusals.
 const (
-	NotRefused Refusal = ""
-	// RefusedExpected: its first token was expected too late on arrival.
-	RefusedExpected Refusal = "expected too late"
-	// RefusedParts: its parts would hold up others for too long.
-	RefusedParts Refusal = "parts too long"
+	NotRefused RefusalReason = ""
+	// RefusedTooLate: its first token was expected too late on arrival.
+	RefusedTooLate RefusalReason = "expected too late"
+	// RefusedLongParts: its parts would hold up others for too long.
+	RefusedLongParts RefusalReason = "parts too long"
 	// RefusedMemory: engines had not the memory that it needs.
-	RefusedMemory Refusal = "no memory"
+	RefusedMemory RefusalReason = "no memory"
 	// RefusedOther: endpoints refused it, or were gone.
-	RefusedOther Refusal = "other"
+	RefusedOther RefusalReason = "other"
 )
 
 // refusals in the order of the table's columns.
-var refusals = []Refusal{RefusedExpected, RefusedParts, RefusedMemory, RefusedOther}
+var refusals = []RefusalReason{RefusedTooLate, RefusedLongParts, RefusedMemory, RefusedOther}
 
 const (
 	// sizeClasses is in how many classes of equal number a route's prompts are divided by
@@ -38,28 +38,28 @@
 // SizeClass is what callers of one route got whose prompts are of like size.
 type SizeClass struct {
 	Route, Name string
-	// Least and Most are the shortest and the longest prompt, in tokens.
-	Least, Most                  int
+	// MinTokens and MaxTokens are the shortest and the longest prompt, in tokens.
+	MinTokens, MaxTokens         int
 	Asked, OnTime, LateOrResumed int
 	// Refused counts by reason; Failed are those that were not served otherwise.
-	Refused map[Refusal]int
+	Refused map[RefusalReason]int
 	Failed  int
-	// Held is how long the prompts were held back at their entries, Expected when their
-	// first tokens were expected on arrival, First when they came: medians of those that
+	// QueueTime is how long the prompts were held back at their entries, ExpectedFirstToken when their
+	// first tokens were expected on arrival, TimeToFirstEvent when they came: medians of those that
 	// have one.
-	Held, Expected, First time.Duration
-	// Reading is the part of all engines that had a part of a prompt to prefill when these
+	QueueTime, ExpectedFirstToken, TimeToFirstEvent time.Duration
+	// PrefillingShare is the part of all engines that had a part of a prompt to prefill when these
 	// prompts were refused or left the queue, and Ahead the mean prefill under way at an
 	// engine: means.
-	Reading float64
-	Ahead   time.Duration
+	PrefillingShare float64
+	PendingPrefill  time.Duration
 }
 
 // bySize divides the prompts of each route by their size.
 func bySize(r *Records) []SizeClass {
 	prompts := map[string][]*Request{}
 	for i := range r.Requests {
-		if q := &r.Requests[i]; !q.NotOwed && q.PromptTokens > 0 {
+		if q := &r.Requests[i]; !q.Excluded && q.PromptTokens > 0 {
 			prompts[q.Route] = append(prompts[q.Route], q)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 func sizeClass(route, name string, list []*Request, engines *activity) SizeClass {
-	c := SizeClass{Route: route, Name: name, Least: list[0].PromptTokens, Most: list[len(list)-1].PromptTokens, Asked: len(list), Refused: map[Refusal]int{}}
+	c := SizeClass{Route: route, Name: name, MinTokens: list[0].PromptTokens, MaxTokens: list[len(list)-1].PromptTokens, Asked: len(list), Refused: map[RefusalReason]int{}}
 	var held, expected, first []time.Duration
 	for _, q := range list {
 		switch {
@@ -89,21 +89,21 @@
 			c.OnTime++
 		case served(q):
 			c.LateOrResumed++
-		case q.Refusal != NotRefused:
-			c.Refused[q.Refusal]++
+		case q.RefusalReason != NotRefused:
+			c.Refused[q.RefusalReason]++
 		case q.Refused:
 			c.Refused[RefusedOther]++
 		default:
 			c.Failed++
 		}
-		held = appendSome(held, q.Waited)
-		expected = appendSome(expected, q.Expected)
-		first = appendSome(first, q.First)
-		reading, ahead := engines.at(q.Began.Add(q.Waited), q.ID)
-		c.Reading += reading / float64(len(list))
-		c.Ahead += ahead / time.Duration(len(list))
+		held = appendSome(held, q.QueueTime)
+		expected = appendSome(expected, q.ExpectedFirstToken)
+		first = appendSome(first, q.TimeToFirstEvent)
+		reading, ahead := engines.at(q.ArrivedAt.Add(q.QueueTime), q.ID)
+		c.PrefillingShare += reading / float64(len(list))
+		c.PendingPrefill += ahead / time.Duration(len(list))
 	}
-	c.Held, c.Expected, c.First = median(held), median(expected), median(first)
+	c.QueueTime, c.ExpectedFirstToken, c.TimeToFirstEvent = median(held), median(expected), median(first)
 	return c
 }
 
@@ -125,11 +125,11 @@
 
 // activity tells what the engines that prompts were sent to had to prefill.
 type activity struct {
-	parts   []Part
+	parts   []PrefillPart
 	engines int
 }
 
-func newActivity(parts []Part) *activity {
+func newActivity(parts []PrefillPart) *activity {
 	engines := map[string]bool{}
 	for _, p := range parts {
 		engines[p.Endpoint] = true
@@ -145,9 +145,9 @@
 	}
 	busy := map[string]bool{}
 	for _, p := range a.parts {
-		if p.Request != but && !t.Before(p.From) && t.Before(p.To) {
+		if p.RequestID != but && !t.Before(p.SentAt) && t.Before(p.FirstTokenAt) {
 			busy[p.Endpoint] = true
-			ahead += p.Prefill
+			ahead += p.PrefillTime
 		}
 	}
 	return float64(len(busy)) / float64(a.engines), ahead / time.Duration(a.engines)
@@ -165,10 +165,10 @@
 	}
 	b.WriteString(" Failed | Held, ms | Expected, ms | First, ms | Prefilling | Ahead, ms |\n|" + strings.Repeat("---|", 12+len(refusals)) + "\n")
 	for _, c := range classes {
-		fmt.Fprintf(b, "| %s | %s | %d to %d | %d | %d | %d |", c.Route, c.Name, c.Least, c.Most, c.Asked, c.OnTime, c.LateOrResumed)
+		fmt.Fprintf(b, "| %s | %s | %d to %d | %d | %d | %d |", c.Route, c.Name, c.MinTokens, c.MaxTokens, c.Asked, c.OnTime, c.LateOrResumed)
 		for _, reason := range refusals {
 			fmt.Fprintf(b, " %d |", c.Refused[reason])
 		}
-		fmt.Fprintf(b, " %d | %d | %d | %d | %.2f | %d |\n", c.Failed, c.Held.Milliseconds(), c.Expected.Milliseconds(), c.First.Milliseconds(), c.Reading, c.Ahead.Milliseconds())
+		fmt.Fprintf(b, " %d | %d | %d | %d | %.2f | %d |\n", c.Failed, c.QueueTime.Milliseconds(), c.ExpectedFirstToken.Milliseconds(), c.TimeToFirstEvent.Milliseconds(), c.PrefillingShare, c.PendingPrefill.Milliseconds())
 	}
 }
--- a/bench/path.go
+++ b/bench/path.go
@@ -90,12 +90,12 @@
 }
 
 // direct asks the engine itself.
-func (f *Fleet) direct(ctx context.Context, i int, prompt string) (Answer, error) {
+func (f *Fleet) direct(ctx context.Context, i int, prompt string) (CompletionResult, error) {
 	body, err := json.Marshal(standin.CompletionRequest{
 		RequestID: fmt.Sprint("direct-", i), Model: fleetModel, Prompt: prompt, MaxTokens: pathOutput, Stream: true,
 	})
 	if err != nil {
-		return Answer{}, errors.WithStack(err)
+		return CompletionResult{}, errors.WithStack(err)
 	}
 	// A fencing number above any agent's, so that the engine takes the order.
 	header := http.Header{"X-Fencing-Number": {"9000000000000000000"}}
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -31,8 +31,8 @@
 	Refused        float64 `json:"refused"`
 	RetrySucceeded float64 `json:"retry_succeeded"`
 	Retried        int     `json:"retried"`
-	// Reused is the part of prompt tokens served from prefix caches.
-	Reused float64 `json:"prefix_reused"`
+	// PrefixReused is the part of prompt tokens served from prefix caches.
+	PrefixReused float64 `json:"prefix_reused"`
 	// Fairness is the small accounts' worst goodput over the large accounts' best.
 	Fairness float64 `json:"fairness"`
 	// LateAdmitted counts admitted requests that did not end by their deadline.
@@ -51,8 +51,8 @@
 	P99   float64 `json:"p99_ms"`
 }
 
-// Bands names the length bands.
-var Bands = []string{"up to 4k", "up to 16k", "up to 100k", "above 100k"}
+// LengthBands names the length bands.
+var LengthBands = []string{"up to 4k", "up to 16k", "up to 100k", "above 100k"}
 
 var classNames = []string{"urgent", "normal", "bulk"}
 
@@ -105,7 +105,7 @@
 }
 
 func (m *experiment) summary() PolicyResult {
-	r := PolicyResult{Goodput: map[string]float64{}, Requests: len(m.outcomes), Reused: ratio(float64(m.cached), float64(m.prompts))}
+	r := PolicyResult{Goodput: map[string]float64{}, Requests: len(m.outcomes), PrefixReused: ratio(float64(m.cached), float64(m.prompts))}
 	offered, good := map[string]int{}, map[string]int{}
 	byAccount := map[string][2]int{}
 	refused, retried, retryGood := 0, 0, 0
@@ -160,7 +160,7 @@
 
 func (m *experiment) bands() []BandResult {
 	var results []BandResult
-	for band, name := range Bands {
+	for band, name := range LengthBands {
 		histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		count := 0
 		for _, o := range m.outcomes {
@@ -180,10 +180,10 @@
 	return results
 }
 
-// Mean averages the results of one policy over seeds, figure by figure.
-func Mean(results []PolicyResult) PolicyResult {
+// MeanResult averages the results of one policy over seeds, figure by figure.
+func MeanResult(results []PolicyResult) PolicyResult {
 	n := float64(len(results))
-	mean := PolicyResult{Policy: results[0].Policy, Load: results[0].Load, Goodput: map[string]float64{}, FirstToken: make([]BandResult, len(Bands))}
+	mean := PolicyResult{Policy: results[0].Policy, Load: results[0].Load, Goodput: map[string]float64{}, FirstToken: make([]BandResult, len(LengthBands))}
 	for _, r := range results {
 		for i, band := range r.FirstToken {
 			m := &mean.FirstToken[i]
@@ -200,7 +200,7 @@
 		mean.ShortSlowdownMean += r.ShortSlowdownMean / n
 		mean.Refused += r.Refused / n
 		mean.RetrySucceeded += r.RetrySucceeded / n
-		mean.Reused += r.Reused / n
+		mean.PrefixReused += r.PrefixReused / n
 		mean.Fairness += r.Fairness / n
 		mean.LateAdmitted += r.LateAdmitted
 		mean.KillRetries += r.KillRetries
@@ -223,7 +223,7 @@
 			bands = append(bands, fmt.Sprintf("%6.0f/%-6.0f", band.P50, band.P95))
 		}
 		fmt.Fprintf(&b, "%-18s %5.2f | %s | %8.2f | %.3f %.3f %.3f | %7.3f %7.2f | %6.3f %6.2f | %d of %d\n", r.Policy, r.Load, strings.Join(bands, " "),
-			r.ShortSlowdown, r.Goodput["urgent"], r.Goodput["normal"], r.Goodput["bulk"], r.Refused, r.RetrySucceeded, r.Reused, r.Fairness, r.LateAdmitted, r.Requests)
+			r.ShortSlowdown, r.Goodput["urgent"], r.Goodput["normal"], r.Goodput["bulk"], r.Refused, r.RetrySucceeded, r.PrefixReused, r.Fairness, r.LateAdmitted, r.Requests)
 	}
 	return b.String()
 }
--- a/bench/power.go
+++ b/bench/power.go
@@ -10,10 +10,10 @@
 // PowerResult is how much of a site's cap was used.
 type PowerResult struct {
 	Case string `json:"case"`
-	// Idle is the part of the cap, above the floors, that waiting work could have
+	// Unused is the part of the cap, above the floors, that waiting work could have
 	// used and did not; EqualIdle the same with a static equal split.
-	Idle      float64 `json:"idle"`
-	EqualIdle float64 `json:"equal_idle"`
+	Unused      float64 `json:"idle"`
+	EqualUnused float64 `json:"equal_idle"`
 	// Writes is the ledger's writes a round; Exceeded counts rounds above the cap.
 	Writes   float64 `json:"writes_per_round"`
 	Exceeded int     `json:"exceeded"`
@@ -96,7 +96,7 @@
 			result.Exceeded++
 		}
 	}
-	result.Idle, result.EqualIdle = 1-used/usable, 1-equalUsed/usable
+	result.Unused, result.EqualUnused = 1-used/usable, 1-equalUsed/usable
 	result.Writes = float64(writes) / powerRounds
 	return result, nil
 }
--- a/bench/run.go
+++ b/bench/run.go
@@ -17,12 +17,12 @@
 type Conditions struct {
 	// Entries share the arrivals; each has its own view.
 	Entries int
-	// ReportEvery and ReportLag time the load reports.
-	ReportEvery, ReportLag time.Duration
+	// ReportInterval and ReportDelay time the load reports.
+	ReportInterval, ReportDelay time.Duration
 	// KillShare of the engines dies half way through.
 	KillShare float64
-	// ObeyShare of the refused requests come back once, when they were told to.
-	ObeyShare float64
+	// RetryShare of the refused requests come back once, when they were told to.
+	RetryShare float64
 }
 
 // outcome is what became of one request.
@@ -115,13 +115,13 @@
 	}
 	for i := range jobs {
 		j := jobs[i]
-		m.After(j.at, func() { m.arrive(j) })
+		m.AfterFunc(j.at, func() { m.arrive(j) })
 	}
-	m.After(0, m.report)
+	m.AfterFunc(0, m.report)
 	if c.KillShare > 0 {
-		m.After(w.Length/2, m.killSome)
+		m.AfterFunc(w.Duration/2, m.killSome)
 	}
-	m.Run(w.Length + drainTime)
+	m.RunUntil(w.Duration + drainTime)
 	return m, nil
 }
 
@@ -164,21 +164,21 @@
 	for _, entry := range m.entries {
 		for i, engine := range m.engines {
 			shown := engine.describe(entry.policy, m.clock())
-			m.After(m.conditions.ReportLag, func() {
+			m.AfterFunc(m.conditions.ReportDelay, func() {
 				if !entry.view[i].Reported.After(shown.Reported) {
 					entry.view[i] = shown
 				}
 			})
 		}
 	}
-	m.After(m.conditions.ReportEvery, m.report)
+	m.AfterFunc(m.conditions.ReportInterval, m.report)
 }
 
 func (m *experiment) arrive(j job) {
 	f := &pendingRequest{outcome: &outcome{job: j}, entry: m.entries[j.id%len(m.entries)], tried: map[string]bool{}}
 	m.outcomes = append(m.outcomes, f.outcome)
 	m.dispatch(f)
-	m.After(j.allowed, func() { m.expire(f) })
+	m.AfterFunc(j.allowed, func() { m.expire(f) })
 }
 
 // dispatch routes a request, as an entry does.
@@ -225,11 +225,11 @@
 	f.outcome.refused = true
 	f.outcome.retryAfter = verdict.RetryAfter
 	j := f.outcome.job
-	if j.retried || verdict.Code == result.PromptTooLong || m.random.Float64() >= m.conditions.ObeyShare {
+	if j.retried || verdict.Code == result.PromptTooLong || m.random.Float64() >= m.conditions.RetryShare {
 		return
 	}
 	j.retried = true
-	m.After(verdict.RetryAfter, func() {
+	m.AfterFunc(verdict.RetryAfter, func() {
 		j.at = m.Now()
 		m.arrive(j)
 	})
@@ -292,7 +292,7 @@
 	}
 	engine.stepping = true
 	duration, events := engine.model.Step()
-	m.After(duration, func() {
+	m.AfterFunc(duration, func() {
 		engine.stepping = false
 		if engine.dead {
 			return
--- a/bench/virtual/virtual.go
+++ b/bench/virtual/virtual.go
@@ -18,15 +18,15 @@
 // Now is the time since the clock's start.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// After makes something happen after a while. What is due at one time happens in the order
+// AfterFunc makes something happen after a while. What is due at one time happens in the order
 // in which it was asked for.
-func (c *Clock) After(d time.Duration, do func()) {
+func (c *Clock) AfterFunc(d time.Duration, do func()) {
 	c.order++
 	heap.Push(&c.events, event{c.now + d, c.order, do})
 }
 
-// Run lets happen what is due until a time, that included.
-func (c *Clock) Run(until time.Duration) {
+// RunUntil lets happen what is due until a time, that included.
+func (c *Clock) RunUntil(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
--- a/bench/virtual/virtual_test.go
+++ b/bench/virtual/virtual_test.go
@@ -11,7 +11,7 @@
 
 // Whatever is asked for, and by whom, happens at its time and in the order in which it was
 // asked for among what is due at one time; a stable sort by time is the model.
-func TestEventsHappenByTimeAndOrder(t *testing.T) {
+func TestEventsRunByTimeThenScheduleOrder(t *testing.T) {
 	type asked struct {
 		at time.Duration
 		id int
@@ -30,7 +30,7 @@
 			d := delay.Draw(t, "after")
 			a := asked{clock.Now() + d, left}
 			model = append(model, a)
-			clock.After(d, func() {
+			clock.AfterFunc(d, func() {
 				if clock.Now() != a.at {
 					t.Fatalf("due at %d, happens at %d", a.at, clock.Now())
 				}
@@ -42,7 +42,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "first") {
 			ask()
 		}
-		clock.Run(time.Hour)
+		clock.RunUntil(time.Hour)
 		slices.SortStableFunc(model, func(a, b asked) int { return int(a.at - b.at) })
 		if !slices.Equal(model, happened) {
 			t.Fatalf("happened %v, want %v", happened, model)
@@ -51,16 +51,16 @@
 }
 
 // A run ends with what is due at its end; the rest happens in the next one.
-func TestARunEndsAtItsTime(t *testing.T) {
+func TestRunUntilStopsAtItsTime(t *testing.T) {
 	is := is.New(t)
 	var clock Clock
 	var happened []int
 	for i := range 4 {
-		clock.After(time.Duration(i)*time.Second, func() { happened = append(happened, i) })
+		clock.AfterFunc(time.Duration(i)*time.Second, func() { happened = append(happened, i) })
 	}
-	clock.Run(time.Second)
+	clock.RunUntil(time.Second)
 	is.Equal(happened, []int{0, 1})
 	is.Equal(clock.Now(), time.Second)
-	clock.Run(time.Minute)
+	clock.RunUntil(time.Minute)
 	is.Equal(happened, []int{0, 1, 2, 3})
 }
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -25,11 +25,11 @@
 	// Burst is how much higher the rate is in a burst, which takes a tenth of the
 	// time; 1: no bursts.
 	Burst float64
-	// Length is the virtual time over which requests arrive.
-	Length time.Duration
-	// Longest is the longest prompt in tokens; 0: DefaultLongest.
-	Longest int
-	Engine  standin.Config
+	// Duration is the virtual time over which requests arrive.
+	Duration time.Duration
+	// LongestPrompt is the longest prompt in tokens; 0: DefaultLongest.
+	LongestPrompt int
+	Engine        standin.Config
 }
 
 // job is one request of a workload.
@@ -57,11 +57,11 @@
 
 // Bounds of the longest prompt, in tokens.
 const (
-	LeastLongest = 110_000
-	MostLongest  = 1_000_000
-	// DefaultLongest is what an engine of the default size holds alone, with room
+	MinLongestPrompt = 110_000
+	MaxLongestPrompt = 1_000_000
+	// DefaultLongestPrompt is what an engine of the default size holds alone, with room
 	// to spare.
-	DefaultLongest = 300_000
+	DefaultLongestPrompt = 300_000
 )
 
 // Prompts that need several engines are left out here: the span of a prompt is the
@@ -92,7 +92,7 @@
 	at := time.Duration(0)
 	for {
 		at += time.Duration(random.ExpFloat64() / (rate * w.intensity(at)) * float64(time.Second))
-		if at > w.Length {
+		if at > w.Duration {
 			return jobs
 		}
 		jobs = append(jobs, w.draw(random, len(jobs), at))
@@ -134,17 +134,17 @@
 // EngineFor sizes the engines so that one holds the longest prompt; the default
 // size if that is enough.
 func EngineFor(longest int) standin.Config {
-	if longest <= DefaultLongest {
+	if longest <= DefaultLongestPrompt {
 		return standin.Config{}
 	}
 	return standin.Config{MemoryTokens: int(memoryShare * float64(longest))}
 }
 
 func (w Workload) longest() int {
-	if w.Longest == 0 {
-		return DefaultLongest
+	if w.LongestPrompt == 0 {
+		return DefaultLongestPrompt
 	}
-	return w.Longest
+	return w.LongestPrompt
 }
 
 func logUniform(random *rand.Rand, low, high int) int {
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -157,7 +157,7 @@
 	}
 	fmt.Fprintf(t.out, "%-18s %8s %20s %15s %9s\n", "demand", "idle", "idle by equal split", "writes a round", "exceeded")
 	for _, r := range results {
-		fmt.Fprintf(t.out, "%-18s %8.3f %20.3f %15.3f %9d\n", r.Case, r.Idle, r.EqualIdle, r.Writes, r.Exceeded)
+		fmt.Fprintf(t.out, "%-18s %8.3f %20.3f %15.3f %9d\n", r.Case, r.Unused, r.EqualUnused, r.Writes, r.Exceeded)
 	}
 	return exitOK
 }
@@ -187,8 +187,8 @@
 	default:
 		return t.failf("bench policy: no profile %q; there are citara and keelung", c.Profile)
 	}
-	if c.Longest < bench.LeastLongest || c.Longest > bench.MostLongest {
-		return t.failf("bench policy: --longest %d is not from %d to %d", c.Longest, bench.LeastLongest, bench.MostLongest)
+	if c.Longest < bench.MinLongestPrompt || c.Longest > bench.MaxLongestPrompt {
+		return t.failf("bench policy: --longest %d is not from %d to %d", c.Longest, bench.MinLongestPrompt, bench.MaxLongestPrompt)
 	}
 	if len(c.Load) == 0 {
 		c.Load = []float64{0.5, 0.8, 0.95, 1.3}
@@ -226,10 +226,10 @@
 				group.Go(func() error {
 					var err error
 					results[i], err = bench.RunPolicy(name, bench.Workload{
-						Seed: c.Seed + uint64(i), Engines: c.Engines, Load: load, LongShare: c.LongShare, Burst: c.Burst, Length: c.Length,
-						Longest: c.Longest, Engine: bench.EngineFor(c.Longest),
+						Seed: c.Seed + uint64(i), Engines: c.Engines, Load: load, LongShare: c.LongShare, Burst: c.Burst, Duration: c.Length,
+						LongestPrompt: c.Longest, Engine: bench.EngineFor(c.Longest),
 					}, bench.Conditions{
-						Entries: c.Entries, ReportEvery: 500 * time.Millisecond, ReportLag: c.Lag, KillShare: c.Kill, ObeyShare: c.Obey,
+						Entries: c.Entries, ReportInterval: 500 * time.Millisecond, ReportDelay: c.Lag, KillShare: c.Kill, RetryShare: c.Obey,
 					})
 					return err
 				})
@@ -237,7 +237,7 @@
 			if err := group.Wait(); err != nil {
 				return nil, err
 			}
-			means = append(means, bench.Mean(results))
+			means = append(means, bench.MeanResult(results))
 		}
 	}
 	return means, nil
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -70,7 +70,7 @@
 	}
 	results := c.sendLoad(ctx, t, fleet)
 	rows, whole := tabulate(results)
-	held, leftovers := fleet.HeldTokens(ctx)
+	held, leftovers := fleet.AwaitNoHeldTokens(ctx)
 	if c.JSON {
 		t.json(map[string]any{"rows": rows, "whole": whole, "held_tokens": held})
 	} else {
@@ -96,9 +96,9 @@
 	if c.JSON {
 		t.json(result)
 	} else {
-		fmt.Fprintf(t.out, "%d streams through the gateway, %d answers cut by workers, %d streams whole\n", result.Requests, result.Cut, result.Whole)
+		fmt.Fprintf(t.out, "%d streams through the gateway, %d answers cut by workers, %d streams whole\n", result.Requests, result.CutByWorkers, result.Complete)
 	}
-	if result.Whole != result.Requests {
+	if result.Complete != result.Requests {
 		return t.failf("not every answer came back whole")
 	}
 	return exitOK
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -42,7 +42,7 @@
 	summary := experiment.NewSummary(file)
 	var failed error
 	played := 0
-	stopped := file.Run(ctx, func(p *experiment.Play, of int) {
+	stopped := file.Run(ctx, func(p *experiment.RunResult, of int) {
 		summary.Add(p)
 		if lines != nil && failed == nil {
 			failed = json.NewEncoder(lines).Encode(p)
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -33,7 +33,7 @@
 		lines = append(lines, all...)
 	}
 	records := lossRecords(lines)
-	if err := losses.New(records).Write(c.Out, c.Name, played); err != nil {
+	if err := losses.Analyze(records).Write(c.Out, c.Name, played); err != nil {
 		return t.failf("%v", err)
 	}
 	fmt.Fprintf(t.out, "%s/%s.md: %d requests\n", c.Out, c.Name, len(records.Requests))
@@ -41,7 +41,7 @@
 }
 
 // readPlayed reads the users' report; nil where none is named.
-func (c *reportLosses) readPlayed() (*days.Played, error) {
+func (c *reportLosses) readPlayed() (*days.DayReport, error) {
 	if c.Played == "" {
 		return nil, nil
 	}
@@ -57,7 +57,7 @@
 	// placed is the last plan.
 	placed           *logLine
 	waited, expected time.Duration
-	refusal          losses.Refusal
+	refusal          losses.RefusalReason
 }
 
 // add takes in a line of the request.
@@ -70,9 +70,9 @@
 	case "queue_left":
 		c.waited, c.expected = l.duration("waited_ms"), l.duration("expected_ms")
 	case "queue_refused":
-		c.expected, c.refusal = l.duration("expected_ms"), losses.RefusedExpected
+		c.expected, c.refusal = l.duration("expected_ms"), losses.RefusedTooLate
 	case "capacity_refused":
-		c.refusal = losses.RefusedParts
+		c.refusal = losses.RefusedLongParts
 	case "memory_reserved":
 		if l.number("tokens") < l.number("needed") {
 			c.refusal = losses.RefusedMemory
@@ -88,7 +88,7 @@
 	for i := range lines {
 		l := &lines[i]
 		if l.Event == "start" {
-			records.Starts = append(records.Starts, l.Time)
+			records.ProcessStarts = append(records.ProcessStarts, l.Time)
 		}
 		if courses[l.requestKey()] == nil {
 			courses[l.requestKey()] = &requestTrace{}
@@ -116,15 +116,15 @@
 	began := l.Time.Add(-l.duration("took_ms"))
 	status := result.Lookup(code).HTTPStatus
 	q := losses.Request{
-		ID: l.Request, Node: l.Node, Route: l.text("route"), Began: began, Ended: l.Time, PromptTokens: int(l.number("prompt_tokens")),
-		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, NotOwed: answerNotOwed(code), Late: parseLate(l.text("late")),
-		First: l.duration("first_ms"), Endpoint: l.text("endpoint"), Waited: course.waited, Expected: course.expected, Resumed: l.text("resumed") == "true",
+		ID: l.Request, Node: l.Node, Route: l.text("route"), ArrivedAt: began, EndedAt: l.Time, PromptTokens: int(l.number("prompt_tokens")),
+		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, Excluded: answerNotOwed(code), Late: parseLate(l.text("late")),
+		TimeToFirstEvent: l.duration("first_ms"), Endpoint: l.text("endpoint"), QueueTime: course.waited, ExpectedFirstToken: course.expected, Resumed: l.text("resumed") == "true",
 	}
 	if q.Refused {
-		q.Refusal = course.refusal
+		q.RefusalReason = course.refusal
 	}
-	q.PauseTo = began.Add(l.duration("gap_end_ms"))
-	q.PauseFrom = q.PauseTo.Add(-l.duration("gap_ms"))
+	q.PauseEnd = began.Add(l.duration("gap_end_ms"))
+	q.PauseStart = q.PauseEnd.Add(-l.duration("gap_ms"))
 	return q
 }
 
@@ -138,7 +138,7 @@
 }
 
 // parseLate reads a log's word; plain answers have one way of being parseLate.
-func parseLate(word string) losses.Late {
+func parseLate(word string) losses.Lateness {
 	switch word {
 	case "answer", "first":
 		return losses.LateFirst
@@ -152,14 +152,14 @@
 
 // lossParts are the parts of a prompt, from when they were sent until its first token came
 // or, where none did, its end.
-func lossParts(sent *logLine, q *losses.Request) []losses.Part {
-	to := q.Ended
-	if q.First > 0 {
-		to = q.Began.Add(q.First)
+func lossParts(sent *logLine, q *losses.Request) []losses.PrefillPart {
+	to := q.EndedAt
+	if q.TimeToFirstEvent > 0 {
+		to = q.ArrivedAt.Add(q.TimeToFirstEvent)
 	}
-	var parts []losses.Part
+	var parts []losses.PrefillPart
 	for _, endpoint := range sent.endpoints() {
-		parts = append(parts, losses.Part{Request: q.ID, Endpoint: endpoint, From: sent.Time, To: to, Prefill: sent.duration("prefill_ms"), Route: q.Route})
+		parts = append(parts, losses.PrefillPart{RequestID: q.ID, Endpoint: endpoint, SentAt: sent.Time, FirstTokenAt: to, PrefillTime: sent.duration("prefill_ms"), Route: q.Route})
 	}
 	return parts
 }
--- a/cli/report.go
+++ b/cli/report.go
@@ -51,7 +51,7 @@
 			scores = append(scores, score)
 		}
 	}
-	if err := days.Write(c.Out, scores); err != nil {
+	if err := days.WritePage(c.Out, scores); err != nil {
 		return t.failf("%v", err)
 	}
 	fmt.Fprintf(t.out, "%s: %d scores\n", c.Out, len(scores))
