--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -61,15 +61,15 @@
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 // Close lets the buffered lines be written until wait is closed or receives.
-func (w *Writer) Close(wait <-chan struct{}) {
+func (w *Writer) Close(abort <-chan struct{}) {
 	select {
 	case w.lines <- nil:
-	case <-wait:
+	case <-abort:
 		return
 	}
 	select {
 	case <-w.done:
-	case <-wait:
+	case <-abort:
 	}
 }
 
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -46,15 +46,15 @@
 	if !f.isSuspect() {
 		return nil
 	}
-	left := f.gateway.quarantine.Remaining(time.Now(), f.fingerprint())
-	if left == 0 {
+	remaining := f.gateway.quarantine.Remaining(time.Now(), f.fingerprint())
+	if remaining == 0 {
 		return nil
 	}
-	f.log.Add("quarantine_refused", zap.Stringer("fingerprint", f.fingerprint()), zap.Duration("left_ms", left))
+	f.log.Add("quarantine_refused", zap.Stringer("fingerprint", f.fingerprint()), zap.Duration("left_ms", remaining))
 	if f.retrier.MayHaveRun() {
 		return result.Fail(result.EndpointFailed, result.RanUnknown, "endpoints crash under this request")
 	}
-	return result.Refuse(result.Quarantined, left, "endpoints crashed under earlier copies of this request")
+	return result.Refuse(result.Quarantined, remaining, "endpoints crashed under earlier copies of this request")
 }
 
 // checkForCrash finds out whether the endpoint has crashed after an exchange broke off.
@@ -94,12 +94,12 @@
 // connections, or the endpoint is back in another life. One that is leaving ends as planned, and
 // one that is silent may be cut off.
 func (g *Gateway) hasCrashed(ctx context.Context, e *directory.EndpointState) bool {
-	present := g.snapshot.Load().EndpointByID(e.ID)
-	if present == nil {
+	current := g.snapshot.Load().EndpointByID(e.ID)
+	if current == nil {
 		return false
 	}
-	if present.Incarnation != e.Incarnation {
-		return present.StartUnixMilli > e.StartUnixMilli
+	if current.Incarnation != e.Incarnation {
+		return current.StartUnixMilli > e.StartUnixMilli
 	}
 	return g.prober.connectionRefused(ctx, e)
 }
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -30,8 +30,8 @@
 	t.Helper()
 	first, second = newFixture(t, workers...), newFixture(t)
 	second.store = first.store
-	first.hearPeers()
-	second.hearPeers()
+	first.enablePeers()
+	second.enablePeers()
 	second.extraSettings += `,"name":"g2"`
 	first.start()
 	second.version = first.version
@@ -42,8 +42,8 @@
 	return first, second
 }
 
-// hearPeers lets a site's gateway hear of others once it starts.
-func (s *fixture) hearPeers() {
+// enablePeers lets a site's gateway hear of others once it starts.
+func (s *fixture) enablePeers() {
 	s.t.Helper()
 	addr, err := link.FreeAddr()
 	if err != nil {
@@ -52,8 +52,8 @@
 	s.extraSettings += fmt.Sprintf(`,"peers_listen":%q`, addr)
 }
 
-// ranBody counts the runs of a body at a site's workers.
-func (s *fixture) ranBody(body string) int {
+// runsOfBody counts the runs of a body at a site's workers.
+func (s *fixture) runsOfBody(body string) int {
 	n := 0
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
@@ -74,8 +74,8 @@
 			s.do(s.request("POST", "/again/a", fmt.Sprintf("p%d-%d", i, n), crashingBody))
 		}
 	}
-	t.Logf("%d endpoints ended", first.ranBody(crashingBody))
-	is.True(first.ranBody(crashingBody) <= 6) // three, and three retries
+	t.Logf("%d endpoints ended", first.runsOfBody(crashingBody))
+	is.True(first.runsOfBody(crashingBody) <= 6) // three, and three retries
 	is.Equal(first.post("/again/a", "other").status, http.StatusOK)
 }
 
@@ -90,7 +90,7 @@
 	for _, s := range []*fixture{first, second} {
 		s.waitFor("it is in quarantine", func() bool { return s.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
 	}
-	ran := first.ranBody(crashingBody)
+	ran := first.runsOfBody(crashingBody)
 	is.Equal(ran, 3)
 	for _, s := range []*fixture{first, second} {
 		got := s.do(s.request("POST", "/again/a", "later", crashingBody))
@@ -98,7 +98,7 @@
 		is.True(got.header.Get("Retry-After") != "")
 		s.waitFor("the refusal is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_refused"`) })
 	}
-	is.Equal(first.ranBody(crashingBody), ran)
+	is.Equal(first.runsOfBody(crashingBody), ran)
 	for _, path := range []string{"/again/b", "/once/a"} { // another path or kind, or another body
 		got := second.do(second.request("POST", path, "other"+path, "body"))
 		is.Equal(got.status, http.StatusOK)
@@ -111,23 +111,23 @@
 func TestAStartingEntryLearnsOfAQuarantineFromItsPeers(t *testing.T) {
 	is := is.New(t)
 	first := newFixture(t, crashingWorkers(12)...)
-	first.hearPeers()
+	first.enablePeers()
 	first.start()
 	for i := range 2 {
 		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
-	is.Equal(first.ranBody(crashingBody), 3)
+	is.Equal(first.runsOfBody(crashingBody), 3)
 	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
 	first.store.Delete(first.store.Keys("records/")[0]) // it hears by heartbeats alone
 	second := newFixture(t)
 	second.store = first.store
-	second.hearPeers()
+	second.enablePeers()
 	second.extraSettings += `,"name":"g2"`
 	second.version = first.version
 	second.start()
 	second.waitFor("it is in quarantine", func() bool { return second.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
 	is.Equal(second.do(second.request("POST", "/again/a", "later", crashingBody)).status, http.StatusServiceUnavailable)
-	is.Equal(first.ranBody(crashingBody), 3)
+	is.Equal(first.runsOfBody(crashingBody), 3)
 }
 
 // Guards against entries that all start anew and end three more endpoints with a request in quarantine.
@@ -138,7 +138,7 @@
 	for i := range 2 {
 		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
-	is.Equal(first.ranBody(crashingBody), 3)
+	is.Equal(first.runsOfBody(crashingBody), 3)
 	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
 	first.sendSIGTERM()
 	<-first.serveErr
@@ -147,7 +147,7 @@
 	next.version = first.version
 	next.start()
 	is.Equal(next.do(next.request("POST", "/again/a", "later", crashingBody)).status, http.StatusServiceUnavailable)
-	is.Equal(first.ranBody(crashingBody), 3)
+	is.Equal(first.runsOfBody(crashingBody), 3)
 	is.Equal(next.post("/again/a", "other").status, http.StatusOK)
 }
 
@@ -204,11 +204,11 @@
 		go func() { got <- s.do(s.request("POST", "/again/a", fmt.Sprint("n", i), fmt.Sprint("body ", i))) }()
 	}
 	s.waitFor("all have begun", func() bool {
-		begun := 0
+		started := 0
 		for _, w := range workers {
-			begun += len(w.Runs())
+			started += len(w.Runs())
 		}
-		return begun == 16
+		return started == 16
 	})
 	s.do(s.request("POST", "/again/a", "p", crashingBody)) // ends two endpoints, and one of those to which their requests went perhaps
 	for range 16 {
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -28,14 +28,14 @@
 // every request under way.
 func (g *Gateway) drain(signals <-chan os.Signal) {
 	limit := g.settings.DrainTimeout.D()
-	begun := time.Now()
-	g.drainStartedAt.Store(int64(begun.Sub(g.started)))
+	start := time.Now()
+	g.drainStartedAt.Store(int64(start.Sub(g.started)))
 	g.callers.conns.DisableKeepAlives()
 	g.peers.announceLeaving()
 	g.log.Info("drain", zap.Int64("active", g.active.Load()), zap.Duration("limit_ms", limit))
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	accept := time.Duration(float64(limit) * acceptShare)
+	acceptTime := time.Duration(float64(limit) * acceptShare)
 	for {
 		select {
 		case signal := <-signals:
@@ -47,14 +47,14 @@
 			continue
 		case <-ticker.C:
 		}
-		since := time.Since(begun)
-		if since < accept {
+		elapsed := time.Since(start)
+		if elapsed < acceptTime {
 			continue
 		}
 		g.callers.conns.CloseIdle()
 		active := g.active.Load()
-		if active+g.releasing.Load() == 0 && g.callers.conns.StopReading() || since > limit-stopMargin {
-			g.log.Info("stop", zap.String("reason", "drained"), zap.Int64("active", active), zap.Duration("took_ms", since))
+		if active+g.releasing.Load() == 0 && g.callers.conns.StopReading() || elapsed > limit-stopMargin {
+			g.log.Info("stop", zap.String("reason", "drained"), zap.Int64("active", active), zap.Duration("took_ms", elapsed))
 			g.callers.close()
 			return
 		}
@@ -69,8 +69,8 @@
 		return true
 	}
 	limit := g.settings.DrainTimeout.D()
-	since := g.elapsedSince(&g.drainStartedAt)
-	return since < time.Duration(float64(limit)*acceptShare) || since+need < limit-stopMargin
+	elapsed := g.elapsedSince(&g.drainStartedAt)
+	return elapsed < time.Duration(float64(limit)*acceptShare) || elapsed+need < limit-stopMargin
 }
 
 const (
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -65,9 +65,9 @@
 	backoff       time.Duration
 	// timeout bounds the next call.
 	timeout time.Duration
-	// loggedFaults holds the revision at which each item was last found undecodable, so that
+	// loggedInvalidItems holds the revision at which each item was last found undecodable, so that
 	// one that stays is logged once and not with each whole reading.
-	loggedFaults map[string]uint64
+	loggedInvalidItems map[string]uint64
 }
 
 // storeAnswer is what one call to the store brought.
@@ -78,21 +78,21 @@
 }
 
 func (g *Gateway) watchStore(ctx context.Context) {
-	f := &storeWatcher{gateway: g, replica: directory.NewReplica(), needsFullRead: true, backoff: minBackoff, timeout: g.settings.StoreTimeout.D(), loggedFaults: map[string]uint64{}}
+	w := &storeWatcher{gateway: g, replica: directory.NewReplica(), needsFullRead: true, backoff: minBackoff, timeout: g.settings.StoreTimeout.D(), loggedInvalidItems: map[string]uint64{}}
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	answers := make(chan storeAnswer, 1)
-	f.startCall(ctx, 0, answers)
+	w.startCall(ctx, 0, answers)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if f.replica.ExpireMissing(now) {
-				f.publish()
+			if w.replica.ExpireMissing(now) {
+				w.publish()
 			}
 		case answer := <-answers:
-			f.startCall(ctx, f.handleAnswer(answer), answers)
+			w.startCall(ctx, w.handleAnswer(answer), answers)
 		}
 	}
 }
@@ -100,9 +100,9 @@
 // startCall makes one startCall to the store, after a pause, beside the control thread; it
 // touches nothing of the follower's state. During an outage it does not wait for
 // changes, so that the store's return is seen at once.
-func (f *storeWatcher) startCall(ctx context.Context, pause time.Duration, answers chan<- storeAnswer) {
-	stale, at, wait, timeout, gateway := f.needsFullRead, f.replica.Revision(), f.gateway.longPollWait(), f.timeout, f.gateway
-	if stale || !f.outageSince.IsZero() {
+func (w *storeWatcher) startCall(ctx context.Context, pause time.Duration, answers chan<- storeAnswer) {
+	fullRead, revision, wait, timeout, gateway := w.needsFullRead, w.replica.Revision(), w.gateway.longPollWait(), w.timeout, w.gateway
+	if fullRead || !w.outageSince.IsZero() {
 		wait = 0
 	}
 	go func() {
@@ -114,117 +114,117 @@
 		ctx, cancel := context.WithTimeout(ctx, wait+timeout)
 		defer cancel()
 		var answer storeAnswer
-		begun := time.Now()
-		if stale {
+		start := time.Now()
+		if fullRead {
 			answer.state, answer.err = gateway.source.Read(ctx)
 		} else {
-			answer.changes, answer.err = gateway.source.Watch(ctx, at, wait)
+			answer.changes, answer.err = gateway.source.Watch(ctx, revision, wait)
 		}
-		gateway.observeStoreCall(stale, time.Since(begun), answer.err)
+		gateway.observeStoreCall(fullRead, time.Since(start), answer.err)
 		answers <- answer
 	}()
 }
 
 // handleAnswer takes an answer in and tells how long to pause before the next call.
-func (f *storeWatcher) handleAnswer(answer storeAnswer) time.Duration {
-	log, now := f.gateway.log, time.Now()
+func (w *storeWatcher) handleAnswer(answer storeAnswer) time.Duration {
+	log, now := w.gateway.log, time.Now()
 	switch {
 	case errors.Is(answer.err, directory.ErrHistoryGone):
-		f.needsFullRead = true
-		log.Info("store_history_gone", zap.Uint64("at", f.replica.Revision()))
+		w.needsFullRead = true
+		log.Info("store_history_gone", zap.Uint64("at", w.replica.Revision()))
 		return 0
 	case answer.err != nil:
-		if f.outageSince.IsZero() {
-			f.outageSince = now
-			log.Warn("store_lost", eventlog.Error(answer.err), zap.Uint64("at", f.replica.Revision()))
+		if w.outageSince.IsZero() {
+			w.outageSince = now
+			log.Warn("store_lost", eventlog.Error(answer.err), zap.Uint64("at", w.replica.Revision()))
 		}
 		// Connections that went silent would fail every call that is given them.
-		f.gateway.source.CloseIdleConnections()
-		f.timeout = min(2*f.timeout, maxTimeoutFactor*f.gateway.settings.StoreTimeout.D())
-		pause := f.backoff/2 + time.Duration(rand.Int64N(int64(f.backoff)))
-		f.backoff = min(2*f.backoff, maxBackoff)
+		w.gateway.source.CloseIdleConnections()
+		w.timeout = min(2*w.timeout, maxTimeoutFactor*w.gateway.settings.StoreTimeout.D())
+		pause := w.backoff/2 + time.Duration(rand.Int64N(int64(w.backoff)))
+		w.backoff = min(2*w.backoff, maxBackoff)
 		return pause
 	}
-	if !f.outageSince.IsZero() {
-		log.Info("store_regained", zap.Duration("outage_ms", now.Sub(f.outageSince)))
-		f.outageSince = time.Time{}
-		f.replica.SetOutageEnd(now)
+	if !w.outageSince.IsZero() {
+		log.Info("store_regained", zap.Duration("outage_ms", now.Sub(w.outageSince)))
+		w.outageSince = time.Time{}
+		w.replica.SetOutageEnd(now)
 	}
-	f.backoff, f.timeout = minBackoff, f.gateway.settings.StoreTimeout.D()
-	before := f.gateway.snapshot.Load().Config
+	w.backoff, w.timeout = minBackoff, w.gateway.settings.StoreTimeout.D()
+	before := w.gateway.snapshot.Load().Config
 	pause := time.Duration(0)
 	switch {
 	case answer.state != nil:
-		f.replica.ApplyState(now, answer.state)
-		f.needsFullRead = false
-		f.logFaults(answer.state.InvalidItems)
+		w.replica.ApplyState(now, answer.state)
+		w.needsFullRead = false
+		w.logInvalidItems(answer.state.InvalidItems)
 		for i := range answer.state.Records {
-			f.gateway.applyQuarantineRecord(now, &answer.state.Records[i])
+			w.gateway.applyQuarantineRecord(now, &answer.state.Records[i])
 		}
 	default:
-		pause = f.batchPause(answer.changes)
-		f.replica.ApplyChanges(now, answer.changes)
-		f.logFaults(answer.changes.InvalidItems)
-		f.handleChanges(now, answer.changes)
+		pause = w.batchPause(answer.changes)
+		w.replica.ApplyChanges(now, answer.changes)
+		w.logInvalidItems(answer.changes.InvalidItems)
+		w.handleChanges(now, answer.changes)
 	}
-	f.gateway.storeAnsweredAt.Store(f.gateway.uptimeNanos())
-	f.publish()
-	if config := f.gateway.snapshot.Load().Config; config != before {
-		f.gateway.configAppliedAt.Store(f.gateway.uptimeNanos())
+	w.gateway.storeAnsweredAt.Store(w.gateway.uptimeNanos())
+	w.publish()
+	if config := w.gateway.snapshot.Load().Config; config != before {
+		w.gateway.configAppliedAt.Store(w.gateway.uptimeNanos())
 		if before == nil {
-			close(f.gateway.configured)
+			close(w.gateway.configured)
 		}
-		log.Info("config_in_force", zap.Uint64("version", config.Version), zap.Int("routes", config.RouteCount()), zap.Uint64("at", f.replica.Revision()))
+		log.Info("config_in_force", zap.Uint64("version", config.Version), zap.Int("routes", config.RouteCount()), zap.Uint64("at", w.replica.Revision()))
 	}
 	return pause
 }
 
-func (f *storeWatcher) batchPause(changes *directory.Changes) time.Duration {
+func (w *storeWatcher) batchPause(changes *directory.Changes) time.Duration {
 	if len(changes.Changes) == 0 {
 		return 0
 	}
-	return f.gateway.maxChangeDelay() / batchPauseDivisor
+	return w.gateway.maxChangeDelay() / batchPauseDivisor
 }
 
-// maxLoggedFaults bounds what is kept of undecodable items; beyond it they are logged anew.
-const maxLoggedFaults = 10_000
+// maxLoggedInvalidItems bounds what is kept of undecodable items; beyond it they are logged anew.
+const maxLoggedInvalidItems = 10_000
 
-func (f *storeWatcher) logFaults(faults []directory.InvalidItem) {
-	for _, fault := range faults {
-		if f.loggedFaults[fault.Key] == fault.Revision {
+func (w *storeWatcher) logInvalidItems(items []directory.InvalidItem) {
+	for _, item := range items {
+		if w.loggedInvalidItems[item.Key] == item.Revision {
 			continue
 		}
-		if len(f.loggedFaults) >= maxLoggedFaults {
-			clear(f.loggedFaults)
+		if len(w.loggedInvalidItems) >= maxLoggedInvalidItems {
+			clear(w.loggedInvalidItems)
 		}
-		f.loggedFaults[fault.Key] = fault.Revision
-		f.gateway.log.Error("store_item_refused", zap.String("key", fault.Key), zap.Uint64("revision", fault.Revision), eventlog.Error(fault.Err))
+		w.loggedInvalidItems[item.Key] = item.Revision
+		w.gateway.log.Error("store_item_refused", zap.String("key", item.Key), zap.Uint64("revision", item.Revision), eventlog.Error(item.Err))
 	}
 }
 
 // handleChanges logs changes, and passes on the records among them.
-func (f *storeWatcher) handleChanges(now time.Time, changes *directory.Changes) {
+func (w *storeWatcher) handleChanges(now time.Time, changes *directory.Changes) {
 	for i := range changes.Changes {
 		switch change := &changes.Changes[i]; {
 		case change.Record != nil:
-			f.gateway.applyQuarantineRecord(now, change.Record)
+			w.gateway.applyQuarantineRecord(now, change.Record)
 		case change.EndpointGone != "":
-			f.gateway.log.Info("endpoint_gone", zap.String("endpoint", change.EndpointGone), zap.Uint64("revision", change.Revision))
+			w.gateway.log.Info("endpoint_gone", zap.String("endpoint", change.EndpointGone), zap.Uint64("revision", change.Revision))
 		case change.Endpoint != nil && change.Endpoint.Leaving:
-			f.gateway.log.Info("endpoint_leaving", zap.String("endpoint", change.Endpoint.ID), zap.Uint64("revision", change.Revision))
+			w.gateway.log.Info("endpoint_leaving", zap.String("endpoint", change.Endpoint.ID), zap.Uint64("revision", change.Revision))
 		case change.Endpoint != nil:
-			f.gateway.log.Info("endpoint_listed", zap.String("endpoint", change.Endpoint.ID), zap.Int64("born", change.Endpoint.StartUnixMilli), zap.String("service", change.Endpoint.Service), zap.Uint64("revision", change.Revision))
+			w.gateway.log.Info("endpoint_listed", zap.String("endpoint", change.Endpoint.ID), zap.Int64("born", change.Endpoint.StartUnixMilli), zap.String("service", change.Endpoint.Service), zap.Uint64("revision", change.Revision))
 		}
 	}
 }
 
-func (f *storeWatcher) publish() {
-	snapshot := f.replica.Snapshot()
-	f.gateway.snapshot.Store(snapshot)
-	known := func(life directory.Incarnation) bool { return snapshot.Endpoint(life) != nil }
-	f.gateway.pool.prune(known)
-	f.gateway.prober.prune(known)
-	f.gateway.paces.prune(known)
-	f.gateway.ledger.Prune(known)
-	f.gateway.peers.setMembers(snapshot)
+func (w *storeWatcher) publish() {
+	snapshot := w.replica.Snapshot()
+	w.gateway.snapshot.Store(snapshot)
+	known := func(incarnation directory.Incarnation) bool { return snapshot.Endpoint(incarnation) != nil }
+	w.gateway.pool.prune(known)
+	w.gateway.prober.prune(known)
+	w.gateway.paces.prune(known)
+	w.gateway.ledger.Prune(known)
+	w.gateway.peers.setMembers(snapshot)
 }
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -73,7 +73,7 @@
 		g.watchStore(ctx)
 		close(ended)
 	}()
-	enough := func(n int) {
+	awaitCalls := func(n int) {
 		for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 			source.mu.Lock()
 			got := len(source.calls)
@@ -83,16 +83,16 @@
 			}
 		}
 	}
-	set := func(fail bool) {
+	setFail := func(fail bool) {
 		source.mu.Lock()
 		source.fail = fail
 		source.mu.Unlock()
 	}
-	enough(10)
-	set(true)
-	enough(14)
-	set(false)
-	enough(20)
+	awaitCalls(10)
+	setFail(true)
+	awaitCalls(14)
+	setFail(false)
+	awaitCalls(20)
 	cancel()
 	<-ended
 	source.mu.Lock()
--- a/gateway/lives_test.go
+++ b/gateway/incarnation_test.go
@@ -13,8 +13,8 @@
 
 const startMillis = 1_790_000_000_000
 
-// restart ends a worker and starts it again under its ID and at its address.
-func (s *fixture) restart(w *standin.Worker) *standin.Worker {
+// restartWorker ends a worker and starts it again under its ID and at its address.
+func (s *fixture) restartWorker(w *standin.Worker) *standin.Worker {
 	s.t.Helper()
 	addr := w.Addr()
 	w.Stop()
@@ -41,7 +41,7 @@
 	is.Equal(s.post("/once/a", "q1").status, http.StatusOK)
 	s.store.Put("servers/"+worker.ID, worker.Registration("draining"))
 	s.waitFor("it is known", func() bool { return strings.Contains(s.log.String(), "endpoint_leaving") })
-	next := s.restart(worker)
+	next := s.restartWorker(worker)
 	n := 1
 	s.waitFor("the next life is used", func() bool { n++; return s.post("/once/a", fmt.Sprint("q", n)).status == http.StatusOK })
 	is.True(len(next.Runs()) > 0)
@@ -59,7 +59,7 @@
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.post("/once/a", "q1") }()
 	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
-	s.restart(worker)
+	s.restartWorker(worker)
 	first := <-got
 	is.Equal(first.status, http.StatusBadGateway) // may have run: no promise
 	is.Equal(s.runCount("q1"), 1)
@@ -113,18 +113,18 @@
 	}
 	is.True(helper != nil)
 	listed := strings.Count(s.log.String(), "endpoint_listed")
-	next := s.restart(helper)
+	next := s.restartWorker(helper)
 	s.waitFor("it is listed", func() bool { return strings.Count(s.log.String(), "endpoint_listed") > listed })
 	_, _, before := next.Reserved()
-	orders := func() (n int) {
+	orderCount := func() (n int) {
 		for _, w := range s.workers {
 			_, _, sent := w.Reserved()
 			n += sent
 		}
 		return n
 	}
-	sent := orders()
-	s.waitFor("others are renewed", func() bool { return orders() >= sent+30 })
+	sent := orderCount()
+	s.waitFor("others are renewed", func() bool { return orderCount() >= sent+30 })
 	_, _, after := next.Reserved()
 	is.True(after <= before+1) // a renewal may have been on its way
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -139,9 +139,9 @@
 }
 
 // observeStoreCall measures a call to the store.
-func (g *Gateway) observeStoreCall(whole bool, took time.Duration, err error) {
+func (g *Gateway) observeStoreCall(fullRead bool, took time.Duration, err error) {
 	call, outcome := "follow", "ok"
-	if whole {
+	if fullRead {
 		call = "read"
 	}
 	if err != nil {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -67,22 +67,22 @@
 func (p *peers) keepRegistered(ctx context.Context) {
 	g := p.gateway
 	node := directory.Node{Name: g.settings.Name, Addr: g.settings.PeersListen, DataCentre: g.settings.DataCentre}
-	var current directory.Registration
+	var registration directory.Registration
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, registryTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 		var err error
-		if current.Lease == 0 {
-			if current, err = g.registry.Register(bounded, node, registrationTTL); err == nil {
-				p.lease.Store(current.Lease)
-				g.log.Info("registered", zap.Uint64("lease", current.Lease), zap.Uint64("revision", current.Revision))
-				p.startHeartbeats(ctx, current.Revision)
+		if registration.Lease == 0 {
+			if registration, err = g.registry.Register(callCtx, node, registrationTTL); err == nil {
+				p.lease.Store(registration.Lease)
+				g.log.Info("registered", zap.Uint64("lease", registration.Lease), zap.Uint64("revision", registration.Revision))
+				p.startHeartbeats(ctx, registration.Revision)
 			}
 		} else {
-			err = g.registry.Renew(bounded, current.Lease)
+			err = g.registry.Renew(callCtx, registration.Lease)
 		}
 		cancel()
 		if errors.Is(err, directory.ErrLeaseExpired) {
-			current = directory.Registration{}
+			registration = directory.Registration{}
 			continue
 		}
 		if err != nil {
@@ -160,17 +160,17 @@
 // FillHeartbeat implements membership.Delegate. Between whole heartbeats only changes are told: a
 // tenth of the bytes, and of the work of those who take them in.
 func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
-	opens := p.gateway.ledger.Loads(now)
+	loads := p.gateway.ledger.Loads(now)
 	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
 		p.fullSentAt = now
 		clear(p.lastSent)
 	}
-	for _, o := range p.changedLoads(opens) {
-		h.OpenEndpoints = append(h.OpenEndpoints, uint32(o.Endpoint))
-		h.OpenCounts = append(h.OpenCounts, uint32(o.InFlight))
-		h.ReadingMs = append(h.ReadingMs, uint32(max(o.PendingPrefill.Milliseconds(), 0)))
-		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(o.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
-		appendStreams(h, o.Streams)
+	for _, load := range p.changedLoads(loads) {
+		h.OpenEndpoints = append(h.OpenEndpoints, uint32(load.Endpoint))
+		h.OpenCounts = append(h.OpenCounts, uint32(load.InFlight))
+		h.ReadingMs = append(h.ReadingMs, uint32(max(load.PendingPrefill.Milliseconds(), 0)))
+		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(load.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
+		appendStreams(h, load.Streams)
 	}
 	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
@@ -187,23 +187,23 @@
 
 // changedLoads gives those of an entry's loads that differ from what was told, and notes that
 // they are told.
-func (p *peers) changedLoads(opens []direct.EndpointLoad) []direct.EndpointLoad {
-	var list []direct.EndpointLoad
-	present := make(map[direct.EndpointHash]bool, len(opens))
-	for _, o := range opens {
-		present[o.Endpoint] = true
-		if p.lastSent[o.Endpoint] != o {
-			p.lastSent[o.Endpoint] = o
-			list = append(list, o)
+func (p *peers) changedLoads(loads []direct.EndpointLoad) []direct.EndpointLoad {
+	var changed []direct.EndpointLoad
+	present := make(map[direct.EndpointHash]bool, len(loads))
+	for _, load := range loads {
+		present[load.Endpoint] = true
+		if p.lastSent[load.Endpoint] != load {
+			p.lastSent[load.Endpoint] = load
+			changed = append(changed, load)
 		}
 	}
 	for endpoint := range p.lastSent {
 		if !present[endpoint] {
 			delete(p.lastSent, endpoint)
-			list = append(list, direct.EndpointLoad{Endpoint: endpoint})
+			changed = append(changed, direct.EndpointLoad{Endpoint: endpoint})
 		}
 	}
-	return list
+	return changed
 }
 
 // HandleHeartbeat implements membership.Delegate.
@@ -215,27 +215,27 @@
 			PendingPrefill: milliseconds(d.ReadingMs), QueuedPrefill: milliseconds(d.WaitingMs),
 		})
 	}
-	open := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
+	loads := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
 	for i := range min(len(h.OpenEndpoints), len(h.OpenCounts), len(h.ReadingMs)) {
-		o := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
-		if len(h.StreamKeys) == 0 && o.InFlight > 0 { // an earlier version: none may be made late
-			o.Streams[0] = int16(o.InFlight)
+		load := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
+		if len(h.StreamKeys) == 0 && load.InFlight > 0 { // an earlier version: none may be made late
+			load.Streams[0] = int16(load.InFlight)
 		}
 		if i < len(h.MemoryKtokens) { // entries of an earlier version do not tell
-			o.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
+			load.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
 		}
-		open = append(open, o)
+		loads = append(loads, load)
 	}
-	decodeStreams(h, open)
+	decodeStreams(h, loads)
 	p.gateway.ledger.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
 	for _, request := range p.gateway.quarantine.Merge(now, decodeFindings(h)) {
 		p.gateway.reportQuarantined(request, h.Node)
 	}
 	if h.Partial {
-		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, open)
+		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, loads)
 		return
 	}
-	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, open)
+	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, loads)
 }
 
 // streamKeyBase is what an endpoint's index is multiplied by in the key of its streams.
@@ -253,18 +253,18 @@
 }
 
 // decodeStreams reads what a heartbeat tells of the streams at its endpoints.
-func decodeStreams(h *wire.Heartbeat, open []direct.EndpointLoad) {
+func decodeStreams(h *wire.Heartbeat, loads []direct.EndpointLoad) {
 	for i := range min(len(h.StreamKeys), len(h.StreamCounts)) {
 		index, class := int(h.StreamKeys[i]/streamKeyBase), int(h.StreamKeys[i]%streamKeyBase)
-		if index < len(open) && class < len(open[index].Streams) {
-			open[index].Streams[class] = int16(min(h.StreamCounts[i], math.MaxInt16))
+		if index < len(loads) && class < len(loads[index].Streams) {
+			loads[index].Streams[class] = int16(min(h.StreamCounts[i], math.MaxInt16))
 		}
 	}
 }
 
 // appendFindings tells under which requests endpoints crashed.
-func appendFindings(h *wire.Heartbeat, list []attempt.Finding) {
-	for _, f := range list {
+func appendFindings(h *wire.Heartbeat, findings []attempt.Finding) {
+	for _, f := range findings {
 		h.FindingScopes = append(h.FindingScopes, f.Request.Scope)
 		h.FindingBodies = append(h.FindingBodies, f.Request.Body)
 		h.FindingEndpoints = append(h.FindingEndpoints, f.Endpoint)
@@ -275,21 +275,21 @@
 // decodeFindings reads under which requests another entry knows endpoints to have crashed.
 func decodeFindings(h *wire.Heartbeat) []attempt.Finding {
 	n := min(len(h.FindingScopes), len(h.FindingBodies), len(h.FindingEndpoints), len(h.FindingAgesMs))
-	list := make([]attempt.Finding, 0, n)
+	findings := make([]attempt.Finding, 0, n)
 	for i := range n {
 		request := attempt.Fingerprint{Scope: h.FindingScopes[i], Body: h.FindingBodies[i]}
-		list = append(list, attempt.Finding{Request: request, Endpoint: h.FindingEndpoints[i], Age: milliseconds(h.FindingAgesMs[i])})
+		findings = append(findings, attempt.Finding{Request: request, Endpoint: h.FindingEndpoints[i], Age: milliseconds(h.FindingAgesMs[i])})
 	}
-	return list
+	return findings
 }
 
 // decodeSlowEndpoints reads which endpoints another entry knows to be slow.
 func decodeSlowEndpoints(h *wire.Heartbeat) []direct.SlowEndpoint {
-	list := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
+	slow := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
 	for i := range min(len(h.SlowEndpoints), len(h.SlowPercents)) {
-		list = append(list, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
+		slow = append(slow, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
 	}
-	return list
+	return slow
 }
 
 // Tick implements membership.Delegate.
@@ -297,8 +297,8 @@
 	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
 	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
-	number := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
-	p.gateway.ledger.SetRank(number, len(alive)+1)
+	rank := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
+	p.gateway.ledger.SetRank(rank, len(alive)+1)
 }
 
 // percent is by how much a pace is multiplied to be told.
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -52,9 +52,9 @@
 
 // get gives a connection: an idle one, the most recent first, or a new one. once is
 // set for requests that must not run twice.
-func (p *pool) get(ctx context.Context, e *directory.EndpointState, once bool) (*endpointConn, error) {
+func (p *pool) get(ctx context.Context, e *directory.EndpointState, nonRepeatable bool) (*endpointConn, error) {
 	for {
-		conn := p.popIdle(e.Incarnation, once)
+		conn := p.popIdle(e.Incarnation, nonRepeatable)
 		if conn == nil {
 			break
 		}
@@ -75,18 +75,18 @@
 	return &endpointConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-func (p *pool) popIdle(life directory.Incarnation, once bool) *endpointConn {
+func (p *pool) popIdle(incarnation directory.Incarnation, nonRepeatable bool) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[life]
+	list := p.idle[incarnation]
 	now := time.Now()
 	for len(list) > 0 {
 		conn := list[len(list)-1]
-		if once && now.Sub(conn.idleSince) > nonRepeatableMaxIdle {
+		if nonRepeatable && now.Sub(conn.idleSince) > nonRepeatableMaxIdle {
 			return nil
 		}
 		list = list[:len(list)-1]
-		p.idle[life] = list
+		p.idle[incarnation] = list
 		if now.Before(conn.expiresAt) {
 			return conn
 		}
@@ -96,29 +96,29 @@
 }
 
 // put keeps a connection for another request.
-func (p *pool) put(life directory.Incarnation, conn *endpointConn, keep time.Duration) {
+func (p *pool) put(incarnation directory.Incarnation, conn *endpointConn, keep time.Duration) {
 	conn.idleSince, conn.reused = time.Now(), true
 	conn.expiresAt = conn.idleSince.Add(min(keep, maxIdleTime))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if list := p.idle[life]; len(list) < maxIdleConns {
-		p.idle[life] = append(list, conn)
+	if list := p.idle[incarnation]; len(list) < maxIdleConns {
+		p.idle[incarnation] = append(list, conn)
 		return
 	}
 	_ = conn.Close()
 }
 
 // prune closes the connections of endpoints that are no longer known.
-func (p *pool) prune(known func(life directory.Incarnation) bool) {
+func (p *pool) prune(known func(incarnation directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for life, list := range p.idle {
-		if known(life) {
+	for incarnation, list := range p.idle {
+		if known(incarnation) {
 			continue
 		}
 		for _, conn := range list {
 			_ = conn.Close()
 		}
-		delete(p.idle, life)
+		delete(p.idle, incarnation)
 	}
 }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -86,9 +86,9 @@
 }
 
 // ended tells whether the result is there.
-func (r *probe) ended() bool {
+func (p *probe) ended() bool {
 	select {
-	case <-r.done:
+	case <-p.done:
 		return true
 	default:
 		return false
@@ -117,25 +117,25 @@
 }
 
 // prune forgets endpoints that are not known any more.
-func (p *prober) prune(known func(life directory.Incarnation) bool) {
+func (p *prober) prune(known func(incarnation directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.results, func(life directory.Incarnation, _ *probe) bool { return !known(life) })
+	maps.DeleteFunc(p.results, func(incarnation directory.Incarnation, _ *probe) bool { return !known(incarnation) })
 }
 
 // markUnreachable keeps requests from an endpoint until it accepts connections again.
-func (g *Gateway) markUnreachable(e *directory.EndpointState, why string) {
+func (g *Gateway) markUnreachable(e *directory.EndpointState, reason string) {
 	if !g.ledger.SetUnreachable(e.Incarnation, true) {
 		return
 	}
-	g.log.Warn("endpoint_unreachable", zap.String("endpoint", e.ID), zap.String("reason", why))
+	g.log.Warn("endpoint_unreachable", zap.String("endpoint", e.ID), zap.String("reason", reason))
 	go func() {
-		begun := time.Now()
+		start := time.Now()
 		for g.snapshot.Load().Endpoint(e.Incarnation) != nil {
 			time.Sleep(unreachableProbeInterval)
 			if g.prober.dial(e) == nil {
 				g.ledger.SetUnreachable(e.Incarnation, false)
-				g.log.Info("endpoint_reachable", zap.String("endpoint", e.ID), zap.Duration("unreachable_ms", time.Since(begun)))
+				g.log.Info("endpoint_reachable", zap.String("endpoint", e.ID), zap.Duration("unreachable_ms", time.Since(start)))
 				return
 			}
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -39,12 +39,12 @@
 
 // persistQuarantine leaves a record, and gives up after a few tries.
 func (g *Gateway) persistQuarantine(r quarantineRecord) {
-	for try := 1; ; try++ {
+	for tries := 1; ; tries++ {
 		err := g.writeRecord(r)
 		switch {
 		case err == nil:
 			return
-		case try == maxRecordWrites:
+		case tries == maxRecordWrites:
 			g.log.Warn("quarantine_not_kept", zap.Stringer("fingerprint", r.fingerprint()), eventlog.Error(err))
 			return
 		}
@@ -71,13 +71,13 @@
 		g.log.Error("quarantine_record_refused", zap.String("name", record.Name), eventlog.Error(err))
 		return
 	}
-	var list []attempt.Finding
+	var findings []attempt.Finding
 	for _, endpoint := range r.Endpoints[:min(len(r.Endpoints), maxRecordEndpoints)] {
 		if endpoint != attempt.Answered {
-			list = append(list, attempt.Finding{Request: r.fingerprint(), Endpoint: endpoint})
+			findings = append(findings, attempt.Finding{Request: r.fingerprint(), Endpoint: endpoint})
 		}
 	}
-	for _, request := range g.quarantine.Merge(now, list) {
+	for _, request := range g.quarantine.Merge(now, findings) {
 		g.reportQuarantined(request, heardFromStore)
 	}
 }
--- a/graceful/graceful.go
+++ b/graceful/graceful.go
@@ -101,11 +101,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readingStopped = true
-	all := true
+	allStopped := true
 	for conn := range c.open {
-		all = conn.stopReading() && all
+		allStopped = conn.stopReading() && allStopped
 	}
-	return all
+	return allStopped
 }
 
 // drainPollInterval is the time between two looks at what is still under way.
--- a/graceful/graceful_test.go
+++ b/graceful/graceful_test.go
@@ -16,12 +16,12 @@
 // idleConn is an idle connection of a caller, and the caller's end of it.
 func idleConn(t *testing.T) (*Conns, *Conn, net.Conn) {
 	t.Helper()
-	ours, theirs := net.Pipe()
-	t.Cleanup(func() { _ = ours.Close(); _ = theirs.Close() })
+	server, client := net.Pipe()
+	t.Cleanup(func() { _ = server.Close(); _ = client.Close() })
 	c := &Conns{}
-	conn := c.Track(ours)
+	conn := c.Track(server)
 	conn.SetState(http.StateIdle)
-	return c, conn, theirs
+	return c, conn, client
 }
 
 // Symptom: a request is passed on and its caller's connection ends 185 microseconds after
@@ -30,15 +30,15 @@
 // request counts as under way. Cause: looking and closing were two steps.
 func TestARequestThatIsBeingReadKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
-	c, conn, theirs := idleConn(t)
-	go func() { _, _ = theirs.Write([]byte("POST")) }()
+	c, conn, client := idleConn(t)
+	go func() { _, _ = client.Write([]byte("POST")) }()
 	n, err := conn.Read(make([]byte, 16)) // the server has not said yet that it is active
 	is.NoErr(err)
 	is.Equal(n, 4)
 	c.CloseIdle()
 	is.True(!c.StopReading()) // the process must not end either
 	go func() { _, _ = conn.Write([]byte("HTTP")) }()
-	_, err = theirs.Read(make([]byte, 4))
+	_, err = client.Read(make([]byte, 4))
 	is.NoErr(err)
 	conn.SetState(http.StateActive)
 	conn.SetState(http.StateIdle) // it has been answered
@@ -48,9 +48,9 @@
 // What comes as the connection is closed is not taken for a request, and so runs nowhere.
 func TestNoRequestIsReadAfterStopReading(t *testing.T) {
 	is := is.New(t)
-	c, conn, theirs := idleConn(t)
+	c, conn, client := idleConn(t)
 	is.True(c.StopReading())
-	go func() { _, _ = theirs.Write([]byte("POST")) }()
+	go func() { _, _ = client.Write([]byte("POST")) }()
 	n, err := conn.Read(make([]byte, 16))
 	is.Equal(n, 0)
 	is.True(errors.Is(err, net.ErrClosed))
