--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -13,70 +13,73 @@
 )
 
 const (
-	// batchPauseDivisor is the part of the time that a change may take for which more changes
-	// are gathered after one: when many endpoints register one after the other, they
-	// come with a few calls.
+	// batchPauseDivisor divides maxChangeDelay into the pause after a change, in which more
+	// changes are collected: when many endpoints register one after the other, they are read
+	// with few calls.
 	batchPauseDivisor = 8
-	// maxTimeoutFactor bounds how much longer than the store's timeout a call may take while
-	// calls fail, so that a store that is merely slow is not given up for ever.
+	// maxTimeoutFactor bounds the timeout of calls, which grows while they fail, as a multiple
+	// of the store's configured timeout. Without the growth a store that is merely slow would
+	// never be read.
 	maxTimeoutFactor = 2
-	// minBackoff and retryMost bound the wait after a failed call; it doubles. The
-	// first is short, as a call is often cut just when the store dropped history and
-	// the state must be read anew.
+	// minBackoff and maxBackoff bound the wait after a failed call, which doubles each time.
+	// The first wait is short because a call often breaks off just when the store has dropped
+	// its history and the state must be read again.
 	minBackoff = 40 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// expireInterval is how often lapsed registrations are looked for.
+	// expireInterval is the time between two checks for lapsed registrations.
 	expireInterval = 500 * time.Millisecond
 )
 
-// maxChangeDelay is how soon a change of the store must be in force here.
+// maxChangeDelay returns how soon a change in the store must be in force here.
 func (g *Gateway) maxChangeDelay() time.Duration {
 	return min(g.settings.ConfigWithin.D(), g.settings.LeavingWithin.D())
 }
 
-// longPollWait is how long one call waits for a change. A store that drops its history
-// leaves waiting calls without an answer until they end, and so does a connection that
-// goes silent; with the store's timeout on top a change is still in force in time.
+// longPollWait returns how long one call waits for a change. A store that drops its history
+// leaves waiting calls unanswered until they end, and so does a connection that goes silent.
+// Together with the store's timeout the wait still ends within maxChangeDelay.
 func (g *Gateway) longPollWait() time.Duration {
 	return g.maxChangeDelay() - g.settings.StoreTimeout.D()
 }
 
-// configMayBeStale tells whether the store has not been heard of for so long that a newer
+// configMayBeStale reports whether the store has not answered for so long that a newer
 // configuration may be in force elsewhere.
 func (g *Gateway) configMayBeStale() bool {
 	return g.elapsedSince(&g.storeAnsweredAt) > g.settings.ConfigWithin.D()+g.settings.StoreTimeout.D()
 }
 
-// globalRand is the process-wide generator, safe for concurrent use.
+// globalRand is the process-wide random number generator, safe for concurrent use.
 type globalRand struct{}
 
 func (globalRand) IntN(n int) int { return rand.IntN(n) }
 
 func (globalRand) Float64() float64 { return rand.Float64() }
 
-// storeWatcher is the control thread: it alone owns the replica, and publishes
-// snapshots for the threads that serve callers.
+// storeWatcher keeps the replica of the store up to date. Its goroutine is the control thread:
+// it alone uses the replica, and it publishes snapshots for the goroutines that serve callers.
 type storeWatcher struct {
 	gateway *Gateway
 	replica *directory.Replica
-	// needsFullRead is set when the state must be read as a whole.
+	// needsFullRead is set when the whole state must be read instead of the changes.
 	needsFullRead bool
-	outageSince   time.Time // since when the store gives no answer; zero: it does
+	outageSince   time.Time // when the store stopped answering; zero while it answers
 	backoff       time.Duration
-	// timeout bounds the next call.
+	// timeout bounds the next call, besides its wait for a change.
 	timeout time.Duration
-	// loggedInvalidItems holds the revision at which each item was last found undecodable, so that
-	// one that stays is logged once and not with each whole reading.
+	// loggedInvalidItems holds the revision at which each item was last found undecodable, so
+	// that an item that stays is logged once and not with each full read.
 	loggedInvalidItems map[string]uint64
 }
 
-// storeAnswer is what one call to the store brought.
+// storeAnswer is the outcome of one call to the store: the state from a full read, the changes
+// from any other, or an error.
 type storeAnswer struct {
 	state   *directory.StoreState
 	changes *directory.Changes
 	err     error
 }
 
+// watchStore follows the store until ctx ends. One call is under way at a time.
 func (g *Gateway) watchStore(ctx context.Context) {
 	w := &storeWatcher{gateway: g, replica: directory.NewReplica(), needsFullRead: true, backoff: minBackoff, timeout: g.settings.StoreTimeout.D(), loggedInvalidItems: map[string]uint64{}}
 	ticker := time.NewTicker(expireInterval)
@@ -97,9 +100,9 @@
 	}
 }
 
-// startCall makes one startCall to the store, after a pause, beside the control thread; it
-// touches nothing of the follower's state. During an outage it does not wait for
-// changes, so that the store's return is seen at once.
+// startCall makes one call to the store, after a pause, in a goroutine of its own that does not
+// touch the watcher's state. During an outage the call does not wait for changes, so that the
+// store's return is noticed at once.
 func (w *storeWatcher) startCall(ctx context.Context, pause time.Duration, answers chan<- storeAnswer) {
 	fullRead, revision, wait, timeout, gateway := w.needsFullRead, w.replica.Revision(), w.gateway.longPollWait(), w.timeout, w.gateway
 	if fullRead || !w.outageSince.IsZero() {
@@ -125,7 +128,7 @@
 	}()
 }
 
-// handleAnswer takes an answer in and tells how long to pause before the next call.
+// handleAnswer applies the outcome of a call and returns the pause before the next call.
 func (w *storeWatcher) handleAnswer(answer storeAnswer) time.Duration {
 	log, now := w.gateway.log, time.Now()
 	switch {
@@ -138,7 +141,7 @@
 			w.outageSince = now
 			log.Warn("store_lost", eventlog.Error(answer.err), zap.Uint64("at", w.replica.Revision()))
 		}
-		// Connections that went silent would fail every call that is given them.
+		// Pooled connections that went silent would fail every call made on them.
 		w.gateway.source.CloseIdleConnections()
 		w.timeout = min(2*w.timeout, maxTimeoutFactor*w.gateway.settings.StoreTimeout.D())
 		pause := w.backoff/2 + time.Duration(rand.Int64N(int64(w.backoff)))
@@ -179,6 +182,7 @@
 	return pause
 }
 
+// batchPause returns how long to collect more changes before the next call.
 func (w *storeWatcher) batchPause(changes *directory.Changes) time.Duration {
 	if len(changes.Changes) == 0 {
 		return 0
@@ -186,9 +190,11 @@
 	return w.gateway.maxChangeDelay() / batchPauseDivisor
 }
 
-// maxLoggedInvalidItems bounds what is kept of undecodable items; beyond it they are logged anew.
+// maxLoggedInvalidItems bounds loggedInvalidItems. A full map is cleared, and its items are
+// logged again if they are still undecodable.
 const maxLoggedInvalidItems = 10_000
 
+// logInvalidItems logs the items of the store that could not be decoded, each revision once.
 func (w *storeWatcher) logInvalidItems(items []directory.InvalidItem) {
 	for _, item := range items {
 		if w.loggedInvalidItems[item.Key] == item.Revision {
@@ -202,7 +208,7 @@
 	}
 }
 
-// handleChanges logs changes, and passes on the records among them.
+// handleChanges logs the changes to endpoints and applies the records among the changes.
 func (w *storeWatcher) handleChanges(now time.Time, changes *directory.Changes) {
 	for i := range changes.Changes {
 		switch change := &changes.Changes[i]; {
@@ -218,6 +224,8 @@
 	}
 }
 
+// publish makes the replica's state the current snapshot and drops what is kept of endpoints
+// that are not in it.
 func (w *storeWatcher) publish() {
 	snapshot := w.replica.Snapshot()
 	w.gateway.snapshot.Store(snapshot)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,11 +1,10 @@
-// Package gateway is the entry's process where endpoints are called directly over
-// HTTP, without an agent beside them. It takes callers' requests, decides which
-// endpoint runs each, relays the answer and resumes streams elsewhere when an
-// endpoint fails.
+// Package gateway implements the process that accepts callers' requests and calls endpoints
+// directly over HTTP, without an agent beside them. It selects the endpoint that runs each
+// request, relays the response, and resumes streams at another endpoint when one fails.
 //
-// A gateway keeps nothing: what it believes of routes, accounts and endpoints comes
-// from the platform's store, what it believes of their load from its own requests,
-// and an endpoint's own word decides what has run.
+// A gateway has no persistent state. It reads routes, accounts and endpoints from the
+// platform's store, derives the load of endpoints from its own requests and its peers'
+// heartbeats, and relies on what an endpoint reports for whether a request ran there.
 package gateway
 
 import (
@@ -33,7 +32,7 @@
 	"aspenyard.example/settings"
 )
 
-// Gateway is one process.
+// Gateway is one gateway process. New creates it and Serve runs it.
 type Gateway struct {
 	settings       settings.Gateway
 	dialect        Dialect
@@ -50,35 +49,37 @@
 	pool           *pool
 	callers        *callerServer
 	prober         *prober
-	longQueue      *admission.Semaphore
+	longQueue      *admission.Semaphore // orders waiting long prompts; its holder starts next
 	registry       directory.Registry
 	slowdownReader SlowdownReader
 	paces          *slowdownMonitor
 	peers          *peers
-	peerLoop       atomic.Pointer[membership.Loop]
-	active         atomic.Int64
-	releasing      atomic.Int64 // requests whose memory is being given back
+	peerLoop       atomic.Pointer[membership.Loop] // nil until the first registration
+	active         atomic.Int64                    // callers' requests in flight
+	releasing      atomic.Int64                    // requests whose reservations are being released
 	objectives     *window.Windows
-	// configAppliedAt is when the configuration came into force, storeAnsweredAt when the store last
-	// answered, both in nanoseconds since start.
+	// configAppliedAt is when the current configuration came into force, storeAnsweredAt when
+	// the store last answered. Both are in nanoseconds since started.
 	configAppliedAt, storeAnsweredAt atomic.Int64
-	drainStartedAt                   atomic.Int64 // when the drain began, in nanoseconds since start; 0: serving
+	drainStartedAt                   atomic.Int64 // start of the drain, in nanoseconds since started; 0 while serving
 	started                          time.Time
-	// configured is closed when the first configuration is in force.
+	// configured is closed when the first configuration comes into force.
 	configured      chan struct{}
 	firstConfigWait time.Duration
 
-	// The addresses that are listened on, once they are.
+	// The bound addresses, as strings; unset until Serve listens.
 	callersAddr, readinessAddr, metricsAddr atomic.Value
 }
 
-// CallersAddr is where callers are served; empty until Serve listens.
+// CallersAddr returns the address that serves callers; it is empty until Serve listens.
 func (g *Gateway) CallersAddr() string { return loadAddr(&g.callersAddr) }
 
-// ReadinessAddr is where the balancer asks; empty until Serve listens.
+// ReadinessAddr returns the address that answers the load balancer's readiness checks; it is
+// empty until Serve listens.
 func (g *Gateway) ReadinessAddr() string { return loadAddr(&g.readinessAddr) }
 
-// MetricsAddr is where metrics are served; empty until Serve listens.
+// MetricsAddr returns the address that serves metrics; it is empty until Serve listens and
+// where the settings name none.
 func (g *Gateway) MetricsAddr() string { return loadAddr(&g.metricsAddr) }
 
 func loadAddr(v *atomic.Value) string {
@@ -86,32 +87,32 @@
 	return addr
 }
 
-// Config is what a gateway is made of.
+// Config holds the settings and the dependencies of a Gateway.
 type Config struct {
 	Settings settings.Gateway
 	Dialect  Dialect
 	Source   directory.Source
 	Reserver Reserver
 	Registry directory.Registry
-	// SlowdownReader may be nil: endpoints that turn slow are then not found.
+	// SlowdownReader may be nil; slow endpoints are then not detected.
 	SlowdownReader SlowdownReader
 	Log            *zap.Logger
-	// LogWriter counts dropped lines; may be nil.
+	// LogWriter is the writer behind Log, which counts the dropped lines; may be nil.
 	LogWriter *eventlog.Writer
-	// FirstConfigWait is how long after the start requests wait for the first configuration; later
-	// they are refused at once. Default 400 ms: a store in order answers a whole reading 24 to
-	// 170 ms after the start, and a caller that is refused meanwhile comes back late. While
-	// the store is away it delays the refusals of that time.
+	// FirstConfigWait is how long after the start requests wait for the first configuration;
+	// later ones are refused at once while there is none. Default 400 ms: a healthy store
+	// answers a full read 24 to 170 ms after the start, and a caller that is refused before
+	// that retries late. While the store is unavailable, the wait delays these refusals.
 	FirstConfigWait time.Duration
 }
 
 const defaultFirstConfigWait = 400 * time.Millisecond
 
-// New makes a gateway; Serve starts it.
+// New creates a gateway from c; Serve runs it.
 func New(c Config) *Gateway {
 	ledger := direct.NewLoadTracker()
 	if c.Settings.PeersListen == "" {
-		ledger.SetRank(0, 1) // it hears of no other entry and shares the engines with none
+		ledger.SetRank(0, 1) // without heartbeats from other entries it counts as the only one
 	}
 	g := &Gateway{
 		settings: c.Settings, dialect: c.Dialect, source: c.Source, reserver: c.Reserver, registry: c.Registry, log: c.Log, requestLogs: eventlog.NewRequestLogs(c.Log),
@@ -130,12 +131,15 @@
 	return g
 }
 
-// goMemoryLimitShare is the part of the process's memory at which the runtime collects
-// garbage more eagerly; the rest is for stacks, buffers of the kernel and the binary.
+// goMemoryLimitShare is the part of the process's memory limit that is set as the Go runtime's
+// soft limit, near which garbage is collected more eagerly. The rest is for stacks, kernel
+// buffers and the binary.
 const goMemoryLimitShare = 0.6
 
-// Serve works until a signal ends it or ctx does. SIGHUP reads the settings again,
-// by reload; any other signal drains, and an interrupt during a drain stops at once.
+// Serve runs the gateway until ctx ends, a drain is complete or a server fails. SIGHUP reads the
+// settings again through reload; any other signal starts a drain, and an interrupt during the
+// drain stops the process at once. It returns an error only if a port cannot be opened or a
+// server fails.
 func (g *Gateway) Serve(ctx context.Context, signals <-chan os.Signal, reload func() (settings.Gateway, error)) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -168,7 +172,8 @@
 	}
 }
 
-// listen opens the ports and serves them in the background.
+// listen opens the ports and serves them in the background; failures receives the errors of
+// servers that stop.
 func (g *Gateway) listen(ctx context.Context, failures chan<- error) error {
 	type port struct {
 		addr    string
@@ -206,8 +211,8 @@
 	return nil
 }
 
-// monitoringHeaderTimeout bounds how long the balancer or a scraper takes to send a
-// request's head.
+// monitoringHeaderTimeout bounds how long a load balancer or a metrics scraper may take to send
+// a request's header.
 const monitoringHeaderTimeout = 5 * time.Second
 
 func retryLimits(s settings.Gateway) admission.RetryLimits {
@@ -224,7 +229,8 @@
 	g.log.Info("reload", zap.Float64("retry_ratio", next.RetryRatio), zap.Float64("retry_allowance", next.RetryAllowance))
 }
 
-// checkReady tells the balancer whether to send callers here.
+// checkReady returns nil if the load balancer may send callers to this gateway, or else an
+// error that says why not.
 func (g *Gateway) checkReady() error {
 	switch {
 	case g.drainStartedAt.Load() != 0:
@@ -235,7 +241,7 @@
 	return nil
 }
 
-// Ready tells whether callers are to be sent here.
+// Ready reports whether the gateway listens and callers may be sent to it.
 func (g *Gateway) Ready() bool { return g.CallersAddr() != "" && g.checkReady() == nil }
 
 func (g *Gateway) readinessHandler() http.Handler {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -20,50 +20,55 @@
 )
 
 const (
-	// registrationTTL is how long a node that died stays registered; registerInterval lets
-	// two renewals be lost.
+	// registrationTTL is how long a node that died stays registered. renewalInterval leaves
+	// time for two lost renewals before a registration lapses.
 	registrationTTL = 12 * time.Second
 	renewalInterval = 4 * time.Second
+	// registryTimeout bounds one call that registers, renews or writes a record.
 	registryTimeout = time.Second
-	// deregisterTimeout is less than what a drain leaves until the process is killed.
+	// deregisterTimeout is shorter than the time that a drain leaves until the process is
+	// killed.
 	deregisterTimeout = 150 * time.Millisecond
-	// heartbeatInterval is the time between two heartbeats to other entries. They carry
-	// what this entry's requests ask of the engines, and an entry that does not know
-	// what the others have just sent sends to the same engines. Shorter
-	// gains nothing more.
+	// heartbeatInterval is the time between two heartbeats to other entries. They carry the
+	// load that this entry's requests put on the engines; an entry that does not know what
+	// the others have just sent chooses the same engines. A shorter interval brings no
+	// further gain.
 	heartbeatInterval = 100 * time.Millisecond
-	// fullHeartbeatInterval is the time between two heartbeats that tell everything: for so long
-	// a lost one leaves an old number behind.
+	// fullHeartbeatInterval is the time between two heartbeats that report everything. The
+	// loss of one between them leaves an outdated number at the receiver for up to that long.
 	fullHeartbeatInterval = time.Second
-	// maxHeartbeatInterval is how old the word of another entry may be for that all entries
-	// hear of each other, up to about a hundred; more hear of a part of them.
+	// maxHeartbeatInterval is the interval between heartbeats up to which every entry sends
+	// them to all others. That holds for up to about a hundred entries; among more, each
+	// receives the heartbeats of only some of the others.
 	maxHeartbeatInterval = 300 * time.Millisecond
-	// localPeers and remotePeers are heard of in any case, in the own data centre and in others.
+	// localPeers and remotePeers are how many entries heartbeats are sent to in any case, in
+	// the own data centre and in each other one.
 	localPeers, remotePeers = 8, 8
-	// peerSuspectAfter is the silence after which another entry counts as gone.
+	// peerSuspectAfter is the silence after which another entry counts as failed.
 	peerSuspectAfter = time.Second
-	// heartbeatBytesPerSecond is what heartbeats may take at a receiving entry, in bytes a second; with
-	// more entries they come less often.
+	// heartbeatBytesPerSecond bounds the heartbeats at a receiving entry; with more entries
+	// they are sent less often.
 	heartbeatBytesPerSecond = 50_000
-	// maxHeartbeatFindings is how many findings of crashes a heartbeat tells, of about 24 bytes each.
+	// maxHeartbeatFindings is how many crash findings a heartbeat carries at most, of about
+	// 24 bytes each.
 	maxHeartbeatFindings = 32
 )
 
-// peers is what this entry has to do with the others: it registers in the store, so
-// that they find it, and tells them what its requests ask of the engines. A view
-// without the others' word is less exact and nothing else: entries whose share of the
-// traffic is small would each divide the engines differently.
+// peers connects this entry with the others: it registers the entry in the store, so that the
+// others find it, and exchanges heartbeats with them about the load that their requests put on
+// the engines. Without the others' reports the load is known less exactly, and entries with a
+// small share of the traffic would each divide the engines differently; nothing else is lost.
 type peers struct {
 	gateway *Gateway
-	// lease is that of the registration; 0: not registered.
+	// lease is the registration's lease; 0 while not registered.
 	lease atomic.Uint64
-	// lastSent is what the other entries were lastSent of each endpoint since wholeAt, when all of
-	// it was lastSent. Both belong to the control thread.
+	// lastSent is what was last reported of each endpoint since fullSentAt, when the last
+	// full heartbeat was sent. Only the control thread uses the two.
 	lastSent   map[direct.EndpointHash]direct.EndpointLoad
 	fullSentAt time.Time
 }
 
-// keepRegistered registers this node and keeps it registered until ctx ends.
+// keepRegistered registers this node and renews the registration until ctx ends.
 func (p *peers) keepRegistered(ctx context.Context) {
 	g := p.gateway
 	node := directory.Node{Name: g.settings.Name, Addr: g.settings.PeersListen, DataCentre: g.settings.DataCentre}
@@ -92,15 +97,15 @@
 	}
 }
 
-// announceLeaving tells the other entries that this one drains.
+// announceLeaving tells the other entries that this one is draining.
 func (p *peers) announceLeaving() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Leave()
 	}
 }
 
-// deregister ends the registration, so that the others do not count this entry for as
-// long as its lease lasts. A failure changes nothing else: the lease ends by itself.
+// deregister ends the registration, so that the others do not count this entry until its lease
+// ends. A failure is only logged, as the lease ends by itself.
 func (p *peers) deregister() {
 	lease := p.lease.Load()
 	if lease == 0 {
@@ -113,17 +118,18 @@
 	}
 }
 
-// sendHeartbeat tells the other entries at once of what has changed: a long prompt that one
-// entry sends is prefilled for longer than heartbeats are apart, and the others hold
-// theirs back.
+// sendHeartbeat sends a heartbeat at once for changes that the others need early, such as a
+// long prompt: its prefill takes longer than the time between heartbeats, and the other entries
+// hold back their long prompts meanwhile.
 func (p *peers) sendHeartbeat() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Announce()
 	}
 }
 
-// startHeartbeats runs the heartbeats once the node has its first registration, whose revision
-// is its incarnation: it rises with each life whatever the time of day does.
+// startHeartbeats starts the heartbeats after the first registration. The registration's
+// revision is the node's incarnation number, as it increases with every start whatever the wall
+// clock does.
 func (p *peers) startHeartbeats(ctx context.Context, incarnation uint64) {
 	g := p.gateway
 	if g.peerLoop.Load() != nil {
@@ -144,7 +150,7 @@
 	p.setMembers(g.snapshot.Load())
 }
 
-// setMembers tells the control loop which entries are registered.
+// setMembers passes the registered entries to the membership loop.
 func (p *peers) setMembers(snapshot *directory.Snapshot) {
 	loop := p.gateway.peerLoop.Load()
 	if loop == nil {
@@ -157,8 +163,8 @@
 	loop.SetList(vms)
 }
 
-// FillHeartbeat implements membership.Delegate. Between whole heartbeats only changes are told: a
-// tenth of the bytes, and of the work of those who take them in.
+// FillHeartbeat implements membership.Delegate. Between full heartbeats it reports changes only,
+// which takes a tenth of the bytes and of the receivers' work.
 func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
 	loads := p.gateway.ledger.Loads(now)
 	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
@@ -185,8 +191,8 @@
 	}
 }
 
-// changedLoads gives those of an entry's loads that differ from what was told, and notes that
-// they are told.
+// changedLoads returns those of an entry's endpoint loads that differ from what was last sent,
+// and records them as sent. An endpoint that has no load any more is returned with a count of 0.
 func (p *peers) changedLoads(loads []direct.EndpointLoad) []direct.EndpointLoad {
 	var changed []direct.EndpointLoad
 	present := make(map[direct.EndpointHash]bool, len(loads))
@@ -206,7 +212,8 @@
 	return changed
 }
 
-// HandleHeartbeat implements membership.Delegate.
+// HandleHeartbeat implements membership.Delegate: it takes over the load, the slow endpoints and
+// the crash findings that another entry reports.
 func (p *peers) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
@@ -218,10 +225,10 @@
 	loads := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
 	for i := range min(len(h.OpenEndpoints), len(h.OpenCounts), len(h.ReadingMs)) {
 		load := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
-		if len(h.StreamKeys) == 0 && load.InFlight > 0 { // an earlier version: none may be made late
+		if len(h.StreamKeys) == 0 && load.InFlight > 0 { // from an earlier version, without pause classes: none may be delayed
 			load.Streams[0] = int16(load.InFlight)
 		}
-		if i < len(h.MemoryKtokens) { // entries of an earlier version do not tell
+		if i < len(h.MemoryKtokens) { // earlier versions do not send it
 			load.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
 		}
 		loads = append(loads, load)
@@ -238,10 +245,11 @@
 	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, loads)
 }
 
-// streamKeyBase is what an endpoint's index is multiplied by in the key of its streams.
+// streamKeyBase is the factor of the endpoint's index in a stream's key; the pause class is
+// added to the product.
 const streamKeyBase = 16
 
-// appendStreams tells of the streams at the last endpoint of a heartbeat.
+// appendStreams adds the streams of the last endpoint in a heartbeat.
 func appendStreams(h *wire.Heartbeat, streams direct.StreamCounts) {
 	index := len(h.OpenEndpoints) - 1
 	for class, n := range streams {
@@ -252,7 +260,7 @@
 	}
 }
 
-// decodeStreams reads what a heartbeat tells of the streams at its endpoints.
+// decodeStreams sets the streams of loads from a heartbeat that lists the same endpoints.
 func decodeStreams(h *wire.Heartbeat, loads []direct.EndpointLoad) {
 	for i := range min(len(h.StreamKeys), len(h.StreamCounts)) {
 		index, class := int(h.StreamKeys[i]/streamKeyBase), int(h.StreamKeys[i]%streamKeyBase)
@@ -262,7 +270,7 @@
 	}
 }
 
-// appendFindings tells under which requests endpoints crashed.
+// appendFindings adds findings about requests during which endpoints crashed.
 func appendFindings(h *wire.Heartbeat, findings []attempt.Finding) {
 	for _, f := range findings {
 		h.FindingScopes = append(h.FindingScopes, f.Request.Scope)
@@ -272,7 +280,7 @@
 	}
 }
 
-// decodeFindings reads under which requests another entry knows endpoints to have crashed.
+// decodeFindings returns a heartbeat's findings about requests during which endpoints crashed.
 func decodeFindings(h *wire.Heartbeat) []attempt.Finding {
 	n := min(len(h.FindingScopes), len(h.FindingBodies), len(h.FindingEndpoints), len(h.FindingAgesMs))
 	findings := make([]attempt.Finding, 0, n)
@@ -283,7 +291,7 @@
 	return findings
 }
 
-// decodeSlowEndpoints reads which endpoints another entry knows to be slow.
+// decodeSlowEndpoints returns the endpoints that a heartbeat reports as slow.
 func decodeSlowEndpoints(h *wire.Heartbeat) []direct.SlowEndpoint {
 	slow := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
 	for i := range min(len(h.SlowEndpoints), len(h.SlowPercents)) {
@@ -292,7 +300,8 @@
 	return slow
 }
 
-// Tick implements membership.Delegate.
+// Tick implements membership.Delegate: it updates the number of entries, and this one's rank
+// among them by name, for the retry limits and the division of the engines.
 func (p *peers) Tick(now time.Time, members *membership.View) {
 	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
 	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
@@ -301,10 +310,10 @@
 	p.gateway.ledger.SetRank(rank, len(alive)+1)
 }
 
-// percent is by how much a pace is multiplied to be told.
+// percent is the factor by which a slowdown is multiplied in heartbeats.
 const percent = 100
 
-// memoryUnit is the number of tokens by which memory is told.
+// memoryUnit is the number of tokens that one unit of memory in heartbeats stands for.
 const memoryUnit = 1000
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
