--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -14,7 +14,8 @@
 	"aspenyard.example/routing/direct"
 )
 
-// fingerprint names the call's request, whichever copy of it this is.
+// fingerprint returns the fingerprint of the call's request, which all copies of it share. The
+// body is hashed on first use.
 func (c *call) fingerprint() attempt.Fingerprint {
 	c.fingerprintScope()
 	if c.cachedFingerprint.Body == 0 {
@@ -23,7 +24,7 @@
 	return c.cachedFingerprint
 }
 
-// fingerprintScope is the part of the fingerprint that needs no reading of the body.
+// fingerprintScope returns the part of the fingerprint that does not depend on the body's content.
 func (c *call) fingerprintScope() uint64 {
 	if c.cachedFingerprint.Scope == 0 {
 		account := ""
@@ -35,13 +36,15 @@
 	return c.cachedFingerprint.Scope
 }
 
-// isSuspect tells whether anything is known of the call's request.
+// isSuspect reports whether there may be findings about the call's request; it does not read the
+// body.
 func (c *call) isSuspect() bool {
 	q := c.gateway.quarantine
 	return !q.Empty() && q.HasSuspect(c.fingerprintScope())
 }
 
-// refuseQuarantined ends a call whose request must not be sent to an endpoint; nil where it may be.
+// refuseQuarantined returns the error for a request in quarantine, which must not be sent to an
+// endpoint; nil if it may be sent.
 func (f *forwarding) refuseQuarantined() *result.Error {
 	if !f.isSuspect() {
 		return nil
@@ -52,12 +55,13 @@
 	}
 	f.log.Add("quarantine_refused", zap.Stringer("fingerprint", f.fingerprint()), zap.Duration("left_ms", remaining))
 	if f.retrier.MayHaveRun() {
-		return result.Fail(result.EndpointFailed, result.RanUnknown, "endpoints crash under this request")
+		return result.Fail(result.EndpointFailed, result.RanUnknown, "this request crashes endpoints")
 	}
-	return result.Refuse(result.Quarantined, remaining, "endpoints crashed under earlier copies of this request")
+	return result.Refuse(result.Quarantined, remaining, "earlier copies of this request crashed endpoints")
 }
 
-// checkForCrash finds out whether the endpoint has crashed after an exchange broke off.
+// checkForCrash determines whether the endpoint crashed after an exchange with it broke off, and
+// records the crash against the request.
 func (f *forwarding) checkForCrash(ctx context.Context, e *directory.EndpointState) {
 	g := f.gateway
 	if !g.hasCrashed(ctx, e) {
@@ -74,15 +78,17 @@
 	}
 }
 
-// recordAnswer notes that an endpoint has answered the call whole.
+// recordAnswer records that an endpoint has answered the call completely: crashes before that no
+// longer count against the request.
 func (f *forwarding) recordAnswer() {
 	if f.isSuspect() {
 		f.gateway.quarantine.RecordAnswer(time.Now(), f.fingerprint())
 	}
 }
 
-// reportQuarantined notes that a request is refused from now on, and by whose word; "" for what this
-// entry saw itself. Entries that saw one of the crashes leave a record of it.
+// reportQuarantined logs that a request is refused from now on. from names the entry whose
+// heartbeat completed the evidence; it is empty if this entry observed the last crash itself.
+// Entries that observed one of the crashes also write a record to the store.
 func (g *Gateway) reportQuarantined(request attempt.Fingerprint, from string) {
 	g.log.Warn("quarantined", zap.Stringer("fingerprint", request), zap.String("heard_from", from))
 	if endpoints, own := g.quarantine.CrashedEndpoints(request); own {
@@ -90,9 +96,9 @@
 	}
 }
 
-// hasCrashed tells whether an endpoint's process has ended without notice: its port refuses
-// connections, or the endpoint is back in another life. One that is leaving ends as planned, and
-// one that is silent may be cut off.
+// hasCrashed reports whether an endpoint's process has ended without notice: its address refuses
+// connections, or the endpoint is listed with a later incarnation. An endpoint that is leaving
+// ends as planned, and a silent one may only be cut off from the network.
 func (g *Gateway) hasCrashed(ctx context.Context, e *directory.EndpointState) bool {
 	current := g.snapshot.Load().EndpointByID(e.ID)
 	if current == nil {
@@ -104,5 +110,5 @@
 	return g.prober.connectionRefused(ctx, e)
 }
 
-// isConnectionRefused tells whether a dial failed because nobody listens there.
+// isConnectionRefused reports whether a dial failed because no process listens at the address.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -10,22 +10,21 @@
 )
 
 const (
-	// acceptShare is the part of the drain's time in which requests are still taken:
-	// the balancer needs two questions, a second apart, to see that this node is not
-	// ready, and callers go on using open connections meanwhile. A request that came
-	// later might not end before the process is killed.
+	// acceptShare is the part of the drain timeout in which requests are still accepted: the
+	// load balancer needs two readiness checks, a second apart, to see that this node is not
+	// ready, and callers go on using open connections meanwhile. A request that arrives later
+	// might not end before the process is killed.
 	acceptShare = 0.36
-	// stopMargin is left before the process is killed, to close connections.
+	// stopMargin is the time left for closing connections before the process is killed.
 	stopMargin        = 300 * time.Millisecond
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// drain ends gracefully: readiness is off at once, answers tell callers to close
-// their connections, requests are taken for a while and then refused as not run, and
-// the process ends when none is left or just before it would be killed. An interrupt
-// from a terminal ends it at once. Other signals that come meanwhile do nothing: a
-// supervisor that asks twice, or a change of the settings file, would otherwise cut
-// every request under way.
+// drain shuts the gateway down gracefully: readiness is withdrawn at once, responses tell callers
+// to close their connections, requests are accepted for a while and then refused as not run, and
+// drain returns when none is in flight or just before the process would be killed. An interrupt
+// from a terminal ends it at once. Other signals are ignored meanwhile: a supervisor that asks
+// twice, or a change of the settings file, would otherwise cut off every request in flight.
 func (g *Gateway) drain(signals <-chan os.Signal) {
 	limit := g.settings.DrainTimeout.D()
 	start := time.Now()
@@ -61,9 +60,9 @@
 	}
 }
 
-// canAccept tells whether a new request that takes need can still end before the
-// process stops. When all nodes of a data centre are stopped in turn, the balancer
-// goes on sending to those that drain: short work is still served then.
+// canAccept reports whether a new request that takes the time need can still end before the
+// process stops. When all nodes of a data centre are stopped in turn, the load balancer goes on
+// sending requests to draining nodes; short ones are still served then.
 func (g *Gateway) canAccept(need time.Duration) bool {
 	if g.drainStartedAt.Load() == 0 {
 		return true
@@ -74,12 +73,12 @@
 }
 
 const (
-	// eventEstimate is how long an engine under load takes for one event of a stream:
-	// its decode steps and the prompts that it prefills between them.
+	// eventEstimate is the time that an engine under load takes for one event of a stream: its
+	// decode steps and the prompts that it prefills between them.
 	eventEstimate = 150 * time.Millisecond
-	// firstEventEstimate is the wait for the first event beside the prefill.
+	// firstEventEstimate is the wait for the first event besides the prefill.
 	firstEventEstimate = time.Second
-	// plainServiceEstimate bounds the work of a plain service.
+	// plainServiceEstimate bounds the estimate for a plain service.
 	plainServiceEstimate = 1500 * time.Millisecond
 )
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -16,6 +16,8 @@
 	"aspenyard.example/routing/direct"
 )
 
+// metricsHandler serves the metrics of the gateway and of its process in the Prometheus text
+// format.
 func (g *Gateway) metricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		g.metrics.WritePrometheus(w)
@@ -23,7 +25,7 @@
 	})
 }
 
-// registerMetrics registers the gauges.
+// registerMetrics registers the gauges; writer may be nil.
 func (g *Gateway) registerMetrics(writer *eventlog.Writer) {
 	g.metrics.NewGauge("aspenyard_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
 	g.metrics.NewGauge("aspenyard_gateway_endpoints", func() float64 { return float64(g.snapshot.Load().Len()) })
@@ -51,8 +53,8 @@
 	}
 }
 
-// registerPeerMetrics registers what tells how much of the other entries' work is known, and what it
-// takes to know it.
+// registerPeerMetrics registers the gauges for how much of the other entries' load is known, how
+// old that knowledge is, and how many bytes the heartbeats take.
 func (g *Gateway) registerPeerMetrics() {
 	knowledge := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
 	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(knowledge().Peers) })
@@ -73,20 +75,20 @@
 	}
 }
 
-// elapsedSince gives the time elapsedSince a moment that is kept as nanoseconds from the process's
-// start; elapsedSince the start itself where there was none yet.
+// elapsedSince returns the time since a moment that is stored in nanoseconds since the process's
+// start; for a moment that was never set, the time since the start.
 func (g *Gateway) elapsedSince(moment *atomic.Int64) time.Duration {
 	return time.Since(g.started) - time.Duration(moment.Load())
 }
 
-// uptimeNanos is the time as it is kept for ages.
+// uptimeNanos returns the present moment in the form that elapsedSince takes.
 func (g *Gateway) uptimeNanos() int64 { return int64(time.Since(g.started)) }
 
-// latencyBuckets bound the histograms of waits, in seconds.
+// latencyBuckets are the upper bounds of the latency histograms' buckets, in seconds.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 2, 3, 5, 10, 20}
 
-// requestClass names a call's class by its kind and, for engines, the prompt's length. The
-// names are few whatever callers send.
+// requestClass returns the class label of a call's metrics: the route's kind and, for streams, the
+// range of the prompt's length. Whatever callers send, there are few classes.
 func (c *call) requestClass() string {
 	switch {
 	case c.route == nil:
@@ -101,7 +103,7 @@
 	return "streaming_up_to_24k"
 }
 
-// observeCall counts an ended call.
+// observeCall records the metrics of an ended call.
 func (g *Gateway) observeCall(c *call, code result.Code, took time.Duration, late lateness) {
 	class := c.requestClass()
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_requests_total{class=%q,code="%d",outcome=%q}`, class, code, result.Lookup(code).Name)).Inc()
@@ -119,26 +121,27 @@
 	}
 }
 
-// observeQueueWait measures how long a long prompt was held back.
+// observeQueueWait records how long a long prompt was held back in the queue.
 func (g *Gateway) observeQueueWait(waited time.Duration) {
 	g.metrics.GetOrCreatePrometheusHistogramExt("aspenyard_gateway_queue_wait_seconds", latencyBuckets).Update(waited.Seconds())
 }
 
-// countCrash counts an endpoint that ended while a request was open there.
+// countCrash counts an endpoint that crashed while a request was in flight there.
 func (g *Gateway) countCrash(service string) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_crashes_total{service=%q}`, service)).Inc()
 }
 
-// countFailedAttempt counts a failed attempt.
+// countFailedAttempt counts a failed attempt by service and outcome.
 func (g *Gateway) countFailedAttempt(service string, outcome attempt.SendOutcome) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_attempts_failed_total{service=%q,outcome=%q}`, service, outcome)).Inc()
 }
 
+// countConnection counts the use of a connection to an endpoint, by whether it was reused.
 func (g *Gateway) countConnection(reused bool) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_gateway_endpoint_connections_total{reused="%t"}`, reused)).Inc()
 }
 
-// observeStoreCall measures a call to the store.
+// observeStoreCall records the duration and outcome of a call to the store.
 func (g *Gateway) observeStoreCall(fullRead bool, took time.Duration, err error) {
 	call, outcome := "follow", "ok"
 	if fullRead {
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to an endpoint. A lost opening
-	// packet is sent again after a second at the earliest; another endpoint serves
-	// the request sooner.
+	// dialTimeout bounds connecting to an endpoint. A lost SYN packet is sent again after a
+	// second at the earliest; another endpoint serves the request sooner.
 	dialTimeout = 400 * time.Millisecond
-	// maxIdleTime is how long a connection is kept for another request; endpoints that
-	// say so in Keep-Alive are believed instead, less idleMargin for the way.
+	// maxIdleTime is how long an idle connection is kept at most. The timeout that an endpoint
+	// announces in Keep-Alive, less keepAliveMargin for the time in transit, applies instead
+	// where it is shorter.
 	maxIdleTime     = 8 * time.Second
 	keepAliveMargin = 500 * time.Millisecond
 	// nonRepeatableMaxIdle is the longest idle time after which a connection is used for a
-	// request that must not run twice: the endpoint may be closing it just as the
-	// request crosses, and then nobody knows whether it ran.
+	// request that must not run twice. The endpoint may close an older one just as the request
+	// is sent, and then nobody knows whether the request ran.
 	nonRepeatableMaxIdle = time.Second
-	// maxIdleConns is how many idle connections are kept for an endpoint.
+	// maxIdleConns is how many idle connections are kept to an endpoint.
 	maxIdleConns = 32
-	// readBufferSize holds an answer's head and several events.
+	// readBufferSize has room for a response's header and several events.
 	readBufferSize = 4 << 10
 )
 
-// endpointConn is one connection to an endpoint.
+// endpointConn is a connection to an endpoint.
 type endpointConn struct {
 	net.Conn
 	reader *bufio.Reader
-	// expiresAt is when it is too old to be used again, and idleSince when it is idle.
+	// expiresAt is when the connection is too old to be used again, idleSince when it became
+	// idle.
 	expiresAt, idleSince time.Time
-	// reused is set once it has carried a request.
+	// reused is set once the connection has been idle in the pool.
 	reused bool
 }
 
-// pool keeps idle connections by the endpoint's life.
+// pool keeps idle connections for each incarnation of an endpoint.
 type pool struct {
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	mu   sync.Mutex
@@ -50,8 +51,8 @@
 	return &pool{dial: Dialer(dialTimeout), idle: map[directory.Incarnation][]*endpointConn{}}
 }
 
-// get gives a connection: an idle one, the most recent first, or a new one. once is
-// set for requests that must not run twice.
+// get returns a connection to the endpoint: the most recently used idle one, or else a new one.
+// nonRepeatable is set for requests that must not run twice.
 func (p *pool) get(ctx context.Context, e *directory.EndpointState, nonRepeatable bool) (*endpointConn, error) {
 	for {
 		conn := p.popIdle(e.Incarnation, nonRepeatable)
@@ -66,7 +67,7 @@
 	return p.open(ctx, e)
 }
 
-// open opens a connection.
+// open connects to the endpoint.
 func (p *pool) open(ctx context.Context, e *directory.EndpointState) (*endpointConn, error) {
 	conn, err := p.dial(ctx, "tcp", e.Addr)
 	if err != nil {
@@ -75,6 +76,8 @@
 	return &endpointConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
+// popIdle removes and returns the most recently used idle connection; nil if there is none that
+// may be used.
 func (p *pool) popIdle(incarnation directory.Incarnation, nonRepeatable bool) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// put keeps a connection for another request.
+// put makes a connection available to other requests, for at most the time keep.
 func (p *pool) put(incarnation directory.Incarnation, conn *endpointConn, keep time.Duration) {
 	conn.idleSince, conn.reused = time.Now(), true
 	conn.expiresAt = conn.idleSince.Add(min(keep, maxIdleTime))
@@ -108,7 +111,7 @@
 	_ = conn.Close()
 }
 
-// prune closes the connections of endpoints that are no longer known.
+// prune closes the connections to endpoints that are no longer known.
 func (p *pool) prune(known func(incarnation directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -13,28 +13,30 @@
 )
 
 const (
-	// probeTimeout is how long an endpoint may take to accept a connection; it takes
-	// milliseconds while the endpoint lives, however busy it is.
+	// probeTimeout is how long an endpoint may take to accept a connection. A live endpoint
+	// accepts within milliseconds, however busy it is.
 	probeTimeout = 250 * time.Millisecond
-	// probeResultTTL is how long a probe's result holds for other requests.
+	// probeResultTTL is how long a probe's result is used for other requests.
 	probeResultTTL = 300 * time.Millisecond
-	// unreachableProbeInterval is the pause between probes of an endpoint that is unreachable.
+	// unreachableProbeInterval is the time between two probes of an unreachable endpoint.
 	unreachableProbeInterval = 300 * time.Millisecond
 )
 
-// prober finds out whether a silent endpoint is dead or only busy. Waiting tells
-// nothing: an engine that prefills a long prompt is silent for a second too, and work
-// that leaves it is prefilled twice. An endpoint that accepts a connection lives.
+// prober determines whether a silent endpoint is dead or only busy. Longer silence is no proof:
+// an engine that prefills a long prompt is silent for a second too, and a request that is moved
+// away from it is prefilled twice. An endpoint that accepts a connection counts as alive.
 type prober struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	results map[directory.Incarnation]*probe
 }
 
+// probe is one attempt to connect to an endpoint. Its result may be read once done is closed.
 type probe struct {
 	began time.Time
 	done  chan struct{}
-	// alive is set where the endpoint accepted a connection, connectionRefused where nobody listens.
+	// alive is set if the endpoint accepted the connection, connectionRefused if no process
+	// listens at its address.
 	alive, connectionRefused bool
 }
 
@@ -42,21 +44,23 @@
 	return &prober{gateway: g, results: map[directory.Incarnation]*probe{}}
 }
 
-// alive tells whether the endpoint accepts connections; a recent probe's result is
-// used again, and one at a time is under way.
+// alive reports whether the endpoint accepts connections, also when ctx ends before that is
+// known. It uses the result of a probe that began within probeResultTTL; at most one probe of an
+// endpoint runs at a time.
 func (p *prober) alive(ctx context.Context, e *directory.EndpointState) bool {
 	result, ok := p.resultSince(ctx, e, time.Now().Add(-probeResultTTL))
 	return !ok || result.alive
 }
 
-// connectionRefused tells whether nobody listens any more where the endpoint did.
+// connectionRefused reports whether no process listens any more at the endpoint's address; false
+// when ctx ends before that is known.
 func (p *prober) connectionRefused(ctx context.Context, e *directory.EndpointState) bool {
 	result, ok := p.resultSince(ctx, e, time.Now())
 	return ok && result.connectionRefused
 }
 
-// resultSince gives the result of a probe that did not begin before since; false where the context ended
-// before. One that began earlier may tell of an endpoint that has ended in the meantime.
+// resultSince returns the result of a probe that did not begin before since, or false when ctx
+// ends first. An earlier probe may have reached an endpoint that has ended in the meantime.
 func (p *prober) resultSince(ctx context.Context, e *directory.EndpointState, since time.Time) (*probe, bool) {
 	for {
 		current := p.latestOrStart(e, since)
@@ -71,7 +75,8 @@
 	}
 }
 
-// latestOrStart gives the last probe, or a new one where that has ended and is too old.
+// latestOrStart returns the endpoint's last probe, or starts a new one if that has ended and
+// began before since.
 func (p *prober) latestOrStart(e *directory.EndpointState, since time.Time) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +90,7 @@
 	return last
 }
 
-// ended tells whether the result is there.
+// ended reports whether the probe has a result.
 func (p *probe) ended() bool {
 	select {
 	case <-p.done:
@@ -95,6 +100,8 @@
 	}
 }
 
+// run completes a probe, and marks the endpoint as unreachable if it does not accept the
+// connection.
 func (p *prober) run(e *directory.EndpointState, result *probe) {
 	err := p.dial(e)
 	result.alive, result.connectionRefused = err == nil, isConnectionRefused(err)
@@ -104,7 +111,7 @@
 	}
 }
 
-// dial opens a connection and leaves it to the next request.
+// dial connects to the endpoint and leaves the connection to the next request.
 func (p *prober) dial(e *directory.EndpointState) error {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -116,14 +123,15 @@
 	return nil
 }
 
-// prune forgets endpoints that are not known any more.
+// prune removes the results of endpoints that are no longer known.
 func (p *prober) prune(known func(incarnation directory.Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.results, func(incarnation directory.Incarnation, _ *probe) bool { return !known(incarnation) })
 }
 
-// markUnreachable keeps requests from an endpoint until it accepts connections again.
+// markUnreachable marks an endpoint as unreachable, so that others are preferred, until it accepts
+// connections again.
 func (g *Gateway) markUnreachable(e *directory.EndpointState, reason string) {
 	if !g.ledger.SetUnreachable(e.Incarnation, true) {
 		return
@@ -142,9 +150,9 @@
 	}()
 }
 
-// watchdog looks after one exchange: when the endpoint has been silent for a while
-// it is probed, and if it is dead the exchange is ended, so that the request can go
-// on elsewhere while its caller still waits.
+// watchdog monitors one exchange. When the endpoint has been silent for a while it is probed, and
+// if it is dead the exchange is aborted, so that the request can be sent elsewhere while its
+// caller still waits.
 type watchdog struct {
 	gateway      *Gateway
 	response     *endpointResponse
@@ -155,7 +163,8 @@
 	timer        *time.Timer
 }
 
-// startWatchdog starts a watchdog over an exchange.
+// startWatchdog starts to monitor an exchange; the endpoint is probed after silence without a
+// byte from it.
 func (g *Gateway) startWatchdog(ctx context.Context, r *endpointResponse, silence time.Duration) *watchdog {
 	w := &watchdog{gateway: g, response: r, ctx: ctx, silence: silence}
 	w.noteActivity()
@@ -163,12 +172,14 @@
 	return w
 }
 
-// noteActivity notes a sign of life.
+// noteActivity records that the endpoint has sent something.
 func (w *watchdog) noteActivity() { w.lastActivity.Store(w.gateway.uptimeNanos()) }
 
-// stop ends the watch.
+// stop ends the monitoring.
 func (w *watchdog) stop() { w.timer.Stop() }
 
+// check probes the endpoint if it has been silent for long enough, and aborts the exchange if it
+// is dead.
 func (w *watchdog) check() {
 	if w.ctx.Err() != nil {
 		return
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -15,21 +15,22 @@
 
 const (
 	// recordTTL is how long the store keeps the record of a request in quarantine: the longest
-	// lease that it gives. Only entries that all start anew need it.
+	// lease that it grants. The record is needed only by entries that start while no other runs.
 	recordTTL = 10 * time.Minute
-	// maxRecordWrites is how often an entry tries to leave one, recordPause the time between.
+	// maxRecordWrites is how often an entry tries to write a record, recordRetryInterval the
+	// time between two tries.
 	maxRecordWrites     = 5
 	recordRetryInterval = 2 * time.Second
-	// maxRecordEndpoints is how many endpoints a record names at most.
+	// maxRecordEndpoints is how many of a record's endpoints are used at most.
 	maxRecordEndpoints = 16
 )
 
-// quarantineRecord is what an entry leaves in the store of a request that crashes endpoints: an
-// entry that starts when no other one lives would send it again.
+// quarantineRecord is the record in the store of a request that crashes endpoints. Without it, an
+// entry that starts while no other runs would send the request again.
 type quarantineRecord struct {
 	Scope uint64 `json:"scope"`
 	Body  uint64 `json:"body"`
-	// Endpoints are the hashes of the lives that crashed.
+	// Endpoints are the hashes of the endpoint incarnations that crashed.
 	Endpoints []uint32 `json:"endpoints"`
 }
 
@@ -37,7 +38,7 @@
 	return attempt.Fingerprint{Scope: r.Scope, Body: r.Body}
 }
 
-// persistQuarantine leaves a record, and gives up after a few tries.
+// persistQuarantine writes a record to the store, and gives up after maxRecordWrites tries.
 func (g *Gateway) persistQuarantine(r quarantineRecord) {
 	for tries := 1; ; tries++ {
 		err := g.writeRecord(r)
@@ -52,7 +53,7 @@
 	}
 }
 
-// writeRecord tries to leave a record.
+// writeRecord tries once to write a record.
 func (g *Gateway) writeRecord(r quarantineRecord) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return g.registry.CreateRecord(ctx, directory.Record{Name: r.fingerprint().String(), Value: value}, recordTTL)
 }
 
-// applyQuarantineRecord takes a record in. Its crashes count from now on: what was heard of them before is not
-// heard again.
+// applyQuarantineRecord merges a record from the store into the quarantine. Its crashes count from
+// now on, except for those that are already known.
 func (g *Gateway) applyQuarantineRecord(now time.Time, record *directory.Record) {
 	var r quarantineRecord
 	if err := json.Unmarshal(record.Value, &r); err != nil {
@@ -82,5 +83,6 @@
 	}
 }
 
-// heardFromStore stands in for an entry's name where a record told of a quarantine.
+// heardFromStore takes the place of the entry's name in the log when a record completed the
+// evidence against a request.
 const heardFromStore = "store"
