--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,9 +1,9 @@
-// Package eventlog writes the process's log: JSON lines on standard output that
-// never hold up the work they tell of.
+// Package eventlog writes a process's log as JSON lines to standard output without blocking the
+// work that is logged.
 //
-// A pipe that nobody reads blocks its writer as soon as it is full; a serving
-// process would stop answering because of its own log. So lines go through a bounded
-// buffer, and what does not fit is counted and dropped.
+// A pipe that nobody reads blocks its writer as soon as it is full, and a serving process would
+// stop answering because of its own log. Lines therefore go through a bounded buffer; those that
+// do not fit are counted and dropped.
 package eventlog
 
 import (
@@ -15,17 +15,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// bufferLines is how many lines wait for the writer, about 1 MB of them.
+// bufferLines is how many lines wait for the underlying writer at most, about 1 MB.
 const bufferLines = 4096
 
-// Writer hands lines to a slow writer without ever waiting for it.
+// Writer passes lines to an underlying writer in the background and never blocks on it.
 type Writer struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	done    chan struct{}
 }
 
-// NewWriter starts writing to w.
+// NewWriter returns a Writer that writes to w from a goroutine of its own.
 func NewWriter(w io.Writer) *Writer {
 	writer := &Writer{lines: make(chan []byte, bufferLines), done: make(chan struct{})}
 	go writer.run(w)
@@ -44,7 +44,8 @@
 	}
 }
 
-// Write implements io.Writer; it never blocks and never fails.
+// Write implements io.Writer. It neither blocks nor fails: a line that does not fit into the
+// buffer is dropped.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -54,13 +55,13 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer.
+// Sync implements zapcore.WriteSyncer; it does nothing.
 func (w *Writer) Sync() error { return nil }
 
-// Dropped counts the lines that were lost.
+// Dropped returns how many lines were lost, because the buffer was full or a write failed.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close lets the buffered lines be written until wait is closed or receives.
+// Close waits until the buffered lines are written or until wait is closed or receives a value.
 func (w *Writer) Close(abort <-chan struct{}) {
 	select {
 	case w.lines <- nil:
@@ -73,8 +74,8 @@
 	}
 }
 
-// New makes a log over a writer. Each line has a time, a level, an event name and
-// the node's name and role.
+// New returns a logger that writes to w. Each line has a time, a level, an event name, and the
+// node's name and role.
 func New(w *Writer, node, role string) *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zapcore.EncoderConfig{
 		TimeKey: "time", LevelKey: "level", MessageKey: "event", LineEnding: zapcore.DefaultLineEnding,
@@ -84,11 +85,11 @@
 	return log.With(zap.String("node", node), zap.String("role", role))
 }
 
-// milliseconds writes durations as numbers; field names end in _ms.
+// milliseconds encodes durations as numbers of milliseconds; the names of such fields end in _ms.
 func milliseconds(d time.Duration, enc zapcore.PrimitiveArrayEncoder) {
 	enc.AppendFloat64(float64(d.Microseconds()) / 1000)
 }
 
-// Error is the field for an error: its text alone, without the stack that some errors
-// carry.
+// Error returns the field for an error: its message alone, without the stack trace that some
+// errors carry.
 func Error(err error) zap.Field { return zap.String("error", err.Error()) }
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// blockedWriter is a writer that nobody reads.
+// blockedWriter is a writer that blocks until release is closed, like a full pipe that nobody reads.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -19,8 +19,8 @@
 	return len(p), nil
 }
 
-// Symptom: the process stops answering. Sequence: nobody reads its standard output, and
-// the pipe is full. Cause, were it there: logging waits for the writer.
+// Guards against a process that stops answering because logging waits for standard output, a full
+// pipe that nobody reads.
 func TestABlockedLogWriterDoesNotBlockLogging(t *testing.T) {
 	is := is.New(t)
 	out := blockedWriter{make(chan struct{})}
@@ -44,7 +44,7 @@
 	return b.b.Write(p)
 }
 
-// All lines of a request are written or none, and always those of one that failed.
+// Of a request either all lines are written or none, and of a failed one always all.
 func TestRequestLogsAreWrittenWholeOrNotAtAll(t *testing.T) {
 	is := is.New(t)
 	var out lockedBuffer
--- a/eventlog/requestlog.go
+++ b/eventlog/requestlog.go
@@ -8,31 +8,31 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Rate of the lines of requests that ended well. Those of requests that failed are
-// always written.
+// Limit on the log lines of requests that succeeded. Those of failed requests are always written.
 const (
-	// requestsPerSecond keeps a node's log under 20 KB/s from requests that ended
-	// well, at four lines of 250 bytes each.
+	// requestsPerSecond keeps a node's log of successful requests under 20 KB/s, at four lines
+	// of 250 bytes for each.
 	requestsPerSecond = 20
 	requestBurst      = 40
 )
 
-// RequestLogs decides which requests' lines are written: all lines of a request or none,
-// so that what is there of a request is whole. Safe for concurrent use.
+// RequestLogs decides which requests are logged: all lines of a request are written or none, so
+// that what the log has of a request is complete. Safe for concurrent use.
 type RequestLogs struct {
-	log        *zap.Logger
-	mu         sync.Mutex
+	log *zap.Logger
+	mu  sync.Mutex
+	// tokens is the fill of the limit's token bucket, refilledAt when it was last refilled.
 	tokens     float64
 	refilledAt time.Time
 	skipped    uint64
 }
 
-// NewRequestLogs makes a keeper of requests' lines.
+// NewRequestLogs returns a RequestLogs that writes to log.
 func NewRequestLogs(log *zap.Logger) *RequestLogs {
 	return &RequestLogs{log: log, tokens: requestBurst, refilledAt: time.Now()}
 }
 
-// Skipped counts requests that ended well and whose lines were left out.
+// Skipped returns how many successful requests were not logged because of the limit.
 func (s *RequestLogs) Skipped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	return true
 }
 
-// RequestLog collects the lines of one request until its end tells whether they are kept.
+// RequestLog collects the lines of one request until its end decides whether they are written.
 // Not safe for concurrent use.
 type RequestLog struct {
 	logs    *RequestLogs
@@ -66,17 +66,17 @@
 	fields []zapcore.Field
 }
 
-// Begin starts the log lines of a request.
+// Begin starts the log of the request with the given ID.
 func (s *RequestLogs) Begin(request string) *RequestLog {
 	return &RequestLog{logs: s, request: request}
 }
 
-// Add notes a decision.
+// Add adds a line for an event, with the present time.
 func (s *RequestLog) Add(event string, fields ...zapcore.Field) {
 	s.lines = append(s.lines, line{at: time.Now(), event: event, fields: fields})
 }
 
-// End writes the lines if the request failed or the rate allows it.
+// End writes the lines if the request failed or the limit allows it.
 func (s *RequestLog) End(failed bool) {
 	if !failed && !s.logs.allow(time.Now()) {
 		return
--- a/graceful/graceful.go
+++ b/graceful/graceful.go
@@ -1,9 +1,9 @@
-// Package graceful ends the connections of an HTTP server without cutting a request.
+// Package graceful shuts down the connections of an HTTP server without cutting off a request.
 //
-// It exists because the server's own Shutdown and SetKeepAlivesEnabled close what they take
-// for idle, and a connection is idle to them until the whole head of its next request has
-// been read. A request that crosses the close is then handled, and its caller's connection
-// ends without an answer: the caller cannot know whether it ran.
+// The Shutdown and SetKeepAlivesEnabled methods of http.Server close the connections that they
+// take for idle, and a connection is idle to them until the whole header of its next request has
+// been read. A request that arrives while its connection is being closed is then handled, but the
+// connection ends without a response: the caller cannot know whether the request ran.
 package graceful
 
 import (
@@ -15,18 +15,18 @@
 	"time"
 )
 
-// Conns are the connections of one server. Its Listener, Handler and ConnState must be the
-// server's. The zero value is ready for use. Safe for concurrent use.
+// Conns tracks the connections of one server, which must use its Listener, Handler and ConnState.
+// The zero value is ready for use. Safe for concurrent use.
 type Conns struct {
 	mu   sync.Mutex
 	open map[*Conn]struct{}
-	// readingStopped is set when connections that are opened now are not read any more.
+	// readingStopped is set when connections that are opened from now on are not read.
 	readingStopped bool
-	// closeAfterAnswer is set when every further answer ends its connection.
+	// closeAfterAnswer is set when every further response closes its connection.
 	closeAfterAnswer atomic.Bool
 }
 
-// Listener gives a listener whose connections are kept track of.
+// Listener returns a listener that accepts from l and tracks the connections.
 func (c *Conns) Listener(l net.Listener) net.Listener { return listener{l, c} }
 
 type listener struct {
@@ -43,8 +43,8 @@
 	return l.conns.Track(conn), nil
 }
 
-// Track keeps track of an accepted connection. A server that is given another connection
-// around it must pass the states on to SetState.
+// Track starts tracking an accepted connection. If the server is given another connection that
+// wraps the result, the server's states must be passed to SetState.
 func (c *Conns) Track(conn net.Conn) *Conn {
 	tracked := &Conn{Conn: conn, conns: c}
 	c.mu.Lock()
@@ -59,14 +59,15 @@
 	return tracked
 }
 
-// ConnState is the server's hook of the same name.
+// ConnState records a connection's state; it must be set as the server's http.Server.ConnState.
 func (c *Conns) ConnState(conn net.Conn, state http.ConnState) {
 	if tracked, ok := conn.(*Conn); ok {
 		tracked.SetState(state)
 	}
 }
 
-// Handler wraps the server's handler.
+// Handler wraps the server's handler, so that its responses close their connections after
+// DisableKeepAlives.
 func (c *Conns) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.closeAfterAnswer.Load() {
@@ -76,10 +77,10 @@
 	})
 }
 
-// DisableKeepAlives makes every further answer close its connection. It closes none itself.
+// DisableKeepAlives makes every further response close its connection. It closes none itself.
 func (c *Conns) DisableKeepAlives() { c.closeAfterAnswer.Store(true) }
 
-// CloseIdle closes connections on which a request has been answered and none is under way.
+// CloseIdle closes the connections on which a request has been answered and none is in flight.
 func (c *Conns) CloseIdle() {
 	c.mu.Lock()
 	var idle []*Conn
@@ -94,9 +95,9 @@
 	}
 }
 
-// StopReading lets no request be read any more where none has been, and tells whether that is
-// so on every connection. Without it a request that is read as the process ends is handled
-// and its caller gets no answer.
+// StopReading prevents further requests from being read on the connections that carry none, and
+// reports whether that is so on every connection, so that no request is in flight. Without it, a
+// request that is read as the process ends is handled and its caller gets no response.
 func (c *Conns) StopReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,11 +109,12 @@
 	return allStopped
 }
 
-// drainPollInterval is the time between two looks at what is still under way.
+// drainPollInterval is the time between two checks for requests in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// Drain closes connections as they become idle and returns when no request is under way on
-// any; active counts those that are handled. Error: ctx ended before.
+// Drain closes connections as they become idle and returns nil when no request is in flight on
+// any; active returns the number of requests that are being handled. If ctx ends first, Drain
+// returns the error of ctx.
 func (c *Conns) Drain(ctx context.Context, active func() int64) error {
 	c.DisableKeepAlives()
 	ticker := time.NewTicker(drainPollInterval)
@@ -130,34 +132,34 @@
 	}
 }
 
-// Conn is a connection of a server.
+// Conn is a tracked connection of a server.
 type Conn struct {
 	net.Conn
 	conns *Conns
 	state atomic.Int32
-	// use is changed in one step: whoever closes an idle connection and a request that
-	// comes at that moment do not both have it.
+	// use changes atomically, so that an idle connection is not closed while a request that
+	// arrives at that moment is taken from it.
 	use atomic.Int32
 }
 
-// What a connection is used for.
+// Values of Conn.use.
 const (
 	useIdle    int32 = iota // no byte of the next request has been read
 	useRequest              // a request is being read or answered
-	useStopped              // no request is read any more
+	useStopped              // no further request is read
 )
 
-// State is the server's state of the connection.
+// State returns the server's last state of the connection.
 func (c *Conn) State() http.ConnState { return http.ConnState(c.state.Load()) }
 
-// InRequest tells whether a part of a request has been read and its answer is not complete.
+// InRequest reports whether a part of a request has been read and its response is not complete.
 func (c *Conn) InRequest() bool { return c.use.Load() == useRequest }
 
-// SetState notes the server's state.
+// SetState records the server's state of the connection.
 func (c *Conn) SetState(state http.ConnState) {
 	c.state.Store(int32(state))
 	switch state {
-	case http.StateActive: // a request that was read together with the one before it
+	case http.StateActive: // covers a pipelined request that was read together with the one before it
 		c.use.CompareAndSwap(useIdle, useRequest)
 	case http.StateIdle:
 		c.use.CompareAndSwap(useRequest, useIdle)
@@ -168,8 +170,8 @@
 	}
 }
 
-// Read implements net.Conn. What crosses the end of the connection is not read and so runs
-// nowhere.
+// Read implements net.Conn. Data that arrives once reading has stopped is discarded, so that the
+// request in it does not run; the error is then net.ErrClosed.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && c.State() != http.StateActive && !c.beginRequest() {
@@ -178,12 +180,13 @@
 	return n, err
 }
 
-// stopReading lets no request be read any more; false while one is under way.
+// stopReading prevents further requests from being read; it returns false while one is in flight.
 func (c *Conn) stopReading() bool {
 	return c.use.CompareAndSwap(useIdle, useStopped) || c.use.Load() == useStopped
 }
 
-// beginRequest tells whether what was read may be taken for a request.
+// beginRequest marks the connection as in use by a request whose data was read; it returns false
+// if reading has stopped.
 func (c *Conn) beginRequest() bool {
 	return c.use.CompareAndSwap(useIdle, useRequest) || c.use.Load() == useRequest
 }
--- a/graceful/graceful_test.go
+++ b/graceful/graceful_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// idleConn is an idle connection of a caller, and the caller's end of it.
+// idleConn returns an idle tracked connection, and the caller's end of it.
 func idleConn(t *testing.T) (*Conns, *Conn, net.Conn) {
 	t.Helper()
 	server, client := net.Pipe()
@@ -24,15 +24,15 @@
 	return c, conn, client
 }
 
-// Symptom: a request is passed on and its caller's connection ends 185 microseconds after
-// it was sent, without an answer (soak, seed 2 beside busy processes). Sequence: in a drain
-// a connection is idle, a request comes, and the connection is closed as idle before the
-// request counts as under way. Cause: looking and closing were two steps.
+// Guards against closing a connection as idle while a request is being read from it. In a soak run
+// (seed 2, beside busy processes) a request was forwarded, and its caller's connection ended 185
+// microseconds after it was sent, without a response: during a drain, the check for idleness and the
+// close were two steps, and the request arrived between them.
 func TestARequestThatIsBeingReadKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
 	c, conn, client := idleConn(t)
 	go func() { _, _ = client.Write([]byte("POST")) }()
-	n, err := conn.Read(make([]byte, 16)) // the server has not said yet that it is active
+	n, err := conn.Read(make([]byte, 16)) // the server has not reported StateActive yet
 	is.NoErr(err)
 	is.Equal(n, 4)
 	c.CloseIdle()
@@ -41,11 +41,11 @@
 	_, err = client.Read(make([]byte, 4))
 	is.NoErr(err)
 	conn.SetState(http.StateActive)
-	conn.SetState(http.StateIdle) // it has been answered
+	conn.SetState(http.StateIdle) // the request has been answered
 	is.True(c.StopReading())
 }
 
-// What comes as the connection is closed is not taken for a request, and so runs nowhere.
+// A request that arrives as its connection is being closed is not read, and so does not run.
 func TestNoRequestIsReadAfterStopReading(t *testing.T) {
 	is := is.New(t)
 	c, conn, client := idleConn(t)
@@ -56,9 +56,9 @@
 	is.True(errors.Is(err, net.ErrClosed))
 }
 
-// Symptom, were it there: the process ends with a request under way. Sequence: two requests
-// come at once; the second is begun without a further read. Cause: only reading took the
-// connection.
+// Guards against a process that ends with a request in flight: of two requests that arrive together,
+// the second begins without a further read. If only reads marked a connection as in use, it would
+// count as unused.
 func TestAPipelinedRequestKeepsItsConnection(t *testing.T) {
 	is := is.New(t)
 	c, conn, _ := idleConn(t)
@@ -71,8 +71,8 @@
 // A request as it goes over the wire, in two parts.
 const head, rest = "POST / HT", "TP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
 
-// halfSentRequest is a server with a caller that has had one answer and has sent a part of its next
-// request, which the server has read.
+// halfSentRequest is a server and a caller that has received one response and has sent a part of its
+// next request, which the server has read.
 type halfSentRequest struct {
 	conns   *Conns
 	active  atomic.Int64
@@ -110,7 +110,7 @@
 	return s
 }
 
-// awaitUse waits until the only connection is used as given.
+// awaitUse waits until the only connection has the given use.
 func (s *halfSentRequest) awaitUse(t *testing.T, use int32) {
 	t.Helper()
 	for limit := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -124,12 +124,12 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("no connection is used as %d", use)
+			t.Fatalf("the connection did not reach use %d", use)
 		}
 	}
 }
 
-// finishRequest sends the rest of the request and reads its answer, which must close the
+// finishRequest sends the rest of the request and reads its response, which must close the
 // connection, so that the caller sends its next request elsewhere.
 func (s *halfSentRequest) finishRequest(t *testing.T) {
 	t.Helper()
@@ -142,17 +142,17 @@
 	is.True(answer.Close)
 }
 
-// Symptom: a request reaches an endpoint and its caller's connection ends 729 microseconds
-// after it was sent, without an answer (soak, seed 2, a stop in turn). Sequence: a
-// connection is idle, a request comes on it, SIGTERM arrives before the server has read its
-// whole head. Cause: the server's own way to end keep-alive closes what it takes for idle.
+// Guards against closing a connection whose next request has not been read completely. In a soak run
+// (seed 2, nodes stopped in turn) a request reached an endpoint, and its caller's connection ended 729
+// microseconds after it was sent, without a response: SIGTERM arrived before the whole header was read,
+// and the server's own way to end keep-alive closes such a connection as idle.
 func TestARequestHalfReadAtShutdownIsAnswered(t *testing.T) {
 	s := startHalfSentRequest(t)
 	s.conns.DisableKeepAlives()
 	s.finishRequest(t)
 }
 
-// The same for a whole drain, whose end closes what is idle: it waits for the request.
+// Guards against the same fault in a complete drain, which closes idle connections at its end.
 func TestADrainWaitsForARequestThatIsBeingRead(t *testing.T) {
 	is := is.New(t)
 	s := startHalfSentRequest(t)
@@ -160,7 +160,7 @@
 	defer cancel()
 	drained := make(chan error, 1)
 	go func() { drained <- s.conns.Drain(ctx, s.active.Load) }()
-	time.Sleep(5 * drainPollInterval) // without a fault the drain does nothing in this time
+	time.Sleep(5 * drainPollInterval) // a correct drain does nothing in this time
 	is.Equal(len(drained), 0)
 	s.finishRequest(t)
 	is.NoErr(<-drained)
