--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -13,10 +13,10 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// crashingBody is the body of a request that ends every worker of these tests that runs it.
+// crashingBody is the body of a request that crashes the workers of these tests.
 const crashingBody = "poison"
 
-// crashingWorkers makes workers that end when they run poison.
+// crashingWorkers returns n workers that crash when they run crashingBody.
 func crashingWorkers(n int) []*standin.Worker {
 	workers := make([]*standin.Worker, n)
 	for i := range workers {
@@ -25,7 +25,7 @@
 	return workers
 }
 
-// twoGateways starts two gateways of one deployment that tell each other what they know.
+// twoGateways starts two gateways of one deployment that exchange heartbeats.
 func twoGateways(t *testing.T, workers ...*standin.Worker) (first, second *fixture) {
 	t.Helper()
 	first, second = newFixture(t, workers...), newFixture(t)
@@ -37,12 +37,12 @@
 	second.version = first.version
 	second.start()
 	for _, s := range []*fixture{first, second} {
-		s.waitFor("it hears of the other", func() bool { return s.sumMetric("aspenyard_gateway_peers_heard ") == 1 })
+		s.waitFor("the other gateway's heartbeats arrive", func() bool { return s.sumMetric("aspenyard_gateway_peers_heard ") == 1 })
 	}
 	return first, second
 }
 
-// enablePeers lets a site's gateway hear of others once it starts.
+// enablePeers lets a fixture's gateway exchange heartbeats with others once it starts.
 func (s *fixture) enablePeers() {
 	s.t.Helper()
 	addr, err := link.FreeAddr()
@@ -52,7 +52,7 @@
 	s.extraSettings += fmt.Sprintf(`,"peers_listen":%q`, addr)
 }
 
-// runsOfBody counts the runs of a body at a site's workers.
+// runsOfBody counts the runs of a request body at a fixture's workers.
 func (s *fixture) runsOfBody(body string) int {
 	n := 0
 	for _, w := range s.workers {
@@ -65,7 +65,8 @@
 	return n
 }
 
-// Guards against a request that ends endpoint after endpoint as it comes again at every entry.
+// Guards against a request that crashes one endpoint after the other when callers repeat it at every
+// entry.
 func TestARequestThatCrashesEndpointsIsSentToFewOfThem(t *testing.T) {
 	is := is.New(t)
 	first, second := twoGateways(t, crashingWorkers(30)...)
@@ -74,12 +75,13 @@
 			s.do(s.request("POST", "/again/a", fmt.Sprintf("p%d-%d", i, n), crashingBody))
 		}
 	}
-	t.Logf("%d endpoints ended", first.runsOfBody(crashingBody))
-	is.True(first.runsOfBody(crashingBody) <= 6) // three, and three retries
+	t.Logf("%d endpoints crashed", first.runsOfBody(crashingBody))
+	is.True(first.runsOfBody(crashingBody) <= 6) // three crashes, and up to three retries
 	is.Equal(first.post("/again/a", "other").status, http.StatusOK)
 }
 
-// Guards against an answer that is held back, or that says more than is known, for a request in quarantine.
+// Guards against a late refusal of a request in quarantine, and against a response that claims it
+// has not run where that is unknown.
 func TestARequestInQuarantineIsRefusedAtOnceAndDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	first, second := twoGateways(t, crashingWorkers(12)...)
@@ -88,7 +90,7 @@
 		is.Equal(got.status, http.StatusBadGateway) // it may have run
 	}
 	for _, s := range []*fixture{first, second} {
-		s.waitFor("it is in quarantine", func() bool { return s.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
+		s.waitFor("the request is in quarantine", func() bool { return s.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
 	}
 	ran := first.runsOfBody(crashingBody)
 	is.Equal(ran, 3)
@@ -117,20 +119,21 @@
 		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
 	is.Equal(first.runsOfBody(crashingBody), 3)
-	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
-	first.store.Delete(first.store.Keys("records/")[0]) // it hears by heartbeats alone
+	first.waitFor("the record is in the store", func() bool { return len(first.store.Keys("records/")) == 1 })
+	first.store.Delete(first.store.Keys("records/")[0]) // heartbeats alone report it
 	second := newFixture(t)
 	second.store = first.store
 	second.enablePeers()
 	second.extraSettings += `,"name":"g2"`
 	second.version = first.version
 	second.start()
-	second.waitFor("it is in quarantine", func() bool { return second.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
+	second.waitFor("the request is in quarantine", func() bool { return second.sumMetric("aspenyard_gateway_quarantined_requests ") == 1 })
 	is.Equal(second.do(second.request("POST", "/again/a", "later", crashingBody)).status, http.StatusServiceUnavailable)
 	is.Equal(first.runsOfBody(crashingBody), 3)
 }
 
-// Guards against entries that all start anew and end three more endpoints with a request in quarantine.
+// Guards against entries that are all restarted and then crash three more endpoints with a request
+// that was in quarantine.
 func TestAQuarantineSurvivesARestartOfAllEntries(t *testing.T) {
 	is := is.New(t)
 	first := newFixture(t, crashingWorkers(12)...)
@@ -139,7 +142,7 @@
 		first.do(first.request("POST", "/again/a", fmt.Sprint("p", i), crashingBody))
 	}
 	is.Equal(first.runsOfBody(crashingBody), 3)
-	first.waitFor("the record is kept", func() bool { return len(first.store.Keys("records/")) == 1 })
+	first.waitFor("the record is in the store", func() bool { return len(first.store.Keys("records/")) == 1 })
 	first.sendSIGTERM()
 	<-first.serveErr
 	next := newFixture(t)
@@ -151,18 +154,19 @@
 	is.Equal(next.post("/again/a", "other").status, http.StatusOK)
 }
 
-// Guards against records that something else wrote.
+// Guards against a gateway that fails on records that something else wrote.
 func TestAnUndecodableRecordIsIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
 	s.store.Put("records/x", []byte("{"))
 	s.start()
-	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_record_refused"`) })
+	s.waitFor("the undecodable record is logged", func() bool { return strings.Contains(s.log.String(), `"event":"quarantine_record_refused"`) })
 	is.Equal(s.post("/again/a", "q").status, http.StatusOK)
 	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 }
 
-// Guards against taking a broken connection, or an endpoint that leaves, for a crash under the request.
+// Guards against counting a broken connection, or the planned end of an endpoint that is leaving, as
+// a crash caused by the request.
 func TestOnlyCrashesMakeARequestSuspect(t *testing.T) {
 	is := is.New(t)
 	alive, leaving := plainWorker(), plainWorker()
@@ -178,20 +182,21 @@
 	s.store.Delete("servers/" + alive.ID)
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("ready"))
 	leaving.Always(standin.FaultHang)
-	s.waitFor("it is listed alone", func() bool {
+	s.waitFor("only the second worker is listed", func() bool {
 		return strings.Contains(s.log.String(), `"event":"endpoint_gone"`) && s.sumMetric("aspenyard_gateway_endpoints ") == 1
 	})
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.do(s.request("POST", "/again/a", "r9", "the same")) }()
-	s.waitFor("it is used", func() bool { return leaving.Working() > 0 })
+	s.waitFor("the second worker runs the request", func() bool { return leaving.Working() > 0 })
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("draining"))
-	s.waitFor("it leaves", func() bool { return strings.Contains(s.log.String(), `"event":"endpoint_leaving"`) })
+	s.waitFor("the gateway knows that the worker is leaving", func() bool { return strings.Contains(s.log.String(), `"event":"endpoint_leaving"`) })
 	leaving.Stop()
 	<-got
 	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 }
 
-// Guards against refusing those who were beside a request that crashes endpoints.
+// Guards against putting requests in quarantine that were in flight at an endpoint while another one
+// crashed it.
 func TestRequestsInFlightDuringACrashAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	workers := crashingWorkers(8)
@@ -203,14 +208,14 @@
 	for i := range 16 {
 		go func() { got <- s.do(s.request("POST", "/again/a", fmt.Sprint("n", i), fmt.Sprint("body ", i))) }()
 	}
-	s.waitFor("all have begun", func() bool {
+	s.waitFor("all requests have started", func() bool {
 		started := 0
 		for _, w := range workers {
 			started += len(w.Runs())
 		}
 		return started == 16
 	})
-	s.do(s.request("POST", "/again/a", "p", crashingBody)) // ends two endpoints, and one of those to which their requests went perhaps
+	s.do(s.request("POST", "/again/a", "p", crashingBody)) // crashes two endpoints, perhaps one to which their requests were moved
 	for range 16 {
 		is.Equal((<-got).status, http.StatusOK)
 	}
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -13,7 +13,7 @@
 	"aspenyard.example/settings"
 )
 
-// recordingSource is a source that records how long its calls may take.
+// recordingSource is a directory.Source that records how long its calls may take.
 type recordingSource struct {
 	mu    sync.Mutex
 	fail  bool
@@ -22,7 +22,8 @@
 
 type recordedCall struct {
 	fullRead bool
-	// wait is how long the call asks the store to wait, timeout when it is given up.
+	// wait is how long the call asks the store to wait for a change, timeout the time until
+	// its context ends.
 	wait, timeout time.Duration
 	failed        bool
 }
@@ -57,10 +58,10 @@
 
 func (r *recordingSource) CloseIdleConnections() {}
 
-// Symptom: a change is in force seconds too late. Sequence: the store goes silent, or
-// drops its history, just as a call begins to wait; or it is back while a call that
-// cannot be answered still waits. Cause: waits of 10 s, and of 3 s and a timeout of 1 s;
-// with them this test fails.
+// Guards against changes that come into force seconds late. It happened when the store went silent
+// or dropped its history just as a call began to wait, and when the store was back while a call that
+// could not be answered still waited: calls then waited for 10 s, later for 3 s and a timeout of 1 s.
+// This test fails with either.
 func TestStoreCallsEndWithinConfigWithin(t *testing.T) {
 	is := is.New(t)
 	source := &recordingSource{}
@@ -97,12 +98,12 @@
 	<-ended
 	source.mu.Lock()
 	defer source.mu.Unlock()
-	is.True(source.calls[0].fullRead) // nothing is believed before a whole reading
+	is.True(source.calls[0].fullRead) // no changes are followed before a full read
 	outage := false
 	for _, call := range source.calls {
 		is.True(call.timeout <= s.ConfigWithin.D())
 		if outage {
-			is.Equal(call.wait, time.Duration(0)) // the store's return is to be seen at once
+			is.Equal(call.wait, time.Duration(0)) // so that the store's return is noticed at once
 		}
 		outage = call.failed
 	}
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -15,7 +15,7 @@
 	standin "aspenyard.example/standin/platform"
 )
 
-// newStoreAndClient starts a store for the test, and makes a client of it.
+// newStoreAndClient starts a stand-in of the store and returns it with a client.
 func newStoreAndClient(t *testing.T) (*standin.Store, *platform.Store) {
 	t.Helper()
 	store := standin.NewStore()
@@ -24,8 +24,8 @@
 	return store, platform.NewStore(strings.TrimPrefix(server.URL, "http://"), gateway.Dialer(time.Second))
 }
 
-// A node's registration is seen by the others, ends with its lease, and is made anew
-// when the lease has lapsed, whatever answers were lost on the way.
+// A node's registration is visible to other nodes and ends with its lease. It can be renewed, and
+// made again after the lease has lapsed, also when responses of the store were lost.
 func TestNodesRegisterInTheStore(t *testing.T) {
 	is := is.New(t)
 	store, client := newStoreAndClient(t)
@@ -33,7 +33,7 @@
 	node := directory.Node{Name: "g1", Addr: "127.0.0.1:7340", DataCentre: "dc1"}
 	store.SetFaults(standin.StoreFaults{LoseAnswers: 2})
 	_, err := client.Register(ctx, node, time.Minute)
-	is.True(err != nil) // the lease was made, and its answer lost
+	is.True(err != nil) // the lease was granted, and the response lost
 	_, err = client.Register(ctx, node, time.Minute)
 	is.True(err != nil)
 	registration, err := client.Register(ctx, node, time.Minute)
@@ -55,7 +55,7 @@
 	is.True(store.Get("nodes/g1") == nil)
 }
 
-// A record is written once, is read and seen by others, and ends with its lease.
+// A record is written once, is visible to other nodes, and ends with its lease.
 func TestNodesWriteRecordsToTheStore(t *testing.T) {
 	is := is.New(t)
 	store, client := newStoreAndClient(t)
@@ -78,16 +78,16 @@
 	is.Equal(len(state.Records), 0)
 }
 
-// Gateways that are registered hear of each other over their sockets, and their metrics say
-// of how many, how old that is and what it takes.
+// Registered gateways receive each other's heartbeats, and their metrics report from how many, how
+// old the reports are and how many bytes they take.
 func TestGatewaysExchangeHeartbeats(t *testing.T) {
 	is := is.New(t)
 	first, second := twoGateways(t)
 	for _, s := range []*fixture{first, second} {
-		s.waitFor("heard of the other", func() bool {
+		s.waitFor("the other gateway's heartbeats arrive", func() bool {
 			return s.sumMetric("aspenyard_gateway_peers_heard ") == 1 && s.sumMetric("aspenyard_gateway_peers ") == 1
 		})
-		s.waitFor("an age", func() bool { return s.sumMetric("aspenyard_gateway_peer_age_seconds ") > 0 })
+		s.waitFor("the age of the reports is known", func() bool { return s.sumMetric("aspenyard_gateway_peer_age_seconds ") > 0 })
 		is.True(s.sumMetric(`aspenyard_gateway_heartbeat_bytes_total{direction="in"}`) > 0)
 		is.True(s.sumMetric(`aspenyard_gateway_heartbeat_bytes_total{direction="out"}`) > 0)
 	}
--- a/gateway/probe_test.go
+++ b/gateway/probe_test.go
@@ -12,7 +12,7 @@
 	"aspenyard.example/directory"
 )
 
-// Guards against missing a crash as a probe that began before it says that the endpoint lives.
+// Guards against overlooking a crash because a probe that began before it found the endpoint alive.
 func TestAResultOfAnEarlierProbeIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	local, remote := net.Pipe()
@@ -30,7 +30,7 @@
 	is.True(got != earlier)
 }
 
-// doneNotifier is a context that tells once somebody waits for its end.
+// doneNotifier is a context that calls notify when its Done channel is asked for.
 type doneNotifier struct {
 	context.Context
 	notify func()
--- a/gateway/state_test.go
+++ b/gateway/state_test.go
@@ -16,19 +16,19 @@
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
 	s.launch()
-	s.waitFor("the port answers", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
+	s.waitFor("the readiness check answers", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
 	got := s.post("/once/a", "q1")
-	is.Equal(got.status, http.StatusServiceUnavailable) // not 404: it does not know
+	is.Equal(got.status, http.StatusServiceUnavailable) // not 404, as the routes are not known yet
 	is.True(got.header.Get("Retry-After") != "")
 	s.configure()
 	s.waitFor("ready", func() bool { return s.readyStatus() == http.StatusOK })
 	is.Equal(s.post("/once/a", "q2").status, http.StatusOK)
 }
 
-// Symptom: of the requests that come as all nodes are started again a fifth is refused for
-// want of a configuration, and late when it comes back. Sequence: a process listens, a
-// request comes, the first reading of the store is answered tens of milliseconds later.
-// Cause: a process that has only just asked took itself for one that knows nothing.
+// Guards against refusing requests because the first configuration is still being read. When all
+// nodes were started again, a fifth of the requests was refused and was late when it was retried: a
+// process listens before its first read of the store, which is answered tens of milliseconds later,
+// and in between it counted as a process without a configuration.
 func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
@@ -36,7 +36,7 @@
 	s.launch()
 	answers := make(chan callerResponse, 1)
 	go func() { answers <- s.post("/once/a", "q1") }()
-	s.waitFor("a request is there", func() bool { return s.sumMetric("aspenyard_gateway_active_requests") == 1 || len(answers) == 1 })
+	s.waitFor("the request has arrived", func() bool { return s.sumMetric("aspenyard_gateway_active_requests") == 1 || len(answers) == 1 })
 	s.configure()
 	is.Equal((<-answers).status, http.StatusOK)
 	is.Equal(s.runCount("q1"), 1)
@@ -63,7 +63,7 @@
 	r.Host = "other.example"
 	is.Equal(s.do(r).status, http.StatusNotFound)
 	is.Equal(s.runCount("q1")+s.runCount("q2")+s.runCount("q3")+s.runCount("q5"), 0)
-	is.Equal(s.workers[0].Runs()[0].Account, "") // nobody's
+	is.Equal(s.workers[0].Runs()[0].Account, "") // the request has no client account
 }
 
 func TestTheLongestPrefixWins(t *testing.T) {
@@ -89,9 +89,8 @@
 	s.waitFor("the key is refused", func() bool { n++; return s.post("/once/a", fmt.Sprint("q", n)).status == http.StatusUnauthorized })
 }
 
-// Symptom: a node works by an old configuration for seconds after an outage of the
-// store. Sequence: the store is silent, the configuration changes, the store is back.
-// Cause: a waiting call that is lost was noticed only after its wait.
+// Guards against a node that uses an old configuration for seconds after an outage of the store,
+// during which the configuration changed. The loss of a waiting call was noticed only after its wait.
 func TestAChangeDuringAnOutageIsInForceAfterIt(t *testing.T) {
 	for name, faults := range map[string]standin.StoreFaults{
 		"silent": {Silent: true}, "busy": {Refuse: http.StatusServiceUnavailable}, "many": {Refuse: http.StatusTooManyRequests},
@@ -100,21 +99,20 @@
 			is := is.New(t)
 			s := newFixture(t, plainWorker()).start()
 			s.store.SetFaults(faults)
-			s.waitFor("the outage is seen", func() bool { return strings.Contains(s.log.String(), "store_lost") })
-			is.Equal(s.post("/once/a", "q1").status, http.StatusOK) // what is known stays in force
+			s.waitFor("the outage is noticed", func() bool { return strings.Contains(s.log.String(), "store_lost") })
+			is.Equal(s.post("/once/a", "q1").status, http.StatusOK) // the known configuration stays in force
 			s.routes = append(s.routes, route("new", "/new/", "idempotent"))
 			s.configure()
 			s.store.SetFaults(standin.StoreFaults{})
-			s.waitFor("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
-			s.waitFor("the store is back", func() bool { return strings.Contains(s.log.String(), "store_regained") })
+			s.waitFor("the new route is in force", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
+			s.waitFor("the store's return is logged", func() bool { return strings.Contains(s.log.String(), "store_regained") })
 		})
 	}
 }
 
-// Symptom: callers with a key that was just added are told for seconds that it is wrong.
-// Sequence: one node is cut off from the store, keys are added, and the balancer sends
-// their callers there too. Cause: the node answered for a configuration that it knew might
-// be out of date; callers do not ask elsewhere after that.
+// Guards against a node that rejects keys which were added while it is cut off from the store, to
+// which the load balancer still sends callers. The node used to answer from a configuration that it
+// knew might be out of date, and callers do not try another node after 401 or 404.
 func TestANodeWithAStaleConfigurationDoesNotDenyRequests(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
@@ -128,41 +126,41 @@
 	is.Equal(unknown("/once/a").status, http.StatusUnauthorized)
 	is.Equal(unknown("/later/a").status, http.StatusNotFound)
 	s.store.SetFaults(standin.StoreFaults{Silent: true})
-	s.waitFor("it says when to come back", func() bool { return unknown("/once/a").status == http.StatusServiceUnavailable })
+	s.waitFor("an unknown key is refused for now", func() bool { return unknown("/once/a").status == http.StatusServiceUnavailable })
 	got := unknown("/later/a")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
-	is.Equal(s.post("/once/a", "q2").status, http.StatusOK) // what it knows stays in force
+	is.Equal(s.post("/once/a", "q2").status, http.StatusOK) // the known routes stay in force
 	s.store.SetFaults(standin.StoreFaults{})
-	s.waitFor("it judges again", func() bool { return unknown("/once/a").status == http.StatusUnauthorized })
+	s.waitFor("an unknown key is denied again", func() bool { return unknown("/once/a").status == http.StatusUnauthorized })
 	is.Equal(s.runCount("q1"), 0)
 }
 
-// Symptom: a node misses a change for good, or for as long as a watch may wait.
-// Sequence: watches hear nothing while the configuration changes, then the store drops
-// its history. Cause: watches of ten seconds, which end without an answer.
+// Guards against a node that misses a change for good, or for as long as a watch may wait: watches
+// get no changes while the configuration changes, and then the store drops its history. Watches used
+// to wait for ten seconds, and end without an answer in that case.
 func TestTheStateIsReadInFullWhenTheHistoryIsGone(t *testing.T) {
 	s := newFixture(t, plainWorker(), plainWorker()).start()
 	s.store.SetFaults(standin.StoreFaults{Deaf: true})
 	calls := s.store.Calls("/-/kv-watch")
-	s.waitFor("a watch that hears nothing", func() bool { return s.store.Calls("/-/kv-watch") > calls })
+	s.waitFor("a watch that gets no changes", func() bool { return s.store.Calls("/-/kv-watch") > calls })
 	s.routes = append(s.routes, route("new", "/new/", "idempotent"))
 	s.configure()
 	s.store.Delete("servers/" + s.workers[0].ID)
 	s.store.DropHistory()
 	s.store.SetFaults(standin.StoreFaults{})
-	s.waitFor("the route", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
+	s.waitFor("the new route is in force", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
 	before := len(s.workers[0].Runs())
 	for i := range 10 {
 		s.post("/once/a", fmt.Sprint("r", i))
 	}
 	if len(s.workers[0].Runs()) != before {
-		t.Fatal("an endpoint that left in the gap was sent requests")
+		t.Fatal("an endpoint that deregistered in the missing history was sent requests")
 	}
 }
 
-// Symptom: requests reach an endpoint that is about to stop. Sequence: it registers as
-// draining, or its registration ends without that.
+// Guards against requests to an endpoint that is about to stop, whether it registers as draining or
+// its registration just ends.
 func TestALeavingEndpointGetsNoNewRequests(t *testing.T) {
 	for _, how := range []string{"draining", "gone"} {
 		t.Run(how, func(t *testing.T) {
@@ -175,26 +173,26 @@
 				s.store.Delete("servers/" + leaving.ID)
 				event = "endpoint_gone"
 			}
-			s.waitFor("it is known", func() bool { return strings.Contains(s.log.String(), event) })
+			s.waitFor("the gateway knows that the endpoint leaves", func() bool { return strings.Contains(s.log.String(), event) })
 			before := len(leaving.Runs())
 			for i := range 20 {
 				s.post("/once/a", fmt.Sprint("q", i))
 			}
 			if n := len(leaving.Runs()) - before; n > 0 {
-				t.Fatalf("%d requests reached it", n)
+				t.Fatalf("%d requests reached the leaving endpoint", n)
 			}
 		})
 	}
 }
 
-// Symptom: a node stops serving after one bad edit. Sequence: the store holds a
-// configuration that cannot be decoded.
+// Guards against a node that stops serving because the store holds a configuration that cannot be
+// decoded.
 func TestAnUndecodableConfigurationIsLoggedAndIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker()).start()
 	s.store.Put("op/config", []byte(`{"version":99,"routes":[{"name":"r","prefix":"/x/","route_kind":"sideways"}]}`))
 	s.store.Put("servers/i-bad", []byte(`{"service":"app","address":"nowhere"}`))
-	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), "i-bad") })
+	s.waitFor("the undecodable items are logged", func() bool { return strings.Contains(s.log.String(), "i-bad") })
 	log := s.log.String()
 	is.True(strings.Contains(log, "store_item_refused"))
 	is.True(strings.Contains(log, "version 99"))
@@ -202,28 +200,28 @@
 	is.Equal(s.post("/once/a", "q1").status, http.StatusOK)
 	s.version = 100
 	s.configure()
-	s.waitFor("the next one is in force", func() bool { return strings.Contains(s.log.String(), `"version":103`) })
+	s.waitFor("the next configuration is in force", func() bool { return strings.Contains(s.log.String(), `"version":103`) })
 }
 
-// startDraining starts a site, a stream of over a second, and then a stop.
+// startDraining starts a fixture and a stream of 30 events, pace apart, and then a drain.
 func startDraining(t *testing.T, pace time.Duration) (*fixture, <-chan callerResponse) {
 	worker := streamingWorker(30)
 	worker.Pace = pace
 	s := newFixture(t, worker).start()
 	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
 	s.sendSIGTERM()
-	s.waitFor("not ready", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
+	s.waitFor("the readiness check fails", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
 	return s, results
 }
 
-// Symptom: a request is cut by a stop. Sequence: SIGTERM while a stream runs and while
-// callers go on using open connections.
+// Guards against requests that are cut off by SIGTERM, while a stream runs and callers go on using
+// open connections.
 func TestAShutdownCutsNoRequest(t *testing.T) {
 	is := is.New(t)
 	s, results := startDraining(t, 40*time.Millisecond)
-	late := s.post("/stream/b", "q2") // the balancer has not seen it yet
+	late := s.post("/stream/b", "q2") // the load balancer has not noticed the drain yet
 	is.Equal(late.status, http.StatusOK)
 	is.Equal(late.body, standin.StreamText("q2", 30))
 	first := <-results
@@ -233,25 +231,23 @@
 	case err := <-s.serveErr:
 		is.NoErr(err)
 	case <-time.After(waitTimeout):
-		t.Fatal("the process does not end")
+		t.Fatal("Serve does not return")
 	}
 }
 
-// Symptom, were it there: streams end when the node no longer takes requests, long before it
-// is killed. Sequence: SIGTERM while a stream runs that lasts longer than the part of the
-// drain in which requests are taken.
+// Guards against a drain that cuts off a stream when requests are no longer accepted, long before the
+// process is killed.
 func TestADrainWaitsForALongStream(t *testing.T) {
 	is := is.New(t)
-	s, results := startDraining(t, 80*time.Millisecond) // 2.4 s; requests are taken for 1.8 s of 5 s
+	s, results := startDraining(t, 80*time.Millisecond) // 2.4 s; requests are accepted for 1.8 s of 5 s
 	got := <-results
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 30))
 	is.NoErr(<-s.serveErr)
 }
 
-// Symptom: a stop cuts requests at once. Sequence: during a drain come a change of the
-// settings file and the signal to stop once more. Cause: any signal in a drain was taken
-// for a wish to end at once.
+// Guards against a drain that cuts off requests when a change of the settings file and a second
+// SIGTERM arrive during it. Any signal in a drain used to stop the process at once.
 func TestFurtherSignalsDuringADrainCutNoRequest(t *testing.T) {
 	is := is.New(t)
 	s, results := startDraining(t, 40*time.Millisecond)
@@ -261,8 +257,8 @@
 	case got := <-results:
 		is.NoErr(got.err)
 		is.Equal(got.body, standin.StreamText("q1", 30))
-	case <-s.serveErr: // the process would be gone, and its connections with it
-		t.Fatal("ended while a request was under way")
+	case <-s.serveErr: // the process would have ended, and its connections with it
+		t.Fatal("Serve returned while a request was in flight")
 	}
 	is.NoErr(<-s.serveErr)
 }
@@ -272,10 +268,10 @@
 	worker := plainWorker()
 	s := newFixture(t, worker).start()
 	worker.Always(standin.FaultHang)
-	go s.post("/once/a", "q1") // holds the process
-	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	go s.post("/once/a", "q1") // keeps the drain from ending
+	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
 	s.sendSIGTERM()
-	s.waitFor("it refuses", func() bool {
+	s.waitFor("a late request is refused", func() bool {
 		r := s.request(http.MethodPost, "/stream/late", "q2", "")
 		r.Header.Set("X-Aspenyard-Deadline-Ms", "20")
 		got := s.do(r)
@@ -284,8 +280,7 @@
 	is.Equal(s.runCount("q3"), 0)
 }
 
-// Symptom: requests are cut by a change of the settings file. Sequence: SIGHUP while
-// requests run.
+// Guards against requests that are cut off by SIGHUP after a change of the settings file.
 func TestAReloadCutsNoRequest(t *testing.T) {
 	is := is.New(t)
 	worker := streamingWorker(20)
@@ -293,9 +288,9 @@
 	s := newFixture(t, worker).start()
 	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.waitFor("it runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
 	s.sendSIGHUP()
-	s.waitFor("it is logged", func() bool { return strings.Contains(s.log.String(), `"event":"reload"`) })
+	s.waitFor("the reload is logged", func() bool { return strings.Contains(s.log.String(), `"event":"reload"`) })
 	got := <-results
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 20))
@@ -307,7 +302,7 @@
 	s := newFixture(t, plainWorker()).start()
 	s.post("/once/a", "q1")
 	s.post("/nowhere/a", "q2")
-	s.waitFor("counted", func() bool {
+	s.waitFor("both requests are counted", func() bool {
 		return s.sumMetric(`aspenyard_gateway_requests_total{class="non_idempotent",code="1000"`) == 1 && s.sumMetric(`aspenyard_gateway_requests_total{class="none",code="2002"`) == 1
 	})
 	is.Equal(s.sumMetric("aspenyard_gateway_config_version"), 3.0)
