--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -56,11 +56,11 @@
 // registerPeerMetrics registers the gauges for how much of the other entries' load is known, how
 // old that knowledge is, and how many bytes the heartbeats take.
 func (g *Gateway) registerPeerMetrics() {
-	knowledge := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
-	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(knowledge().Peers) })
-	g.metrics.NewGauge("aspenyard_gateway_peers_heard", func() float64 { return float64(knowledge().Heard) })
-	g.metrics.NewGauge("aspenyard_gateway_peer_age_seconds", func() float64 { return knowledge().MeanAge.Seconds() })
-	g.metrics.NewGauge("aspenyard_gateway_peer_oldest_seconds", func() float64 { return knowledge().OldestAge.Seconds() })
+	status := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
+	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(status().Peers) })
+	g.metrics.NewGauge("aspenyard_gateway_peers_heard", func() float64 { return float64(status().Heard) })
+	g.metrics.NewGauge("aspenyard_gateway_peer_age_seconds", func() float64 { return status().MeanAge.Seconds() })
+	g.metrics.NewGauge("aspenyard_gateway_peer_oldest_seconds", func() float64 { return status().OldestAge.Seconds() })
 	for direction, bytes := range map[string]func(s *membership.Stats) uint64{
 		"in":  func(s *membership.Stats) uint64 { return s.ReceivedBytes.Load() },
 		"out": func(s *membership.Stats) uint64 { return s.SentBytes.Load() },
--- a/graceful/graceful.go
+++ b/graceful/graceful.go
@@ -22,8 +22,8 @@
 	open map[*Conn]struct{}
 	// readingStopped is set when connections that are opened from now on are not read.
 	readingStopped bool
-	// closeAfterAnswer is set when every further response closes its connection.
-	closeAfterAnswer atomic.Bool
+	// closeAfterResponse is set when every further response closes its connection.
+	closeAfterResponse atomic.Bool
 }
 
 // Listener returns a listener that accepts from l and tracks the connections.
@@ -70,7 +70,7 @@
 // DisableKeepAlives.
 func (c *Conns) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c.closeAfterAnswer.Load() {
+		if c.closeAfterResponse.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -78,7 +78,7 @@
 }
 
 // DisableKeepAlives makes every further response close its connection. It closes none itself.
-func (c *Conns) DisableKeepAlives() { c.closeAfterAnswer.Store(true) }
+func (c *Conns) DisableKeepAlives() { c.closeAfterResponse.Store(true) }
 
 // CloseIdle closes the connections on which a request has been answered and none is in flight.
 func (c *Conns) CloseIdle() {
--- a/graceful/graceful_test.go
+++ b/graceful/graceful_test.go
@@ -74,10 +74,10 @@
 // halfSentRequest is a server and a caller that has received one response and has sent a part of its
 // next request, which the server has read.
 type halfSentRequest struct {
-	conns   *Conns
-	active  atomic.Int64
-	caller  net.Conn
-	answers *bufio.Reader
+	conns     *Conns
+	active    atomic.Int64
+	caller    net.Conn
+	responses *bufio.Reader
 }
 
 func startHalfSentRequest(t *testing.T) *halfSentRequest {
@@ -97,10 +97,10 @@
 	s.caller, err = net.Dial("tcp", listener.Addr().String())
 	is.NoErr(err)
 	t.Cleanup(func() { _ = s.caller.Close() })
-	s.answers = bufio.NewReader(s.caller)
+	s.responses = bufio.NewReader(s.caller)
 	_, err = s.caller.Write([]byte(head + rest))
 	is.NoErr(err)
-	first, err := http.ReadResponse(s.answers, nil)
+	first, err := http.ReadResponse(s.responses, nil)
 	is.NoErr(err)
 	is.True(!first.Close)
 	s.awaitUse(t, useIdle)
@@ -136,10 +136,10 @@
 	is := is.New(t)
 	_, err := s.caller.Write([]byte(rest))
 	is.NoErr(err)
-	answer, err := http.ReadResponse(s.answers, nil)
+	response, err := http.ReadResponse(s.responses, nil)
 	is.NoErr(err)
-	is.Equal(answer.StatusCode, http.StatusOK)
-	is.True(answer.Close)
+	is.Equal(response.StatusCode, http.StatusOK)
+	is.True(response.Close)
 }
 
 // Guards against closing a connection whose next request has not been read completely. In a soak run
