--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -20,69 +20,74 @@
 )
 
 const (
-	// registrationTTL is how long a node that died stays registered; registerInterval lets
-	// two renewals be lost.
+	// registrationTTL is how long a node that died stays registered. renewalInterval leaves
+	// time for two lost renewals before a registration lapses.
 	registrationTTL = 12 * time.Second
 	renewalInterval = 4 * time.Second
+	// registryTimeout bounds one call that registers, renews or writes a record.
 	registryTimeout = time.Second
-	// deregisterTimeout is less than what a drain leaves until the process is killed.
+	// deregisterTimeout is shorter than the time that a drain leaves until the process is
+	// killed.
 	deregisterTimeout = 150 * time.Millisecond
-	// heartbeatInterval is the time between two heartbeats to other entries. They carry
-	// what this entry's requests ask of the engines, and an entry that does not know
-	// what the others have just sent sends to the same engines. Shorter
-	// gains nothing more.
+	// heartbeatInterval is the time between two heartbeats to other entries. They carry the
+	// load that this entry's requests put on the engines; an entry that does not know what
+	// the others have just sent chooses the same engines. A shorter interval brings no
+	// further gain.
 	heartbeatInterval = 100 * time.Millisecond
-	// fullHeartbeatInterval is the time between two heartbeats that tell everything: for so long
-	// a lost one leaves an old number behind.
+	// fullHeartbeatInterval is the time between two heartbeats that report everything. The
+	// loss of one between them leaves an outdated number at the receiver for up to that long.
 	fullHeartbeatInterval = time.Second
-	// maxHeartbeatInterval is how old the word of another entry may be for that all entries
-	// hear of each other, up to about a hundred; more hear of a part of them.
+	// maxHeartbeatInterval is the interval between heartbeats up to which every entry sends
+	// them to all others. That holds for up to about a hundred entries; among more, each
+	// receives the heartbeats of only some of the others.
 	maxHeartbeatInterval = 300 * time.Millisecond
-	// localPeers and remotePeers are heard of in any case, in the own data centre and in others.
+	// localPeers and remotePeers are how many entries heartbeats are sent to in any case, in
+	// the own data centre and in each other one.
 	localPeers, remotePeers = 8, 8
-	// peerSuspectAfter is the silence after which another entry counts as gone.
+	// peerSuspectAfter is the silence after which another entry counts as failed.
 	peerSuspectAfter = time.Second
-	// heartbeatBytesPerSecond is what heartbeats may take at a receiving entry, in bytes a second; with
-	// more entries they come less often.
+	// heartbeatBytesPerSecond bounds the heartbeats at a receiving entry; with more entries
+	// they are sent less often.
 	heartbeatBytesPerSecond = 50_000
-	// maxHeartbeatFindings is how many findings of crashes a heartbeat tells, of about 24 bytes each.
+	// maxHeartbeatFindings is how many crash findings a heartbeat carries at most, of about
+	// 24 bytes each.
 	maxHeartbeatFindings = 32
 )
 
-// peers is what this entry has to do with the others: it registers in the store, so
-// that they find it, and tells them what its requests ask of the engines. A view
-// without the others' word is less exact and nothing else: entries whose share of the
-// traffic is small would each divide the engines differently.
+// peers connects this entry with the others: it registers the entry in the store, so that the
+// others find it, and exchanges heartbeats with them about the load that their requests put on
+// the engines. Without the others' reports the load is known less exactly, and entries with a
+// small share of the traffic would each divide the engines differently; nothing else is lost.
 type peers struct {
 	gateway *Gateway
-	// lease is that of the registration; 0: not registered.
+	// lease is the registration's lease; 0 while not registered.
 	lease atomic.Uint64
-	// lastSent is what the other entries were lastSent of each endpoint since wholeAt, when all of
-	// it was lastSent. Both belong to the control thread.
+	// lastSent is what was last reported of each endpoint since fullSentAt, when the last
+	// full heartbeat was sent. Only the control thread uses the two.
 	lastSent   map[direct.EndpointHash]direct.EndpointLoad
 	fullSentAt time.Time
 }
 
-// keepRegistered registers this node and keeps it registered until ctx ends.
+// keepRegistered registers this node and renews the registration until ctx ends.
 func (p *peers) keepRegistered(ctx context.Context) {
 	g := p.gateway
 	node := directory.Node{Name: g.settings.Name, Addr: g.settings.PeersListen, DataCentre: g.settings.DataCentre}
-	var current directory.Registration
+	var registration directory.Registration
 	for ctx.Err() == nil {
-		bounded, cancel := context.WithTimeout(ctx, registryTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 		var err error
-		if current.Lease == 0 {
-			if current, err = g.registry.Register(bounded, node, registrationTTL); err == nil {
-				p.lease.Store(current.Lease)
-				g.log.Info("registered", zap.Uint64("lease", current.Lease), zap.Uint64("revision", current.Revision))
-				p.startHeartbeats(ctx, current.Revision)
+		if registration.Lease == 0 {
+			if registration, err = g.registry.Register(callCtx, node, registrationTTL); err == nil {
+				p.lease.Store(registration.Lease)
+				g.log.Info("registered", zap.Uint64("lease", registration.Lease), zap.Uint64("revision", registration.Revision))
+				p.startHeartbeats(ctx, registration.Revision)
 			}
 		} else {
-			err = g.registry.Renew(bounded, current.Lease)
+			err = g.registry.Renew(callCtx, registration.Lease)
 		}
 		cancel()
 		if errors.Is(err, directory.ErrLeaseExpired) {
-			current = directory.Registration{}
+			registration = directory.Registration{}
 			continue
 		}
 		if err != nil {
@@ -92,15 +97,15 @@
 	}
 }
 
-// announceLeaving tells the other entries that this one drains.
+// announceLeaving tells the other entries that this one is draining.
 func (p *peers) announceLeaving() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Leave()
 	}
 }
 
-// deregister ends the registration, so that the others do not count this entry for as
-// long as its lease lasts. A failure changes nothing else: the lease ends by itself.
+// deregister ends the registration, so that the others do not count this entry until its lease
+// ends. A failure is only logged, as the lease ends by itself.
 func (p *peers) deregister() {
 	lease := p.lease.Load()
 	if lease == 0 {
@@ -113,17 +118,18 @@
 	}
 }
 
-// sendHeartbeat tells the other entries at once of what has changed: a long prompt that one
-// entry sends is prefilled for longer than heartbeats are apart, and the others hold
-// theirs back.
+// sendHeartbeat sends a heartbeat at once for changes that the others need early, such as a
+// long prompt: its prefill takes longer than the time between heartbeats, and the other entries
+// hold back their long prompts meanwhile.
 func (p *peers) sendHeartbeat() {
 	if loop := p.gateway.peerLoop.Load(); loop != nil {
 		loop.Announce()
 	}
 }
 
-// startHeartbeats runs the heartbeats once the node has its first registration, whose revision
-// is its incarnation: it rises with each life whatever the time of day does.
+// startHeartbeats starts the heartbeats after the first registration. The registration's
+// revision is the node's incarnation number, as it increases with every start whatever the wall
+// clock does.
 func (p *peers) startHeartbeats(ctx context.Context, incarnation uint64) {
 	g := p.gateway
 	if g.peerLoop.Load() != nil {
@@ -144,7 +150,7 @@
 	p.setMembers(g.snapshot.Load())
 }
 
-// setMembers tells the control loop which entries are registered.
+// setMembers passes the registered entries to the membership loop.
 func (p *peers) setMembers(snapshot *directory.Snapshot) {
 	loop := p.gateway.peerLoop.Load()
 	if loop == nil {
@@ -157,20 +163,20 @@
 	loop.SetList(vms)
 }
 
-// FillHeartbeat implements membership.Delegate. Between whole heartbeats only changes are told: a
-// tenth of the bytes, and of the work of those who take them in.
+// FillHeartbeat implements membership.Delegate. Between full heartbeats it reports changes only,
+// which takes a tenth of the bytes and of the receivers' work.
 func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
-	opens := p.gateway.ledger.Loads(now)
+	loads := p.gateway.ledger.Loads(now)
 	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
 		p.fullSentAt = now
 		clear(p.lastSent)
 	}
-	for _, o := range p.changedLoads(opens) {
-		h.OpenEndpoints = append(h.OpenEndpoints, uint32(o.Endpoint))
-		h.OpenCounts = append(h.OpenCounts, uint32(o.InFlight))
-		h.ReadingMs = append(h.ReadingMs, uint32(max(o.PendingPrefill.Milliseconds(), 0)))
-		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(o.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
-		appendStreams(h, o.Streams)
+	for _, load := range p.changedLoads(loads) {
+		h.OpenEndpoints = append(h.OpenEndpoints, uint32(load.Endpoint))
+		h.OpenCounts = append(h.OpenCounts, uint32(load.InFlight))
+		h.ReadingMs = append(h.ReadingMs, uint32(max(load.PendingPrefill.Milliseconds(), 0)))
+		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(load.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
+		appendStreams(h, load.Streams)
 	}
 	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
@@ -185,28 +191,29 @@
 	}
 }
 
-// changedLoads gives those of an entry's loads that differ from what was told, and notes that
-// they are told.
-func (p *peers) changedLoads(opens []direct.EndpointLoad) []direct.EndpointLoad {
-	var list []direct.EndpointLoad
-	present := make(map[direct.EndpointHash]bool, len(opens))
-	for _, o := range opens {
-		present[o.Endpoint] = true
-		if p.lastSent[o.Endpoint] != o {
-			p.lastSent[o.Endpoint] = o
-			list = append(list, o)
+// changedLoads returns those of an entry's endpoint loads that differ from what was last sent,
+// and records them as sent. An endpoint that has no load any more is returned with a count of 0.
+func (p *peers) changedLoads(loads []direct.EndpointLoad) []direct.EndpointLoad {
+	var changed []direct.EndpointLoad
+	present := make(map[direct.EndpointHash]bool, len(loads))
+	for _, load := range loads {
+		present[load.Endpoint] = true
+		if p.lastSent[load.Endpoint] != load {
+			p.lastSent[load.Endpoint] = load
+			changed = append(changed, load)
 		}
 	}
 	for endpoint := range p.lastSent {
 		if !present[endpoint] {
 			delete(p.lastSent, endpoint)
-			list = append(list, direct.EndpointLoad{Endpoint: endpoint})
+			changed = append(changed, direct.EndpointLoad{Endpoint: endpoint})
 		}
 	}
-	return list
+	return changed
 }
 
-// HandleHeartbeat implements membership.Delegate.
+// HandleHeartbeat implements membership.Delegate: it takes over the load, the slow endpoints and
+// the crash findings that another entry reports.
 func (p *peers) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
@@ -215,33 +222,34 @@
 			PendingPrefill: milliseconds(d.ReadingMs), QueuedPrefill: milliseconds(d.WaitingMs),
 		})
 	}
-	open := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
+	loads := make([]direct.EndpointLoad, 0, len(h.OpenEndpoints))
 	for i := range min(len(h.OpenEndpoints), len(h.OpenCounts), len(h.ReadingMs)) {
-		o := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
-		if len(h.StreamKeys) == 0 && o.InFlight > 0 { // an earlier version: none may be made late
-			o.Streams[0] = int16(o.InFlight)
+		load := direct.EndpointLoad{Endpoint: direct.EndpointHash(h.OpenEndpoints[i]), InFlight: int(h.OpenCounts[i]), PendingPrefill: milliseconds(h.ReadingMs[i])}
+		if len(h.StreamKeys) == 0 && load.InFlight > 0 { // from an earlier version, without pause classes: none may be delayed
+			load.Streams[0] = int16(load.InFlight)
 		}
-		if i < len(h.MemoryKtokens) { // entries of an earlier version do not tell
-			o.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
+		if i < len(h.MemoryKtokens) { // earlier versions do not send it
+			load.MemoryTokens = int(h.MemoryKtokens[i]) * memoryUnit
 		}
-		open = append(open, o)
+		loads = append(loads, load)
 	}
-	decodeStreams(h, open)
+	decodeStreams(h, loads)
 	p.gateway.ledger.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
 	for _, request := range p.gateway.quarantine.Merge(now, decodeFindings(h)) {
 		p.gateway.reportQuarantined(request, h.Node)
 	}
 	if h.Partial {
-		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, open)
+		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, loads)
 		return
 	}
-	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, open)
+	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, loads)
 }
 
-// streamKeyBase is what an endpoint's index is multiplied by in the key of its streams.
+// streamKeyBase is the factor of the endpoint's index in a stream's key; the pause class is
+// added to the product.
 const streamKeyBase = 16
 
-// appendStreams tells of the streams at the last endpoint of a heartbeat.
+// appendStreams adds the streams of the last endpoint in a heartbeat.
 func appendStreams(h *wire.Heartbeat, streams direct.StreamCounts) {
 	index := len(h.OpenEndpoints) - 1
 	for class, n := range streams {
@@ -252,19 +260,19 @@
 	}
 }
 
-// decodeStreams reads what a heartbeat tells of the streams at its endpoints.
-func decodeStreams(h *wire.Heartbeat, open []direct.EndpointLoad) {
+// decodeStreams sets the streams of loads from a heartbeat that lists the same endpoints.
+func decodeStreams(h *wire.Heartbeat, loads []direct.EndpointLoad) {
 	for i := range min(len(h.StreamKeys), len(h.StreamCounts)) {
 		index, class := int(h.StreamKeys[i]/streamKeyBase), int(h.StreamKeys[i]%streamKeyBase)
-		if index < len(open) && class < len(open[index].Streams) {
-			open[index].Streams[class] = int16(min(h.StreamCounts[i], math.MaxInt16))
+		if index < len(loads) && class < len(loads[index].Streams) {
+			loads[index].Streams[class] = int16(min(h.StreamCounts[i], math.MaxInt16))
 		}
 	}
 }
 
-// appendFindings tells under which requests endpoints crashed.
-func appendFindings(h *wire.Heartbeat, list []attempt.Finding) {
-	for _, f := range list {
+// appendFindings adds findings about requests during which endpoints crashed.
+func appendFindings(h *wire.Heartbeat, findings []attempt.Finding) {
+	for _, f := range findings {
 		h.FindingScopes = append(h.FindingScopes, f.Request.Scope)
 		h.FindingBodies = append(h.FindingBodies, f.Request.Body)
 		h.FindingEndpoints = append(h.FindingEndpoints, f.Endpoint)
@@ -272,39 +280,40 @@
 	}
 }
 
-// decodeFindings reads under which requests another entry knows endpoints to have crashed.
+// decodeFindings returns a heartbeat's findings about requests during which endpoints crashed.
 func decodeFindings(h *wire.Heartbeat) []attempt.Finding {
 	n := min(len(h.FindingScopes), len(h.FindingBodies), len(h.FindingEndpoints), len(h.FindingAgesMs))
-	list := make([]attempt.Finding, 0, n)
+	findings := make([]attempt.Finding, 0, n)
 	for i := range n {
 		request := attempt.Fingerprint{Scope: h.FindingScopes[i], Body: h.FindingBodies[i]}
-		list = append(list, attempt.Finding{Request: request, Endpoint: h.FindingEndpoints[i], Age: milliseconds(h.FindingAgesMs[i])})
+		findings = append(findings, attempt.Finding{Request: request, Endpoint: h.FindingEndpoints[i], Age: milliseconds(h.FindingAgesMs[i])})
 	}
-	return list
+	return findings
 }
 
-// decodeSlowEndpoints reads which endpoints another entry knows to be slow.
+// decodeSlowEndpoints returns the endpoints that a heartbeat reports as slow.
 func decodeSlowEndpoints(h *wire.Heartbeat) []direct.SlowEndpoint {
-	list := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
+	slow := make([]direct.SlowEndpoint, 0, len(h.SlowEndpoints))
 	for i := range min(len(h.SlowEndpoints), len(h.SlowPercents)) {
-		list = append(list, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
+		slow = append(slow, direct.SlowEndpoint{Endpoint: direct.EndpointHash(h.SlowEndpoints[i]), Slowdown: float64(h.SlowPercents[i]) / percent})
 	}
-	return list
+	return slow
 }
 
-// Tick implements membership.Delegate.
+// Tick implements membership.Delegate: it updates the number of entries, and this one's rank
+// among them by name, for the retry limits and the division of the engines.
 func (p *peers) Tick(now time.Time, members *membership.View) {
 	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
 	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
-	number := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
-	p.gateway.ledger.SetRank(number, len(alive)+1)
+	rank := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
+	p.gateway.ledger.SetRank(rank, len(alive)+1)
 }
 
-// percent is by how much a pace is multiplied to be told.
+// percent is the factor by which a slowdown is multiplied in heartbeats.
 const percent = 100
 
-// memoryUnit is the number of tokens by which memory is told.
+// memoryUnit is the number of tokens that one unit of memory in heartbeats stands for.
 const memoryUnit = 1000
 
 func milliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -15,21 +15,22 @@
 
 const (
 	// recordTTL is how long the store keeps the record of a request in quarantine: the longest
-	// lease that it gives. Only entries that all start anew need it.
+	// lease that it grants. The record is needed only by entries that start while no other runs.
 	recordTTL = 10 * time.Minute
-	// maxRecordWrites is how often an entry tries to leave one, recordPause the time between.
+	// maxRecordWrites is how often an entry tries to write a record, recordRetryInterval the
+	// time between two tries.
 	maxRecordWrites     = 5
 	recordRetryInterval = 2 * time.Second
-	// maxRecordEndpoints is how many endpoints a record names at most.
+	// maxRecordEndpoints is how many of a record's endpoints are used at most.
 	maxRecordEndpoints = 16
 )
 
-// quarantineRecord is what an entry leaves in the store of a request that crashes endpoints: an
-// entry that starts when no other one lives would send it again.
+// quarantineRecord is the record in the store of a request that crashes endpoints. Without it, an
+// entry that starts while no other runs would send the request again.
 type quarantineRecord struct {
 	Scope uint64 `json:"scope"`
 	Body  uint64 `json:"body"`
-	// Endpoints are the hashes of the lives that crashed.
+	// Endpoints are the hashes of the endpoint incarnations that crashed.
 	Endpoints []uint32 `json:"endpoints"`
 }
 
@@ -37,14 +38,14 @@
 	return attempt.Fingerprint{Scope: r.Scope, Body: r.Body}
 }
 
-// persistQuarantine leaves a record, and gives up after a few tries.
+// persistQuarantine writes a record to the store, and gives up after maxRecordWrites tries.
 func (g *Gateway) persistQuarantine(r quarantineRecord) {
-	for try := 1; ; try++ {
+	for tries := 1; ; tries++ {
 		err := g.writeRecord(r)
 		switch {
 		case err == nil:
 			return
-		case try == maxRecordWrites:
+		case tries == maxRecordWrites:
 			g.log.Warn("quarantine_not_kept", zap.Stringer("fingerprint", r.fingerprint()), eventlog.Error(err))
 			return
 		}
@@ -52,7 +53,7 @@
 	}
 }
 
-// writeRecord tries to leave a record.
+// writeRecord tries once to write a record.
 func (g *Gateway) writeRecord(r quarantineRecord) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -63,24 +64,25 @@
 	return g.registry.CreateRecord(ctx, directory.Record{Name: r.fingerprint().String(), Value: value}, recordTTL)
 }
 
-// applyQuarantineRecord takes a record in. Its crashes count from now on: what was heard of them before is not
-// heard again.
+// applyQuarantineRecord merges a record from the store into the quarantine. Its crashes count from
+// now on, except for those that are already known.
 func (g *Gateway) applyQuarantineRecord(now time.Time, record *directory.Record) {
 	var r quarantineRecord
 	if err := json.Unmarshal(record.Value, &r); err != nil {
 		g.log.Error("quarantine_record_refused", zap.String("name", record.Name), eventlog.Error(err))
 		return
 	}
-	var list []attempt.Finding
+	var findings []attempt.Finding
 	for _, endpoint := range r.Endpoints[:min(len(r.Endpoints), maxRecordEndpoints)] {
 		if endpoint != attempt.Answered {
-			list = append(list, attempt.Finding{Request: r.fingerprint(), Endpoint: endpoint})
+			findings = append(findings, attempt.Finding{Request: r.fingerprint(), Endpoint: endpoint})
 		}
 	}
-	for _, request := range g.quarantine.Merge(now, list) {
+	for _, request := range g.quarantine.Merge(now, findings) {
 		g.reportQuarantined(request, heardFromStore)
 	}
 }
 
-// heardFromStore stands in for an entry's name where a record told of a quarantine.
+// heardFromStore takes the place of the entry's name in the log when a record completed the
+// evidence against a request.
 const heardFromStore = "store"
