--- a/entry/api.go
+++ b/entry/api.go
@@ -106,15 +106,15 @@
 }
 
 // serveCompletion serves both kinds of completion.
-func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request, shape responseFormat, promptOf func(*completionRequest) (string, *result.Error)) {
+func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request, format responseFormat, promptOf func(*completionRequest) (string, *result.Error)) {
 	data, refusal := e.readBody(w, r)
 	var body completionRequest
 	if refusal == nil && json.Unmarshal(data, &body) != nil {
 		refusal = result.Refuse(result.BadBody, 0, "the body is not the JSON of a completion")
 	}
-	c, opened := e.prepareCall(r, body.Model, result.UnknownModel)
-	if opened != nil && (refusal == nil || opened.Code == result.NoKey || opened.Code == result.WrongKey) {
-		refusal = opened
+	c, callRefusal := e.prepareCall(r, body.Model, result.UnknownModel)
+	if callRefusal != nil && (refusal == nil || callRefusal.Code == result.NoKey || callRefusal.Code == result.WrongKey) {
+		refusal = callRefusal
 	}
 	if refusal == nil && c.kind.Work.Model == "" {
 		refusal = result.Refuse(result.UnknownModel, 0, "%q is a plain service's kind of work; use /v1/services/%s", body.Model, body.Model)
@@ -135,7 +135,7 @@
 		return
 	}
 	defer e.limiter.Done(c.account.ID)
-	out := newResponseWriter(w, c, shape, body.Stream)
+	out := newResponseWriter(w, c, format, body.Stream)
 	failure := e.newGeneration(c, prompt, maxTokens, out).run(r.Context())
 	e.finishCall(c, failure)
 	out.finish(failure)
@@ -274,8 +274,8 @@
 		writeError(w, c, refusal)
 		return
 	}
-	o := &nonRepeatableCall{entry: e, call: c, claimKey: attempt.ClaimKey(c.account.ID, c.idempotencyKey)}
-	status, failure := o.status(r.Context())
+	lookup := &nonRepeatableCall{entry: e, call: c, claimKey: attempt.ClaimKey(c.account.ID, c.idempotencyKey)}
+	status, failure := lookup.status(r.Context())
 	if failure != nil {
 		writeError(w, c, failure)
 		return
@@ -285,8 +285,8 @@
 }
 
 // status reads a claim and, where it is open, asks its agent.
-func (o *nonRepeatableCall) status(ctx context.Context) (*requestStatus, *result.Error) {
-	claim, failure := o.readClaim(ctx)
+func (n *nonRepeatableCall) status(ctx context.Context) (*requestStatus, *result.Error) {
+	claim, failure := n.readClaim(ctx)
 	if failure != nil {
 		return nil, failure
 	}
@@ -300,7 +300,7 @@
 	case attempt.ClaimNotRun:
 		status.Ran = result.RanNo
 	case attempt.ClaimClaimed:
-		_, failure, settled := o.resolveClaim(ctx, claim)
+		_, failure, settled := n.resolveClaim(ctx, claim)
 		switch {
 		case settled:
 			status.State, status.Ran = string(attempt.ClaimNotRun), result.RanNo
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -20,9 +20,9 @@
 // reserve asks an endpoint's agent for a place. Its errors all mean that nothing
 // ran: no order was sent.
 func (e *Entry) reserve(ctx context.Context, c *call, endpoint *routing.Endpoint, r *routing.Request) (*wire.Reservation, *result.Error) {
-	limited, cancel := context.WithTimeout(ctx, reserveTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	response, err := e.clients.Agent(endpoint.Addr).Reserve(limited, connect.NewRequest(&wire.ReserveRequest{
+	response, err := e.clients.Agent(endpoint.Addr).Reserve(callCtx, connect.NewRequest(&wire.ReserveRequest{
 		RequestId: c.id, Attempt: c.attempts, Account: c.account.ID, Kind: c.kind.ID, Class: uint32(r.Class),
 		PromptTokens: uint64(r.PromptTokens), OutputTokens: uint64(r.OutputTokens),
 		RemainingMs: c.remaining().Milliseconds(), Repeatable: c.kind.Work.Repeatable, SpanPart: r.SpanPart, Key: r.Key,
@@ -68,12 +68,12 @@
 
 // streamError says that the stream ended without its end marker. Work that was seen
 // to start did run; of other work nobody knows until the agent is asked.
-func (r *runStream) streamError(why error) error {
+func (r *runStream) streamError(cause error) error {
 	ran := result.RanUnknown
 	if r.started {
 		ran = result.RanYes
 	}
-	return result.Fail(result.EndpointFailed, ran, "the stream broke: %v", why)
+	return result.Fail(result.EndpointFailed, ran, "the stream broke: %v", cause)
 }
 
 // receive returns the receive event: a chunk, a held mark or the end. Each is checked
--- a/entry/call.go
+++ b/entry/call.go
@@ -56,7 +56,7 @@
 const maxIdempotencyKeyLength = 256
 
 // prepareCall recognises the caller and the kind of work and fixes the deadline.
-func (e *Entry) prepareCall(r *http.Request, kind string, unknown result.Code) (*call, *result.Error) {
+func (e *Entry) prepareCall(r *http.Request, kind string, unknownKind result.Code) (*call, *result.Error) {
 	c := &call{id: newID(), startedAt: time.Now(), idempotencyKey: r.Header.Get(headerIdempotencyKey), firstAttempt: r.Header.Get(headerFirstAttempt) == "true"}
 	if !e.catalogue.Ready() {
 		return c, result.Refuse(result.NotReady, time.Second, "this entry has no catalogue yet")
@@ -71,18 +71,18 @@
 	}
 	c.kind = view.Get(catalogue.TypeWork, kind)
 	if c.kind == nil {
-		return c, result.Refuse(unknown, 0, "no kind of work %q", kind)
+		return c, result.Refuse(unknownKind, 0, "no kind of work %q", kind)
 	}
 	limit := e.settings.DefaultDeadline.D()
 	if c.kind.Work.Deadline > 0 {
 		limit = c.kind.Work.Deadline.D()
 	}
 	if text := r.Header.Get(headerDeadline); text != "" {
-		asked, err := time.ParseDuration(text)
-		if err != nil || asked <= 0 || asked > e.settings.DeadlineLimit.D() {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 || requested > e.settings.DeadlineLimit.D() {
 			return c, result.Refuse(result.BadDeadline, 0, "%s: %q; allowed: a duration with its unit, up to %s", headerDeadline, text, e.settings.DeadlineLimit.D())
 		}
-		limit = asked
+		limit = requested
 	}
 	c.deadline = c.startedAt.Add(limit)
 	return c, nil
--- a/entry/control.go
+++ b/entry/control.go
@@ -168,13 +168,13 @@
 // to a duty's candidates. When one dies, only its own duties move.
 func rendezvousRank(duty, self string, others []*membership.Member) int {
 	own := rendezvousWeight(duty, self)
-	place := 0
+	rank := 0
 	for _, m := range others {
 		if w := rendezvousWeight(duty, m.Name()); w > own || (w == own && m.Name() < self) {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
 func rendezvousWeight(duty, name string) uint64 {
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -43,9 +43,9 @@
 	bestRefusal     *result.Error // the deferral, or the one with the shortest wait
 }
 
-func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, out tokenWriter) *generation {
+func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, output tokenWriter) *generation {
 	return &generation{
-		entry: e, call: c, prompt: prompt, maxTokens: maxTokens, output: out, ran: result.RanNo,
+		entry: e, call: c, prompt: prompt, maxTokens: maxTokens, output: output, ran: result.RanNo,
 		routing: routing.Request{
 			Model: c.kind.Work.Model, Class: c.class(), PromptTokens: c.promptTokens, OutputTokens: maxTokens,
 			Prefix: routing.PrefixHashes(prompt, admission.BytesPerToken), DataCentre: e.settings.DataCentre, Tried: map[string]bool{},
@@ -80,11 +80,11 @@
 	if endpoint := g.retryState.Pick(time.Now(), g.entry.policy, &g.routing, g.deferralKey, endpoints); endpoint != nil {
 		return g.runOnEndpoint(ctx, endpoint)
 	}
-	members, refusal := planSplit(&g.routing, endpoints)
+	chosen, refusal := planSplit(&g.routing, endpoints)
 	if refusal != nil {
 		return refusal
 	}
-	return g.runSplit(ctx, members)
+	return g.runSplit(ctx, chosen)
 }
 
 // deferralKey is the same for every request of an account for the same work, so that a
--- a/entry/keeper.go
+++ b/entry/keeper.go
@@ -37,12 +37,12 @@
 
 func ledgerKey(site string) string { return "power/" + site }
 
-func (k *powerCoordinator) run(ctx context.Context) {
+func (p *powerCoordinator) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
 		failed := false
-		for _, site := range k.entry.catalogue.View().List(catalogue.TypeSite) {
-			if k.isCoordinator(site) && !k.updateSite(ctx, site) {
+		for _, site := range p.entry.catalogue.View().List(catalogue.TypeSite) {
+			if p.isCoordinator(site) && !p.updateSite(ctx, site) {
 				failed = true
 			}
 		}
@@ -56,54 +56,54 @@
 	}
 }
 
-func (k *powerCoordinator) isCoordinator(site *catalogue.Record) bool {
-	members := k.entry.loop.View()
-	mine := false
-	var others []*membership.Member
+func (p *powerCoordinator) isCoordinator(site *catalogue.Record) bool {
+	members := p.entry.loop.View()
+	inSite := false
+	var candidates []*membership.Member
 	for _, dataCentre := range site.Site.DataCentres {
-		mine = mine || dataCentre == k.entry.settings.DataCentre
-		others = append(others, members.Entries(dataCentre)...)
+		inSite = inSite || dataCentre == p.entry.settings.DataCentre
+		candidates = append(candidates, members.Entries(dataCentre)...)
 	}
-	return mine && !k.entry.draining.Load() && rendezvousRank(ledgerKey(site.ID), k.entry.settings.Name, others) == 0
+	return inSite && !p.entry.draining.Load() && rendezvousRank(ledgerKey(site.ID), p.entry.settings.Name, candidates) == 0
 }
 
 // updateSite does one round for a site; false when the store could not be used, which
 // leaves all grants as they are.
-func (k *powerCoordinator) updateSite(ctx context.Context, site *catalogue.Record) bool {
-	value, err := k.entry.store.Get(ctx, ledgerKey(site.ID))
+func (p *powerCoordinator) updateSite(ctx context.Context, site *catalogue.Record) bool {
+	value, err := p.entry.store.Get(ctx, ledgerKey(site.ID))
 	if err != nil {
 		return false
 	}
 	current, err := power.DecodeLedger(value.Data)
 	if err != nil {
-		k.entry.log.Error("the store holds a power ledger that cannot be read", zap.String("site", site.ID), zap.Error(err))
+		p.entry.log.Error("the store holds a power ledger that cannot be read", zap.String("site", site.ID), zap.Error(err))
 		return false
 	}
-	reports := k.siteReports(site, current)
+	reports := p.siteReports(site, current)
 	if next := power.Plan(current, site.Site.PowerCapWatts, reports); next != nil {
 		data, err := next.Encode()
 		if err != nil {
 			return false
 		}
-		if err := k.entry.store.CompareAndSwap(ctx, ledgerKey(site.ID), data, value.Revision); err != nil {
+		if err := p.entry.store.CompareAndSwap(ctx, ledgerKey(site.ID), data, value.Revision); err != nil {
 			// Also when the write may have happened: the next round reads it back,
 			// and only what was read or is known to be written is ever sent.
 			return false
 		}
 		current = next
 	}
-	k.mu.Lock()
-	k.ledgers[site.ID] = current
-	k.mu.Unlock()
-	k.sendGrants(ctx, current, reports)
+	p.mu.Lock()
+	p.ledgers[site.ID] = current
+	p.mu.Unlock()
+	p.sendGrants(ctx, current, reports)
 	return true
 }
 
 // siteReports gathers what the agents of a site last said, and marks what is silent
 // or gone.
-func (k *powerCoordinator) siteReports(site *catalogue.Record, ledger *power.Ledger) []power.Report {
+func (p *powerCoordinator) siteReports(site *catalogue.Record, ledger *power.Ledger) []power.Report {
 	now := time.Now()
-	members := k.entry.loop.View()
+	members := p.entry.loop.View()
 	inSite := map[string]bool{}
 	for _, dataCentre := range site.Site.DataCentres {
 		inSite[dataCentre] = true
@@ -115,15 +115,15 @@
 			continue
 		}
 		known[name] = true
-		p := m.LastHeartbeat.Power
+		draw := m.LastHeartbeat.Power
 		reports = append(reports, power.Report{
-			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, FloorWatts: p.FloorWatts, MaxWatts: p.MaxWatts, WantWatts: p.WantWatts,
-			LimitWatts: p.LimitWatts, Revision: p.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && k.isGone(now, name, members),
+			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, FloorWatts: draw.FloorWatts, MaxWatts: draw.MaxWatts, WantWatts: draw.WantWatts,
+			LimitWatts: draw.LimitWatts, Revision: draw.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && p.isGone(now, name, members),
 		})
 	}
 	for name := range ledger.Grants {
 		if !known[name] {
-			reports = append(reports, power.Report{Endpoint: name, Silent: true, Gone: k.isGone(now, name, members)})
+			reports = append(reports, power.Report{Endpoint: name, Silent: true, Gone: p.isGone(now, name, members)})
 		}
 	}
 	return reports
@@ -132,47 +132,47 @@
 // isGone tells whether a VM has been off the platform's list, as read by this
 // entry, for longer than the list's lag. Before that, a silent endpoint may
 // still draw its watts.
-func (k *powerCoordinator) isGone(now time.Time, name string, members *membership.View) bool {
+func (p *powerCoordinator) isGone(now time.Time, name string, members *membership.View) bool {
 	m := members.Members[name]
 	if members.ListReadAt.IsZero() || (m != nil && m.Listed) {
-		delete(k.unlistedSince, name)
+		delete(p.unlistedSince, name)
 		return false
 	}
-	since, found := k.unlistedSince[name]
+	since, found := p.unlistedSince[name]
 	if !found {
-		k.unlistedSince[name] = members.ListReadAt
+		p.unlistedSince[name] = members.ListReadAt
 		return false
 	}
-	return members.ListReadAt.Sub(since) > k.entry.settings.ListLag.D()
+	return members.ListReadAt.Sub(since) > p.entry.settings.ListLag.D()
 }
 
 // sendGrants tells the agents of grants that they do not have yet.
-func (k *powerCoordinator) sendGrants(ctx context.Context, ledger *power.Ledger, reports []power.Report) {
-	members := k.entry.loop.View()
-	var sending sync.WaitGroup
+func (p *powerCoordinator) sendGrants(ctx context.Context, ledger *power.Ledger, reports []power.Report) {
+	members := p.entry.loop.View()
+	var calls sync.WaitGroup
 	for _, report := range reports {
 		grant := ledger.Grants[report.Endpoint]
 		m := members.Members[report.Endpoint]
 		if grant == nil || m == nil || report.Silent || grant.Incarnation != report.Incarnation || report.Revision >= grant.Revision {
 			continue
 		}
-		sending.Go(func() { k.sendGrant(ctx, m.Addr(), report.Endpoint, grant) })
+		calls.Go(func() { p.sendGrant(ctx, m.Addr(), report.Endpoint, grant) })
 	}
-	sending.Wait()
+	calls.Wait()
 }
 
-func (k *powerCoordinator) sendGrant(ctx context.Context, addr, endpoint string, grant *power.Grant) {
+func (p *powerCoordinator) sendGrant(ctx context.Context, addr, endpoint string, grant *power.Grant) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	request := &wire.GrantRequest{Endpoint: endpoint, Incarnation: grant.Incarnation, Revision: grant.Revision, Watts: grant.Watts}
-	if _, err := k.entry.clients.Agent(addr).Grant(ctx, connect.NewRequest(request)); err != nil {
-		k.entry.log.Debug("grant not delivered", zap.String("endpoint", endpoint), zap.Error(err))
+	if _, err := p.entry.clients.Agent(addr).Grant(ctx, connect.NewRequest(request)); err != nil {
+		p.entry.log.Debug("grant not delivered", zap.String("endpoint", endpoint), zap.Error(err))
 	}
 }
 
 // ledger gives a site's ledger as this entry last had it, or nil.
-func (k *powerCoordinator) ledger(site string) *power.Ledger {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ledgers[site]
+func (p *powerCoordinator) ledger(site string) *power.Ledger {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.ledgers[site]
 }
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -50,9 +50,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	response := &wire.BorrowResponse{}
-	for _, asked := range request.Accounts {
-		share := l.lender.Lend(now, asked.Account, request.Entry, float64(asked.Demand)/permille)
-		response.Accounts = append(response.Accounts, &wire.AccountShare{Account: asked.Account, Permille: uint32(share * permille)})
+	for _, requested := range request.Accounts {
+		share := l.lender.Lend(now, requested.Account, request.Entry, float64(requested.Demand)/permille)
+		response.Accounts = append(response.Accounts, &wire.AccountShare{Account: requested.Account, Permille: uint32(share * permille)})
 	}
 	return response
 }
@@ -114,7 +114,7 @@
 
 // borrowFrom borrows from one home. Without an answer the shares lent before run out, and
 // the entry is left with its own part.
-func (l *limitLending) borrowFrom(ctx context.Context, asked time.Time, addr string, request *wire.BorrowRequest) {
+func (l *limitLending) borrowFrom(ctx context.Context, askedAt time.Time, addr string, request *wire.BorrowRequest) {
 	var response *wire.BorrowResponse
 	if addr == "" {
 		response = l.lend(request)
@@ -130,7 +130,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, lent := range response.Accounts {
-		l.borrower.SetLoan(asked, lent.Account, float64(lent.Permille)/permille)
+	for _, loan := range response.Accounts {
+		l.borrower.SetLoan(askedAt, loan.Account, float64(loan.Permille)/permille)
 	}
 }
--- a/entry/once.go
+++ b/entry/once.go
@@ -65,16 +65,16 @@
 // run carries the request out, or gives the outcome that its key already has. It
 // goes on when the caller hangs up: the call may have been sent, and its outcome
 // must be on record for the caller who asks again.
-func (o *nonRepeatableCall) run(ctx context.Context) (serviceResponse, *result.Error) {
-	ctx, cancel := o.call.withDeadline(context.WithoutCancel(ctx))
+func (n *nonRepeatableCall) run(ctx context.Context) (serviceResponse, *result.Error) {
+	ctx, cancel := n.call.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
 	var last *result.Error
 	for tries := 0; tries < routing.MaxAttempts; tries++ {
-		claim, failure := o.readClaim(ctx)
+		claim, failure := n.readClaim(ctx)
 		if failure != nil {
 			return serviceResponse{}, failure
 		}
-		switch attempt.ActionFor(claim, o.digest) {
+		switch attempt.ActionFor(claim, n.digest) {
 		case attempt.Mismatch:
 			return serviceResponse{}, result.Refuse(result.KeyReused, 0, "the key was used for another request")
 		case attempt.Replay:
@@ -82,13 +82,13 @@
 		case attempt.ReportUnknown:
 			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "nobody can tell whether an earlier request with this key ran")
 		case attempt.AskAgent:
-			answer, failure, settled := o.resolveClaim(ctx, claim)
+			answer, failure, settled := n.resolveClaim(ctx, claim)
 			if !settled {
 				return answer, failure
 			}
 		}
-		answer, failure := o.attempt(ctx, claim)
-		if failure == nil || failure.Ran != result.RanNo || !o.mayRetry(failure) {
+		answer, failure := n.attempt(ctx, claim)
+		if failure == nil || failure.Ran != result.RanNo || !n.mayRetry(failure) {
 			return answer, failure
 		}
 		last = failure
@@ -96,10 +96,10 @@
 	return serviceResponse{}, last
 }
 
-func (o *nonRepeatableCall) mayRetry(failure *result.Error) bool {
+func (n *nonRepeatableCall) mayRetry(failure *result.Error) bool {
 	switch failure.Code {
 	case result.Leaving, result.NoEndpoint, result.NoReservation, result.Withdrawn, result.Overloaded:
-		return o.call.remaining() > 0
+		return n.call.remaining() > 0
 	}
 	return false
 }
@@ -107,22 +107,22 @@
 // readClaim finds the key's claim. While the store is down, nobody can tell whether
 // an earlier request with this key ran, so "no" may be said only if the caller
 // vouches that there was none.
-func (o *nonRepeatableCall) readClaim(ctx context.Context) (*attempt.Claim, *result.Error) {
-	value, err := o.entry.store.Get(ctx, o.claimKey)
+func (n *nonRepeatableCall) readClaim(ctx context.Context) (*attempt.Claim, *result.Error) {
+	value, err := n.entry.store.Get(ctx, n.claimKey)
 	if err != nil {
-		return nil, o.storeUnavailable("the store cannot be read; this request was not sent to any endpoint")
+		return nil, n.storeUnavailable("the store cannot be read; this request was not sent to any endpoint")
 	}
 	claim, err := attempt.DecodeClaim(value.Data)
 	if err != nil {
 		return nil, result.Fail(result.Internal, result.RanUnknown, "the claim cannot be read")
 	}
-	o.storedValue = value
+	n.storedValue = value
 	return claim, nil
 }
 
-func (o *nonRepeatableCall) storeUnavailable(detail string) *result.Error {
+func (n *nonRepeatableCall) storeUnavailable(detail string) *result.Error {
 	failure := result.Refuse(result.StoreUnavailable, storeRetryAfter, "%s", detail)
-	if !o.call.firstAttempt {
+	if !n.call.firstAttempt {
 		failure.Ran = result.RanUnknown
 	}
 	return failure
@@ -139,9 +139,9 @@
 
 // resolveClaim asks the agent that a claim names. settled is true when the claimed
 // order did not and will not run, so that the key may be claimed again.
-func (o *nonRepeatableCall) resolveClaim(ctx context.Context, claim *attempt.Claim) (answer serviceResponse, failure *result.Error, settled bool) {
+func (n *nonRepeatableCall) resolveClaim(ctx context.Context, claim *attempt.Claim) (answer serviceResponse, failure *result.Error, settled bool) {
 	reservation := &wire.Reservation{Incarnation: claim.Reservation.Incarnation, Number: claim.Reservation.Number}
-	response, err := o.entry.withdraw(ctx, claim.Addr, reservation, true)
+	response, err := n.entry.withdraw(ctx, claim.Addr, reservation, true)
 	if err != nil {
 		return serviceResponse{}, &result.Error{
 			Code: result.OutcomeUnknown, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
@@ -152,12 +152,12 @@
 	case wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN:
 		return serviceResponse{}, nil, true
 	case wire.AttemptState_ATTEMPT_STATE_FINISHED:
-		answer, failure = o.handleEnd(ctx, claim, response.End)
+		answer, failure = n.handleEnd(ctx, claim, response.End)
 		return answer, failure, false
 	case wire.AttemptState_ATTEMPT_STATE_FORGOTTEN:
 		unknown := *claim
 		unknown.State = attempt.ClaimUnknown
-		_ = o.replaceClaim(ctx, claim, &unknown, false)
+		_ = n.replaceClaim(ctx, claim, &unknown, false)
 		return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent that had the order is gone"), false
 	}
 	return serviceResponse{}, &result.Error{
@@ -167,41 +167,41 @@
 }
 
 // attempt reserves, claims and orders, in that order. old is the claim to replace.
-func (o *nonRepeatableCall) attempt(ctx context.Context, old *attempt.Claim) (serviceResponse, *result.Error) {
-	o.call.attempts++
-	endpoint := o.entry.policy.Route(time.Now(), &o.routing, *o.entry.control.endpoints.Load())
+func (n *nonRepeatableCall) attempt(ctx context.Context, old *attempt.Claim) (serviceResponse, *result.Error) {
+	n.call.attempts++
+	endpoint := n.entry.policy.Route(time.Now(), &n.routing, *n.entry.control.endpoints.Load())
 	if endpoint == nil {
-		return serviceResponse{}, o.markNotRun(ctx, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves %q", o.routing.Service))
+		return serviceResponse{}, n.markNotRun(ctx, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves %q", n.routing.Service))
 	}
-	reservation, refusal := o.entry.reserve(ctx, o.call, endpoint, &o.routing)
+	reservation, refusal := n.entry.reserve(ctx, n.call, endpoint, &n.routing)
 	if refusal != nil {
-		o.routing.Tried[endpoint.Name] = true
+		n.routing.Tried[endpoint.Name] = true
 		return serviceResponse{}, refusal
 	}
 	claim := &attempt.Claim{
-		Digest: o.digest, Attempt: newID(), RequestID: o.call.id, State: attempt.ClaimClaimed, Endpoint: endpoint.Name, Addr: endpoint.Addr,
+		Digest: n.digest, Attempt: newID(), RequestID: n.call.id, State: attempt.ClaimClaimed, Endpoint: endpoint.Name, Addr: endpoint.Addr,
 		Reservation: attempt.Reservation{Incarnation: reservation.Incarnation, Number: reservation.Number},
 	}
 	if ctx.Err() != nil {
 		return serviceResponse{}, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed before the order was sent")
 	}
-	if failure := o.writeClaim(ctx, old, claim); failure != nil {
+	if failure := n.writeClaim(ctx, old, claim); failure != nil {
 		// The reservation is not needed; left alone, it would lapse by itself.
-		_, _ = o.entry.withdraw(context.WithoutCancel(ctx), endpoint.Addr, reservation, false)
+		_, _ = n.entry.withdraw(context.WithoutCancel(ctx), endpoint.Addr, reservation, false)
 		return serviceResponse{}, failure
 	}
-	o.ownClaim = claim
-	answer, failure := o.sendRun(ctx, claim, reservation)
+	n.ownClaim = claim
+	answer, failure := n.sendRun(ctx, claim, reservation)
 	if failure != nil && failure.Ran == result.RanNo {
-		o.routing.Tried[endpoint.Name] = true
-		return serviceResponse{}, o.markNotRun(ctx, failure)
+		n.routing.Tried[endpoint.Name] = true
+		return serviceResponse{}, n.markNotRun(ctx, failure)
 	}
 	return answer, failure
 }
 
 // writeClaim writes this entry's writeClaim. Only nil allows the order to be sent.
-func (o *nonRepeatableCall) writeClaim(ctx context.Context, old, claim *attempt.Claim) *result.Error {
-	err := o.replaceClaimFrom(ctx, &o.storedValue, old, claim, true)
+func (n *nonRepeatableCall) writeClaim(ctx context.Context, old, claim *attempt.Claim) *result.Error {
+	err := n.replaceClaimFrom(ctx, &n.storedValue, old, claim, true)
 	switch {
 	case err == nil:
 		return nil
@@ -211,18 +211,18 @@
 			Detail: "another request with this key has just been taken",
 		}
 	}
-	return o.storeUnavailable("the claim could not be written; this request was not sent to any endpoint")
+	return n.storeUnavailable("the claim could not be written; this request was not sent to any endpoint")
 }
 
 // replaceClaim replaces a claim by compare-and-swap; an unclear answer is settled by
 // reading back. Errors: infra.ErrConflict when another claim stands there,
 // infra.ErrUnavailable when the store cannot tell.
-func (o *nonRepeatableCall) replaceClaim(ctx context.Context, old, next *attempt.Claim, confirmed bool) error {
-	return o.replaceClaimFrom(ctx, nil, old, next, confirmed)
+func (n *nonRepeatableCall) replaceClaim(ctx context.Context, old, next *attempt.Claim, confirmed bool) error {
+	return n.replaceClaimFrom(ctx, nil, old, next, confirmed)
 }
 
 // replaceClaimFrom is write for a value that has just been read.
-func (o *nonRepeatableCall) replaceClaimFrom(ctx context.Context, known *infra.Value, old, next *attempt.Claim, confirmed bool) error {
+func (n *nonRepeatableCall) replaceClaimFrom(ctx context.Context, known *infra.Value, old, next *attempt.Claim, confirmed bool) error {
 	change := func(data []byte) ([]byte, bool, error) {
 		current, err := attempt.DecodeClaim(data)
 		if err != nil {
@@ -234,11 +234,11 @@
 		encoded, err := next.Encode()
 		return encoded, false, err
 	}
-	mine := func(data []byte) bool {
+	isOwn := func(data []byte) bool {
 		current, err := attempt.DecodeClaim(data)
 		return err == nil && current != nil && current.Attempt == next.Attempt && current.State == next.State
 	}
-	return infra.Update(ctx, o.entry.store, o.claimKey, known, change, mine)
+	return infra.Update(ctx, n.entry.store, n.claimKey, known, change, isOwn)
 }
 
 func sameClaim(a, b *attempt.Claim) bool {
@@ -249,29 +249,29 @@
 }
 
 // sendRun sends the sendRun and waits for its outcome.
-func (o *nonRepeatableCall) sendRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
-	run, err := o.entry.startRun(ctx, claim.Addr, &wire.RunRequest{
-		Reservation: reservation, RequestId: o.call.account.ID + "/" + o.call.idempotencyKey, Attempt: o.call.attempts,
-		RemainingMs: o.call.remaining().Milliseconds(), ServiceKind: o.call.kind.ID, ServiceBody: o.body,
+func (n *nonRepeatableCall) sendRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
+	run, err := n.entry.startRun(ctx, claim.Addr, &wire.RunRequest{
+		Reservation: reservation, RequestId: n.call.account.ID + "/" + n.call.idempotencyKey, Attempt: n.call.attempts,
+		RemainingMs: n.call.remaining().Milliseconds(), ServiceKind: n.call.kind.ID, ServiceBody: n.body,
 	})
 	if err == nil {
 		defer run.close()
 		var event *wire.RunEvent
 		event, err = run.receive()
 		if err == nil && event.GetEnd() != nil {
-			return o.handleEnd(ctx, claim, event.GetEnd())
+			return n.handleEnd(ctx, claim, event.GetEnd())
 		}
 	}
-	return o.resolveLostRun(ctx, claim, reservation)
+	return n.resolveLostRun(ctx, claim, reservation)
 }
 
 // resolveLostRun finds out what became of an order whose stream broke. It ends with the
 // deadline at the latest; a silent agent leaves it unknown.
-func (o *nonRepeatableCall) resolveLostRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
+func (n *nonRepeatableCall) resolveLostRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
 	for ctx.Err() == nil {
-		response, err := o.entry.withdraw(ctx, claim.Addr, reservation, false)
+		response, err := n.entry.withdraw(ctx, claim.Addr, reservation, false)
 		if err != nil {
-			if o.agentIsSuspect(claim) {
+			if n.agentIsSuspect(claim) {
 				break
 			}
 			membership.Sleep(ctx, resolveInterval)
@@ -281,16 +281,16 @@
 		case wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN:
 			return serviceResponse{}, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the order before it started", claim.Endpoint)
 		case wire.AttemptState_ATTEMPT_STATE_FINISHED:
-			return o.handleEnd(ctx, claim, response.End)
+			return n.handleEnd(ctx, claim, response.End)
 		case wire.AttemptState_ATTEMPT_STATE_FORGOTTEN:
 			unknown := *claim
 			unknown.State = attempt.ClaimUnknown
-			_ = o.replaceClaim(ctx, claim, &unknown, false)
+			_ = n.replaceClaim(ctx, claim, &unknown, false)
 			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent that had the order was replaced")
 		}
 		membership.Sleep(ctx, resolveInterval)
 	}
-	go o.resolveInBackground(claim)
+	go n.resolveInBackground(claim)
 	return serviceResponse{}, &result.Error{
 		Code: result.OutcomeUnknown, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
 		Detail: "the order was sent and its outcome did not come in time; ask again with the same key",
@@ -299,12 +299,12 @@
 
 // resolveInBackground goes on asking after the caller was answered, so that an outcome that
 // the agent alone knows is on record before the agent is replaced.
-func (o *nonRepeatableCall) resolveInBackground(claim *attempt.Claim) {
+func (n *nonRepeatableCall) resolveInBackground(claim *attempt.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), backgroundRecordTime)
 	defer cancel()
 	for ctx.Err() == nil {
 		membership.Sleep(ctx, inProgressRetryAfter)
-		if _, failure, _ := o.resolveClaim(ctx, claim); failure == nil || failure.Code != result.InProgress && failure.RetryAfter == 0 {
+		if _, failure, _ := n.resolveClaim(ctx, claim); failure == nil || failure.Code != result.InProgress && failure.RetryAfter == 0 {
 			return
 		}
 	}
@@ -312,58 +312,58 @@
 
 // agentIsSuspect tells whether the claim's agent is suspect: then waiting until the
 // deadline would only hold the answer back.
-func (o *nonRepeatableCall) agentIsSuspect(claim *attempt.Claim) bool {
-	m := o.entry.loop.View().Members[claim.Endpoint]
+func (n *nonRepeatableCall) agentIsSuspect(claim *attempt.Claim) bool {
+	m := n.entry.loop.View().Members[claim.Endpoint]
 	return m == nil || m.Suspect
 }
 
 // handleEnd turns an agent's end into the answer and records it.
-func (o *nonRepeatableCall) handleEnd(ctx context.Context, claim *attempt.Claim, end *wire.End) (serviceResponse, *result.Error) {
+func (n *nonRepeatableCall) handleEnd(ctx context.Context, claim *attempt.Claim, end *wire.End) (serviceResponse, *result.Error) {
 	failure := endError(end)
 	if failure != nil && failure.Ran == result.RanNo {
-		return serviceResponse{}, o.markNotRun(ctx, failure)
+		return serviceResponse{}, n.markNotRun(ctx, failure)
 	}
 	if failure != nil && failure.Ran == result.RanUnknown {
 		unknown := *claim
 		unknown.State = attempt.ClaimUnknown
-		_ = o.replaceClaim(context.WithoutCancel(ctx), claim, &unknown, false)
+		_ = n.replaceClaim(context.WithoutCancel(ctx), claim, &unknown, false)
 		return serviceResponse{}, failure
 	}
 	done := *claim
 	done.State = attempt.ClaimDone
 	done.Outcome = &attempt.ClaimOutcome{Code: int(end.Code), ServiceStatus: int(end.ServiceStatus), Body: end.ServiceBody}
-	o.recordOutcome(ctx, claim, &done)
+	n.recordOutcome(ctx, claim, &done)
 	return serviceResponse{status: int(end.ServiceStatus), body: end.ServiceBody}, failure
 }
 
 // recordOutcome writes an outcome. The caller's answer does not depend on it: while the
 // store is down, the agent remembers the outcome, and the entry goes on trying.
-func (o *nonRepeatableCall) recordOutcome(ctx context.Context, claim, done *attempt.Claim) {
+func (n *nonRepeatableCall) recordOutcome(ctx context.Context, claim, done *attempt.Claim) {
 	ctx = context.WithoutCancel(ctx)
-	err := o.replaceClaim(ctx, claim, done, false)
+	err := n.replaceClaim(ctx, claim, done, false)
 	if err == nil || errors.Is(err, infra.ErrConflict) {
 		return
 	}
-	o.entry.log.Warn("outcome not recorded yet", zap.String("request", o.call.id), zap.Error(err))
+	n.entry.log.Warn("outcome not recorded yet", zap.String("request", n.call.id), zap.Error(err))
 	go func() {
 		for until := time.Now().Add(backgroundRecordTime); time.Now().Before(until); time.Sleep(storeRetryAfter) {
-			if err := o.replaceClaim(ctx, claim, done, false); err == nil || errors.Is(err, infra.ErrConflict) {
+			if err := n.replaceClaim(ctx, claim, done, false); err == nil || errors.Is(err, infra.ErrConflict) {
 				return
 			}
 		}
-		o.entry.log.Error("outcome never recorded", zap.String("request", o.call.id))
+		n.entry.log.Error("outcome never recorded", zap.String("request", n.call.id))
 	}()
 }
 
 // markNotRun marks this entry's claim as not run, so that the key stays usable
 // after the agent that confirmed it is gone. Failing to do so is safe: the agent
 // is asked again.
-func (o *nonRepeatableCall) markNotRun(ctx context.Context, failure *result.Error) *result.Error {
-	if o.ownClaim != nil && o.ownClaim.State == attempt.ClaimClaimed {
-		notRun := *o.ownClaim
+func (n *nonRepeatableCall) markNotRun(ctx context.Context, failure *result.Error) *result.Error {
+	if n.ownClaim != nil && n.ownClaim.State == attempt.ClaimClaimed {
+		notRun := *n.ownClaim
 		notRun.State = attempt.ClaimNotRun
-		if o.replaceClaim(context.WithoutCancel(ctx), o.ownClaim, &notRun, true) == nil {
-			o.ownClaim = &notRun
+		if n.replaceClaim(context.WithoutCancel(ctx), n.ownClaim, &notRun, true) == nil {
+			n.ownClaim = &notRun
 		}
 	}
 	return failure
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -179,10 +179,10 @@
 	own := e.catalogue.View().Revisions()[page]
 	spread := []nodeRevision{{Node: e.settings.Name, Revision: own, InForce: own >= revision}}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	slots := make(chan struct{}, maxSpreadQueries)
 	for name, m := range e.loop.View().Members {
-		asking.Go(func() {
+		queries.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			n := e.queryRevision(r.Context(), name, m, page, revision)
@@ -191,7 +191,7 @@
 			spread = append(spread, n)
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	sort.Slice(spread, func(i, j int) bool { return spread[i].Node < spread[j].Node })
 	writeJSON(w, http.StatusOK, map[string]any{"nodes": spread})
 }
--- a/entry/response.go
+++ b/entry/response.go
@@ -148,8 +148,8 @@
 	tokens     int
 }
 
-func newResponseWriter(w http.ResponseWriter, c *call, s responseFormat, stream bool) *responseWriter {
-	return &responseWriter{w: w, controller: http.NewResponseController(w), call: c, format: s, stream: stream}
+func newResponseWriter(w http.ResponseWriter, c *call, format responseFormat, stream bool) *responseWriter {
+	return &responseWriter{w: w, controller: http.NewResponseController(w), call: c, format: format, stream: stream}
 }
 
 // writeTokens implements sink.
--- a/entry/span.go
+++ b/entry/span.go
@@ -37,8 +37,8 @@
 		return nil, result.Refuse(result.PromptTooLong, 0, "%d tokens of memory are needed, all endpoints together offer %d", need, total)
 	}
 	if !fitsSingleEndpoint(r, endpoints) {
-		if members := leastBusy(r, usable, need); members != nil {
-			return members, nil
+		if chosen := leastBusy(r, usable, need); chosen != nil {
+			return chosen, nil
 		}
 	}
 	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoints serve %d tokens of %q", need, r.Model)
@@ -72,9 +72,9 @@
 	for n, e := range usable {
 		held += routing.MaxPromptTokens(e)
 		if held >= need {
-			members := append([]*routing.Endpoint(nil), usable[:n+1]...)
-			sort.Slice(members, func(i, j int) bool { return members[i].Name < members[j].Name })
-			return members
+			chosen := append([]*routing.Endpoint(nil), usable[:n+1]...)
+			sort.Slice(chosen, func(i, j int) bool { return chosen[i].Name < chosen[j].Name })
+			return chosen
 		}
 	}
 	return nil
@@ -83,24 +83,24 @@
 // runSplit runs the request over several endpoints: each but the last prefills and
 // holds its part of the prompt, the last imports their KV cache and generates.
 // Whatever ends the attempt ends its context, and with it every part's hold.
-func (g *generation) runSplit(ctx context.Context, members []*routing.Endpoint) *result.Error {
+func (g *generation) runSplit(ctx context.Context, endpoints []*routing.Endpoint) *result.Error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var imports []*wire.Import
 	rest := g.prompt
-	for i, member := range members[:len(members)-1] {
-		after := len(members) - 1 - i
-		size := min(routing.MaxPromptTokens(member), admission.EstimateTokens(rest)-after)
+	for i, helper := range endpoints[:len(endpoints)-1] {
+		after := len(endpoints) - 1 - i
+		size := min(routing.MaxPromptTokens(helper), admission.EstimateTokens(rest)-after)
 		var part string
 		part, rest = splitText(rest, size*admission.BytesPerToken)
-		held, failure := g.prefillPart(ctx, cancel, member, part, imports)
+		held, failure := g.prefillPart(ctx, cancel, helper, part, imports)
 		if failure != nil {
-			g.routing.Tried[member.Name] = true
+			g.routing.Tried[helper.Name] = true
 			return markRanAfterParts(failure, len(imports))
 		}
 		imports = append(imports, held)
 	}
-	return markRanAfterParts(g.generateOnLast(ctx, members[len(members)-1], imports, admission.EstimateTokens(rest)), len(imports))
+	return markRanAfterParts(g.generateOnLast(ctx, endpoints[len(endpoints)-1], imports, admission.EstimateTokens(rest)), len(imports))
 }
 
 // markRanAfterParts says of a failed span whose first parts were prefilled that it ran: a
@@ -126,24 +126,24 @@
 }
 
 // prefillPart prefills one part and returns where its KV cache is held until ctx ends.
-func (g *generation) prefillPart(ctx context.Context, cancel context.CancelFunc, member *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
+func (g *generation) prefillPart(ctx context.Context, cancel context.CancelFunc, helper *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
 	r := g.routing
 	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.EstimateTokens(part), 0, true
-	reservation, refusal := g.entry.reserve(ctx, g.call, member, &r)
+	reservation, refusal := g.entry.reserve(ctx, g.call, helper, &r)
 	if refusal != nil {
 		return nil, refusal
 	}
-	run, err := g.entry.startRun(ctx, member.Addr, &wire.RunRequest{
+	run, err := g.entry.startRun(ctx, helper.Addr, &wire.RunRequest{
 		Reservation: reservation, RequestId: g.call.id, Attempt: g.call.attempts, Model: g.routing.Model,
 		RemainingMs: g.call.remaining().Milliseconds(), Prompt: part, Hold: true, Imports: imports,
 	})
 	if err != nil {
-		return nil, g.resolveBrokenStream(member, reservation, err)
+		return nil, g.resolveBrokenStream(helper, reservation, err)
 	}
 	event, err := run.receive()
 	if err != nil {
 		run.close()
-		return nil, g.resolveBrokenStream(member, reservation, err)
+		return nil, g.resolveBrokenStream(helper, reservation, err)
 	}
 	if held := event.GetHeld(); held != nil {
 		go watchHeldPart(run, cancel)
@@ -153,7 +153,7 @@
 	if failure := endError(event.GetEnd()); failure != nil {
 		return nil, failure
 	}
-	return nil, result.Fail(result.EndpointFailed, result.RanYes, "%s did not hold its part", member.Name)
+	return nil, result.Fail(result.EndpointFailed, result.RanYes, "%s did not hold its part", helper.Name)
 }
 
 // watchHeldPart follows a held part. Its KV cache stays as long as the stream, which
@@ -171,20 +171,20 @@
 }
 
 // generateOnLast generates the answer on the last member, which prefills the last tokens.
-func (g *generation) generateOnLast(ctx context.Context, member *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
+func (g *generation) generateOnLast(ctx context.Context, endpoint *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
 	r := g.routing
 	r.PromptTokens, r.SpanPart = tokens, true
-	reservation, refusal := g.entry.reserve(ctx, g.call, member, &r)
+	reservation, refusal := g.entry.reserve(ctx, g.call, endpoint, &r)
 	if refusal != nil {
-		g.routing.Tried[member.Name] = true
+		g.routing.Tried[endpoint.Name] = true
 		return refusal
 	}
 	request := g.runRequest(reservation)
 	request.Imports = imports
 	request.RemainingMs = time.Until(g.call.deadline).Milliseconds()
-	failure := g.relayRun(ctx, member, request)
+	failure := g.relayRun(ctx, endpoint, request)
 	if failure != nil {
-		g.routing.Tried[member.Name] = true
+		g.routing.Tried[endpoint.Name] = true
 	}
 	return failure
 }
--- a/entry/store.go
+++ b/entry/store.go
@@ -29,14 +29,14 @@
 // watchStore watches the catalogue's pages while this entry has the reader's
 // duty. An entry that holds it wrongly costs the store a few watches.
 func (e *Entry) watchStore(ctx context.Context) {
-	var missing atomic.Int64
-	missing.Store(catalogue.PageCount)
+	var unread atomic.Int64
+	unread.Store(catalogue.PageCount)
 	for page := range catalogue.PageCount {
-		go e.watchPage(ctx, page, &missing)
+		go e.watchPage(ctx, page, &unread)
 	}
 }
 
-func (e *Entry) watchPage(ctx context.Context, page int, missing *atomic.Int64) {
+func (e *Entry) watchPage(ctx context.Context, page int, unread *atomic.Int64) {
 	revision, read := uint64(0), false
 	backoff := minStoreBackoff
 	for ctx.Err() == nil {
@@ -54,7 +54,7 @@
 		revision = next
 		if !read {
 			read = true
-			if missing.Add(-1) == 0 {
+			if unread.Add(-1) == 0 {
 				e.catalogue.SetReady()
 			}
 		}
