--- a/entry/call.go
+++ b/entry/call.go
@@ -15,7 +15,7 @@
 	"aspenyard.example/result"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' API.
 const (
 	headerDeadline       = "X-Request-Deadline"
 	headerRequestID      = "X-Request-Id"
@@ -25,18 +25,20 @@
 	headerFirstAttempt   = "X-First-Attempt"
 )
 
-// call is one caller's request on its way through the entry.
+// call is one caller's request while the entry handles it.
 type call struct {
 	id      string
 	account *catalogue.Record
 	kind    *catalogue.Record
-	// idempotencyKey is the caller's idempotency idempotencyKey, "" for none.
+	// idempotencyKey is the caller's Idempotency-Key header, "" for none.
 	idempotencyKey string
-	// firstAttempt is set when the caller vouches that the key was never used before.
+	// firstAttempt is set when the caller states that it has not sent a request with
+	// this idempotency key before.
 	firstAttempt bool
 	deadline     time.Time
 	startedAt    time.Time
-	// firstTokenAt is when the first output token was passed on; zero: never.
+	// firstTokenAt is when the first output token was sent to the caller; zero if none
+	// was.
 	firstTokenAt time.Time
 	promptTokens int
 	outputTokens int
@@ -53,13 +55,16 @@
 	return hex.EncodeToString(id[:])
 }
 
+// maxIdempotencyKeyLength is the longest idempotency key accepted, in bytes.
 const maxIdempotencyKeyLength = 256
 
-// prepareCall recognises the caller and the kind of work and fixes the deadline.
+// prepareCall makes the call of an HTTP request: it authenticates the client account,
+// looks up the kind of work and sets the deadline. unknownKind is the code with which
+// an unknown kind is refused. The call is never nil, so that a refusal can be written.
 func (e *Entry) prepareCall(r *http.Request, kind string, unknownKind result.Code) (*call, *result.Error) {
 	c := &call{id: newID(), startedAt: time.Now(), idempotencyKey: r.Header.Get(headerIdempotencyKey), firstAttempt: r.Header.Get(headerFirstAttempt) == "true"}
 	if !e.catalogue.Ready() {
-		return c, result.Refuse(result.NotReady, time.Second, "this entry has no catalogue yet")
+		return c, result.Refuse(result.NotReady, time.Second, "this entry has not loaded the catalogue yet")
 	}
 	view := e.catalogue.View()
 	var refusal *result.Error
@@ -67,11 +72,11 @@
 		return c, refusal
 	}
 	if len(c.idempotencyKey) > maxIdempotencyKeyLength {
-		return c, result.Refuse(result.BadField, 0, "%s: over %d characters", headerIdempotencyKey, maxIdempotencyKeyLength)
+		return c, result.Refuse(result.BadField, 0, "%s is longer than %d bytes", headerIdempotencyKey, maxIdempotencyKeyLength)
 	}
 	c.kind = view.Get(catalogue.TypeWork, kind)
 	if c.kind == nil {
-		return c, result.Refuse(unknownKind, 0, "no kind of work %q", kind)
+		return c, result.Refuse(unknownKind, 0, "the catalogue has no kind of work %q", kind)
 	}
 	limit := e.settings.DefaultDeadline.D()
 	if c.kind.Work.Deadline > 0 {
@@ -80,7 +85,7 @@
 	if text := r.Header.Get(headerDeadline); text != "" {
 		requested, err := time.ParseDuration(text)
 		if err != nil || requested <= 0 || requested > e.settings.DeadlineLimit.D() {
-			return c, result.Refuse(result.BadDeadline, 0, "%s: %q; allowed: a duration with its unit, up to %s", headerDeadline, text, e.settings.DeadlineLimit.D())
+			return c, result.Refuse(result.BadDeadline, 0, "%s is %q; it must be a positive duration with a unit, such as 30s, of at most %s", headerDeadline, text, e.settings.DeadlineLimit.D())
 		}
 		limit = requested
 	}
@@ -88,10 +93,11 @@
 	return c, nil
 }
 
+// authenticate returns the client account whose API key the request carries.
 func authenticate(r *http.Request, view *catalogue.View) (*catalogue.Record, *result.Error) {
 	key := bearerKey(r)
 	if key == "" {
-		return nil, result.Refuse(result.NoKey, 0, "no Authorization header with a bearer key")
+		return nil, result.Refuse(result.NoKey, 0, "the request has no Authorization header with a bearer key")
 	}
 	account := view.AccountByKey(key)
 	if account == nil {
@@ -100,6 +106,7 @@
 	return account, nil
 }
 
+// bearerKey returns the bearer key of the Authorization header, "" for none.
 func bearerKey(r *http.Request) string {
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
@@ -108,8 +115,8 @@
 	return strings.TrimSpace(key)
 }
 
-// admit counts the call against its account's limits. After success the caller
-// ends it with limiter.Done.
+// admit checks the call against its client account's limits and counts it. After
+// success, limiter.Done must be called when the call has ended.
 func (e *Entry) admit(c *call) *result.Error {
 	limits := c.account.Account.Limits
 	return e.limiter.Admit(time.Now(), c.account.ID, admission.Limits{
@@ -117,7 +124,8 @@
 	}, e.lending.share(c.account.ID), c.promptTokens+c.outputTokens)
 }
 
-// finishCall logs the call and counts it.
+// finishCall logs an ended call, updates the metrics and remembers the result for status
+// lookups. failure is nil for a call that succeeded.
 func (e *Entry) finishCall(c *call, failure *result.Error) {
 	code, ran := result.OK, result.RanYes
 	if failure != nil {
@@ -143,7 +151,7 @@
 	e.recent.add(c, code, ran)
 }
 
-// withDeadline gives a context that ends at the call's deadline.
+// withDeadline returns a context that ends at the call's deadline.
 func (c *call) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, c.deadline)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,9 +1,11 @@
-// Package entry is the process behind the platform's balancer. It takes callers'
-// HTTP, decides which endpoint a request goes to, streams the answer and resumes
-// it elsewhere when an endpoint fails. It also takes the operators' edits.
+// Package entry implements the entry: the process behind the platform's load
+// balancer that accepts callers' HTTP requests, routes each to an endpoint, streams
+// the response and resumes it at another endpoint after a failure. It also serves the
+// operators' API, through which the catalogue is edited.
 //
-// Entries keep nothing: what they know is a hint, the agents decide whether work
-// starts, and the platform's store holds what must last.
+// An entry holds no durable state. What it knows of endpoints may be out of date: the
+// agents decide whether work starts, and the platform's store holds what must survive
+// a restart.
 package entry
 
 import (
@@ -32,7 +34,7 @@
 	"aspenyard.example/wire/wireconnect"
 )
 
-// Entry is one entry's process.
+// Entry is the state of one entry process. Make one with New and run it with Serve.
 type Entry struct {
 	settings  settings.Entry
 	log       *zap.Logger
@@ -48,17 +50,19 @@
 	budgets   map[admission.Class]*admission.RetryBudget
 	inFlight  *inFlightCounts
 	recent    *recentRequests
-	// objectives counts good and bad events for the report on service-level burn.
+	// objectives counts the good and bad events from which the error-budget burn of
+	// service-level objectives is reported.
 	objectives       *window.Counter
 	powerCoordinator *powerCoordinator
 	lending          *limitLending
-	// callerConns are those of callers.
+	// callerConns tracks the callers' connections for a graceful shutdown.
 	callerConns    graceful.Conns
 	activeRequests atomic.Int64
 	draining       atomic.Bool
 }
 
-// New makes an entry; Serve starts it.
+// New makes an entry from its settings without opening ports or starting goroutines;
+// Serve does both. The error is that of an unknown routing policy.
 func New(s settings.Entry, log *zap.Logger) (*Entry, error) {
 	client := consul.NewClient(s.Platform, s.StoreTimeout.D())
 	clients := node.NewClients()
@@ -87,17 +91,20 @@
 	return e, nil
 }
 
-// Loop is the entry's control loop, for the benches.
+// Loop returns the entry's membership loop. Benchmarks use it to feed heartbeats to an
+// entry that does not serve.
 func (e *Entry) Loop() *membership.Loop { return e.loop }
 
-// globalRand is the process-wide generator, safe for concurrent use.
+// globalRand draws from the process-wide random generator, which is safe for
+// concurrent use.
 type globalRand struct{}
 
 func (globalRand) IntN(n int) int { return rand.IntN(n) }
 
-// Serve works until a signal arrives or ctx ends. The first signal drains: the
-// balancer is told by readiness, running requests end, within drain_timeout. A
-// second signal, or ctx's end, stops at once.
+// Serve listens on the entry's three ports and serves until a signal arrives, ctx ends
+// or a server fails, and returns that failure. The first signal drains: the readiness
+// check fails, so that the load balancer sends no more requests, and requests in flight
+// get up to drain_timeout to end. A second signal, or the end of ctx, stops at once.
 func (e *Entry) Serve(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -125,7 +132,7 @@
 	go e.watchStore(ctx)
 	go e.powerCoordinator.run(ctx)
 	go e.lending.run(ctx)
-	e.log.Info("entry serving", zap.String("callers", e.settings.CallersListen))
+	e.log.Info("entry is serving", zap.String("callers", e.settings.CallersListen))
 	defer func() { _ = callers.Close() }()
 	select {
 	case err := <-failures:
@@ -151,11 +158,12 @@
 	return mux
 }
 
-// listenerCloseDelay is how long a draining entry still takes connections, so that
-// the balancer has seen its readiness before the port closes.
+// listenerCloseDelay is how long a draining entry still accepts connections, so that
+// the load balancer sees the failed readiness check before the port closes.
 const listenerCloseDelay = time.Second
 
-// drain ends gracefully.
+// drain shuts the entry down gracefully within drain_timeout. Another signal ends it at
+// once.
 func (e *Entry) drain(callers net.Listener, signals <-chan os.Signal) {
 	e.log.Info("draining", zap.Int64("active", e.activeRequests.Load()), zap.Duration("at_most", e.settings.DrainTimeout.D()))
 	e.draining.Store(true)
@@ -166,7 +174,7 @@
 	go func() {
 		select {
 		case <-signals:
-			e.log.Warn("second signal: stopping with requests unfinished")
+			e.log.Warn("second signal received: stopping with requests in flight")
 			cancel()
 		case <-ctx.Done():
 		}
@@ -175,24 +183,26 @@
 	case <-time.After(listenerCloseDelay):
 	case <-ctx.Done():
 	}
-	// Or callers who go on opening connections would keep the drain from ending.
+	// Without this, callers that keep opening connections would keep the drain from
+	// ending.
 	if err := callers.Close(); err != nil {
-		e.log.Warn("callers' port not closed", zap.Error(err))
+		e.log.Warn("callers' listener could not be closed", zap.Error(err))
 	}
 	if err := e.callerConns.Drain(ctx, e.activeRequests.Load); err != nil {
-		e.log.Warn("stopped with requests unfinished", zap.Int64("active", e.activeRequests.Load()), zap.Error(err))
+		e.log.Warn("stopped with requests in flight", zap.Int64("active", e.activeRequests.Load()), zap.Error(err))
 		return
 	}
 	e.log.Info("drained")
 }
 
-// checkReady tells the balancer whether to send callers here.
+// checkReady returns nil when the load balancer may send requests to this entry, or
+// the reason why not. It answers the readiness checks.
 func (e *Entry) checkReady() error {
 	if e.draining.Load() {
 		return errors.New("draining")
 	}
 	if !e.catalogue.Ready() {
-		return errors.New("no catalogue yet")
+		return errors.New("catalogue is not loaded yet")
 	}
 	return nil
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -9,9 +9,11 @@
 	"aspenyard.example/result"
 )
 
-// bandNames name the prompt-length bands in metrics and reports.
+// bandNames are the names of the prompt-length bands of admission.Band in metric labels
+// and reports.
 var bandNames = []string{"up_to_4k", "up_to_16k", "up_to_100k", "above_100k"}
 
+// registerMetrics registers the gauges that are read when the metrics are scraped.
 func (e *Entry) registerMetrics() {
 	node.RegisterLoopMetrics(e.metrics, e.loop)
 	e.metrics.NewGauge("aspenyard_entry_active_requests", func() float64 { return float64(e.activeRequests.Load()) })
@@ -34,8 +36,9 @@
 	}
 }
 
-// observeCall counts an ended call, and for a kind of work with an objective whether
-// it was good.
+// observeCall counts an ended call, records its time to first token and, for a kind of
+// work with an objective, counts it as a good or a bad event. Calls that failed by the
+// caller's own fault or were cancelled count as neither.
 func (e *Entry) observeCall(c *call, code result.Code) {
 	e.metrics.GetOrCreateCounter(fmt.Sprintf(`aspenyard_entry_requests_total{code="%d"}`, code)).Inc()
 	if c.kind == nil {
@@ -52,10 +55,12 @@
 	e.objectives.Record(e.metrics, "aspenyard_entry_objective_events", labels, code == result.OK && c.metTarget(objective.FirstToken.D()))
 }
 
-// minSystemFaultCode is the lowest code that is not the caller's own fault.
+// minSystemFaultCode is the lowest result code of a failure that is not the caller's own
+// fault.
 const minSystemFaultCode = result.RateLimited
 
-// metTarget tells whether the first token, or a service's whole answer, came in time.
+// metTarget reports whether the first token came within limit after the request's start
+// or, where no token was sent, whether the request ended within it.
 func (c *call) metTarget(limit time.Duration) bool {
 	if c.firstTokenAt.IsZero() {
 		return time.Since(c.startedAt) <= limit
@@ -63,6 +68,6 @@
 	return c.firstTokenAt.Sub(c.startedAt) <= limit
 }
 
-// firstTokenBuckets bound the histogram of times to first token, in seconds. They
-// are the same on every node, so that histograms merge.
+// firstTokenBuckets are the upper bounds of the histogram of times to first token, in
+// seconds. They are the same on every node, so that histograms can be summed.
 var firstTokenBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 25, 50, 100, 250, 500}
--- a/entry/recent.go
+++ b/entry/recent.go
@@ -7,18 +7,20 @@
 	"aspenyard.example/result"
 )
 
-// maxRecentRequests is how many ended requests an entry remembers for status lookups,
-// about 200 bytes each.
+// maxRecentRequests bounds the ended requests that an entry remembers for status
+// lookups. Each takes about 200 bytes.
 const maxRecentRequests = 10_000
 
-// recentRequests remembers the results of ended requests by id. It is this entry's
-// memory only; requests that may not be repeated are recorded in the store.
+// recentRequests remembers the results of the latest ended requests by request id. It
+// is in this entry's memory only; the results of requests that are not repeatable are
+// also recorded in the store. It is safe for concurrent use.
 type recentRequests struct {
 	mu          sync.Mutex
 	byID        map[string]*list.Element
 	newestFirst *list.List
 }
 
+// endedRequest is the remembered result of one request.
 type endedRequest struct {
 	id, account, key string
 	code             result.Code
