--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,12 +13,13 @@
 	"aspenyard.example/wire"
 )
 
-// reserveTimeout bounds a reservation: a silent agent costs this much before
-// another is tried. A late answer is harmless, because the reservation lapses.
+// reserveTimeout bounds a Reserve call: a request loses this much time at an agent that
+// does not answer before the next one is tried. A late answer is harmless, because an
+// unused reservation expires.
 const reserveTimeout = time.Second
 
-// reserve asks an endpoint's agent for a place. Its errors all mean that nothing
-// ran: no order was sent.
+// reserve asks an endpoint's agent to reserve a place for the call. All its errors mean
+// that nothing ran, because no run request was sent.
 func (e *Entry) reserve(ctx context.Context, c *call, endpoint *routing.Endpoint, r *routing.Request) (*wire.Reservation, *result.Error) {
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
@@ -31,30 +32,33 @@
 		if ctx.Err() == nil {
 			e.control.avoidEndpoint(endpoint.Name)
 		}
-		return nil, result.Refuse(result.NoEndpoint, time.Second, "%s did not answer a reservation", endpoint.Name)
+		return nil, result.Refuse(result.NoEndpoint, time.Second, "the agent of %s did not answer the reservation request", endpoint.Name)
 	}
 	answer := response.Msg
 	e.control.recordAgentLoad(endpoint.Name, answer.Reservation.GetIncarnation(), answer.Load)
 	if !answer.Accepted {
 		wait := time.Duration(answer.RetryAfterMs) * time.Millisecond
-		refusal := result.Refuse(result.Code(answer.Code), wait, "refused by %s", endpoint.Name)
+		refusal := result.Refuse(result.Code(answer.Code), wait, "the agent of %s refused the request", endpoint.Name)
 		refusal.Deferral = answer.Deferral
 		return nil, refusal
 	}
 	return answer.Reservation, nil
 }
 
-// runStream is one order's stream, checked as it comes in.
+// runStream is the event stream of one run request. Each event is verified as it is
+// received.
 type runStream struct {
 	stream      *connect.ServerStreamForClient[wire.RunEvent]
 	reservation *wire.Reservation
-	// nextToken is the next token expected; firstToken the one the order asked from.
+	// nextToken is the offset of the next token expected, firstToken the offset from
+	// which the run was requested.
 	nextToken, firstToken uint64
 	digest                *xxhash.Digest
-	started               bool
+	started               bool // the agent has confirmed that the run started
 }
 
-// startRun sends the startRun for a reservation.
+// startRun sends the run request for a reservation to the agent at addr and returns the
+// stream of its events.
 func (e *Entry) startRun(ctx context.Context, addr string, request *wire.RunRequest) (*runStream, error) {
 	stream, err := e.clients.Agent(addr).Run(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -66,32 +70,34 @@
 	}, nil
 }
 
-// streamError says that the stream ended without its end marker. Work that was seen
-// to start did run; of other work nobody knows until the agent is asked.
+// streamError is the error of a stream that broke before its end event. Work whose
+// start was confirmed did run; whether other work ran is unknown until the agent is
+// queried.
 func (r *runStream) streamError(cause error) error {
 	ran := result.RanUnknown
 	if r.started {
 		ran = result.RanYes
 	}
-	return result.Fail(result.EndpointFailed, ran, "the stream broke: %v", cause)
+	return result.Fail(result.EndpointFailed, ran, "the stream from the agent broke: %v", cause)
 }
 
-// receive returns the receive event: a chunk, a held mark or the end. Each is checked
-// against what must come: a late or crossed answer, a lost or doubled token and
-// a cut stream all give an error and never reach the caller.
+// receive returns the next event: a chunk of output, the notice that a prefill part is
+// held, or the end. It verifies each event: a late or misrouted answer, which names
+// another reservation, a lost or duplicated token and a truncated stream give an error,
+// and their output never reaches the caller.
 func (r *runStream) receive() (*wire.RunEvent, error) {
 	for r.stream.Receive() {
 		event := r.stream.Msg()
 		switch body := event.Event.(type) {
 		case *wire.RunEvent_Started:
 			if got := body.Started.Reservation; got.GetNumber() != r.reservation.Number || got.GetIncarnation() != r.reservation.Incarnation {
-				return nil, result.Fail(result.EndpointFailed, result.RanUnknown, "an answer to reservation %d came", got.GetNumber())
+				return nil, result.Fail(result.EndpointFailed, result.RanUnknown, "the stream belongs to another reservation, %d", got.GetNumber())
 			}
 			r.started = true
 			continue
 		case *wire.RunEvent_Chunk:
 			if body.Chunk.Offset != r.nextToken {
-				return nil, result.Fail(result.EndpointFailed, result.RanYes, "token %d came in place of %d", body.Chunk.Offset, r.nextToken)
+				return nil, result.Fail(result.EndpointFailed, result.RanYes, "received token offset %d instead of %d", body.Chunk.Offset, r.nextToken)
 			}
 			r.nextToken += uint64(body.Chunk.Tokens)
 			_, _ = r.digest.WriteString(body.Chunk.Text)
@@ -106,19 +112,20 @@
 	return nil, r.streamError(io.ErrUnexpectedEOF)
 }
 
+// verifyEnd checks the token count and the checksum of a run that ended well.
 func (r *runStream) verifyEnd(end *wire.End) error {
 	if end.Code != int32(result.OK) || end.ServiceStatus != 0 {
 		return nil
 	}
 	if end.Tokens != r.nextToken-r.firstToken || (end.Tokens > 0 && end.Checksum != r.digest.Sum64()) {
-		return result.Fail(result.EndpointFailed, result.RanYes, "the answer does not match its count and checksum")
+		return result.Fail(result.EndpointFailed, result.RanYes, "the output does not match its token count or checksum")
 	}
 	return nil
 }
 
 func (r *runStream) close() { _ = r.stream.Close() }
 
-// endError turns a failed end into its error; nil for a good one.
+// endError returns the error that an end event reports, or nil when the run succeeded.
 func endError(end *wire.End) *result.Error {
 	if end.Code == int32(result.OK) {
 		return nil
@@ -129,11 +136,11 @@
 	}
 }
 
-// withdrawTimeout bounds one question to an agent.
+// withdrawTimeout bounds one Withdraw call to an agent.
 const withdrawTimeout = time.Second
 
-// withdraw asks an agent to cancel a reservation that has not started, or to
-// tell its state; peek only asks.
+// withdraw asks an agent to cancel a reservation whose run has not started and to
+// report the reservation's state. With peek set it only reports the state.
 func (e *Entry) withdraw(ctx context.Context, addr string, reservation *wire.Reservation, peek bool) (*wire.WithdrawResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 	defer cancel()
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -13,21 +13,21 @@
 	"aspenyard.example/wire"
 )
 
-// tokenWriter takes a generation's output on its way to the caller.
+// tokenWriter writes a generation's output to the caller.
 type tokenWriter interface {
-	// writeTokens gives the caller the text of some tokens; an error means that the caller
-	// is gone.
+	// writeTokens writes the text of the given number of tokens. An error means that
+	// the caller has disconnected.
 	writeTokens(text string, tokens int) error
 }
 
 const (
-	// noEndpointRetryAfter is when to come back when no endpoint is there: about the
-	// time in which a new one is heard of.
+	// noEndpointRetryAfter is the Retry-After of a request for which there is no
+	// endpoint: about the time until the heartbeat of a new one arrives.
 	noEndpointRetryAfter = 2 * time.Second
 )
 
-// generation is one repeatable request to a model, through as many attempts as
-// it takes. Each attempt goes on from the tokens that the caller already has.
+// generation is one request to a model with all its attempts. Each further attempt
+// resumes after the tokens that were already delivered to the caller.
 type generation struct {
 	entry     *Entry
 	call      *call
@@ -40,7 +40,7 @@
 	deliveredTokens uint64
 	ran             result.Ran
 	retryState      routing.RetryState
-	bestRefusal     *result.Error // the deferral, or the one with the shortest wait
+	bestRefusal     *result.Error // the one to return: the last deferral, else that with the shortest wait
 }
 
 func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, output tokenWriter) *generation {
@@ -53,7 +53,8 @@
 	}
 }
 
-// run carries a request out within its deadline.
+// run makes attempts until one succeeds, a failure may not be retried or the deadline
+// passes. It returns nil on success.
 func (g *generation) run(ctx context.Context) *result.Error {
 	ctx, cancel := g.call.withDeadline(ctx)
 	defer cancel()
@@ -73,7 +74,8 @@
 	}
 }
 
-// attempt makes one try, on one endpoint or on several for a long prompt.
+// attempt makes one attempt, at one endpoint or, for a prompt that no endpoint holds
+// alone, at several.
 func (g *generation) attempt(ctx context.Context) *result.Error {
 	g.call.attempts++
 	endpoints := *g.entry.control.endpoints.Load()
@@ -87,8 +89,9 @@
 	return g.runSplit(ctx, chosen)
 }
 
-// deferralKey is the same for every request of an account for the same work, so that a
-// caller needs nothing but Retry-After to be known again.
+// deferralKey identifies a deferred request when it comes back. It is a hash of the
+// client account, the kind of work and the prompt, so that a caller has to do nothing
+// but wait for Retry-After and send the same request again.
 func (g *generation) deferralKey() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{g.call.account.ID, g.call.kind.ID, g.prompt} {
@@ -98,10 +101,10 @@
 	return digest.Sum64()
 }
 
-// decideRetry decides whether a failed attempt is followed by another: nil for yes,
-// or the final error. Refusals are cheap and bounded by number; failures of
-// admitted work are bounded by the class's retry budget, so that a dead data
-// centre does not multiply the load on the others.
+// decideRetry decides whether a failed attempt is followed by another one: it returns
+// nil for a retry, or the final error. Refusals cost little and are bounded by number.
+// Retries after failures of admitted work are bounded by the retry budget of the class,
+// so that the loss of a data centre does not multiply the load on the others.
 func (g *generation) decideRetry(failure *result.Error) *result.Error {
 	if failure.Ran == result.RanNo {
 		return g.handleRefusal(failure)
@@ -116,7 +119,8 @@
 	return nil
 }
 
-// handleRefusal decides whether a handleRefusal request asks another endpoint: nil for yes.
+// handleRefusal decides whether a refused request tries another endpoint: it returns
+// nil if so, or the refusal to return to the caller.
 func (g *generation) handleRefusal(failure *result.Error) *result.Error {
 	if g.isMoreUseful(failure) {
 		g.bestRefusal = failure
@@ -130,7 +134,8 @@
 	return g.bestRefusal
 }
 
-// isMoreUseful tells whether a refusal is of more use to the caller than the one kept.
+// isMoreUseful reports whether a refusal is to replace bestRefusal: a deferral always
+// does, another refusal only if its wait is shorter and bestRefusal is no deferral.
 func (g *generation) isMoreUseful(failure *result.Error) bool {
 	if g.bestRefusal == nil || failure.Deferral {
 		return true
@@ -138,8 +143,8 @@
 	return !g.bestRefusal.Deferral && failure.RetryAfter < g.bestRefusal.RetryAfter
 }
 
-// combineRan keeps what may be said of a run over several attempts: once one may have
-// run, "no" is no longer true.
+// combineRan combines what is known of two attempts at one request: the request ran if
+// one of them did, and did not run only if neither did.
 func combineRan(a, b result.Ran) result.Ran {
 	if a == result.RanYes || b == result.RanYes {
 		return result.RanYes
@@ -150,15 +155,17 @@
 	return result.RanNo
 }
 
+// contextError is the final error of a request whose context has ended.
 func (g *generation) contextError(ctx context.Context) *result.Error {
 	if ctx.Err() == context.Canceled {
-		return result.Fail(result.Cancelled, g.ran, "the caller went away")
+		return result.Fail(result.Cancelled, g.ran, "the caller disconnected")
 	}
-	return result.Fail(result.DeadlineExceeded, g.ran, "the deadline passed")
+	return result.Fail(result.DeadlineExceeded, g.ran, "the deadline passed before the request ended")
 }
 
-// finalError makes the final error. A refusal's code says that nothing ran: it is not
-// used for a request of which an earlier attempt may have.
+// finalError is the error returned to the caller after the last attempt failed. The code
+// of a refusal states that nothing ran; if an earlier attempt may have run, it is
+// replaced by EndpointFailed.
 func (g *generation) finalError(failure *result.Error) *result.Error {
 	final := *failure
 	final.Ran = combineRan(g.ran, failure.Ran)
@@ -168,7 +175,8 @@
 	return &final
 }
 
-// runOnEndpoint runs the request on one endpoint.
+// runOnEndpoint makes an attempt at one endpoint: it reserves a place there, sends the
+// run request and relays the output.
 func (g *generation) runOnEndpoint(ctx context.Context, endpoint *routing.Endpoint) *result.Error {
 	reservation, refusal := g.entry.reserve(ctx, g.call, endpoint, &g.routing)
 	if refusal != nil {
@@ -182,6 +190,8 @@
 	return failure
 }
 
+// runRequest is the run request for the whole prompt, from the first token that was not
+// delivered.
 func (g *generation) runRequest(reservation *wire.Reservation) *wire.RunRequest {
 	return &wire.RunRequest{
 		Reservation: reservation, RequestId: g.call.id, Attempt: g.call.attempts, Model: g.routing.Model,
@@ -190,10 +200,10 @@
 	}
 }
 
-// relayRun sends an order and passes its output on to the end.
+// relayRun sends a run request and relays its output to the caller until it ends.
 func (g *generation) relayRun(ctx context.Context, endpoint *routing.Endpoint, request *wire.RunRequest) *result.Error {
-	// Ending the context cancels the work at the agent, whatever the reason for
-	// which this attempt is over.
+	// Cancelling the context cancels the work at the agent, for whatever reason this
+	// attempt ends.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g.entry.inFlight.add(endpoint.Name, 1)
@@ -211,7 +221,7 @@
 		switch body := event.Event.(type) {
 		case *wire.RunEvent_Chunk:
 			if err := g.deliver(body.Chunk); err != nil {
-				return result.Fail(result.Cancelled, result.RanYes, "the caller went away")
+				return result.Fail(result.Cancelled, result.RanYes, "the caller disconnected")
 			}
 		case *wire.RunEvent_End:
 			return endError(body.End)
@@ -219,6 +229,7 @@
 	}
 }
 
+// deliver writes a chunk to the caller and adds it to what was delivered.
 func (g *generation) deliver(chunk *wire.Chunk) error {
 	if g.deliveredTokens == 0 {
 		g.call.firstTokenAt = time.Now()
@@ -231,19 +242,20 @@
 	return nil
 }
 
-// resolveBrokenStream says what is known after a stream broke. The agent is asked once: if
-// the order had not started, it never will, and its place is free.
+// resolveBrokenStream is the error of a run whose stream broke. Where it is unknown
+// whether the run started, it withdraws the reservation, with one call: a run that had
+// not started then never will, and its place is free.
 func (g *generation) resolveBrokenStream(endpoint *routing.Endpoint, reservation *wire.Reservation, err error) *result.Error {
 	failure := result.FromError(err)
 	if failure.Code == result.Internal {
-		failure = result.Fail(result.EndpointFailed, result.RanUnknown, "%s: %v", endpoint.Name, err)
+		failure = result.Fail(result.EndpointFailed, result.RanUnknown, "the run at %s failed: %v", endpoint.Name, err)
 	}
 	if failure.Ran != result.RanUnknown || g.call.remaining() <= 0 {
 		return failure
 	}
 	state, err := g.entry.withdraw(context.Background(), endpoint.Addr, reservation, false)
 	if err == nil && state.State == wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN {
-		return result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the order before it started", endpoint.Name)
+		return result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the run request before it started", endpoint.Name)
 	}
 	return failure
 }
--- a/entry/generate_test.go
+++ b/entry/generate_test.go
@@ -14,7 +14,8 @@
 
 var testTime = time.Unix(1_780_000_000, 0)
 
-// newTestGeneration is a request of 1,000 tokens before these endpoints.
+// newTestGeneration makes a generation for a prompt of 1,000 tokens and an entry that
+// knows endpoints of these names.
 func newTestGeneration(t *testing.T, names ...string) *generation {
 	t.Helper()
 	policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
@@ -33,13 +34,13 @@
 	}
 }
 
-// nextEndpoint is the endpoint that an attempt would ask.
+// nextEndpoint picks the endpoint for the next attempt.
 func (g *generation) nextEndpoint() *routing.Endpoint {
 	return g.retryState.Pick(testTime, g.entry.policy, &g.routing, g.deferralKey, *g.entry.control.endpoints.Load())
 }
 
-// refuseNext lets the endpoint whose turn it is refuse, and returns its name and the
-// final answer, nil for another turn.
+// refuseNext picks the next endpoint and has it refuse the request. It returns the
+// endpoint's name and the final error, nil if another endpoint is to be tried.
 func (g *generation) refuseNext(wait time.Duration) (string, *result.Error) {
 	endpoint := g.nextEndpoint()
 	g.routing.Tried[endpoint.Name] = true
@@ -48,6 +49,8 @@
 	return endpoint.Name, g.handleRefusal(refusal)
 }
 
+// The home endpoint must be the same whatever order an entry holds its endpoints in, and
+// its Retry-After must reach the caller although earlier refusals had a shorter one.
 func TestHomeEndpointIsAskedLastAndItsRetryAfterIsReturned(t *testing.T) {
 	is := is.New(t)
 	g := newTestGeneration(t, "a", "b", "c", "d")
@@ -65,9 +68,9 @@
 	is.Equal(again, home)
 }
 
-// Symptom: an engine that has just failed a request gets it again until the retry
-// budget is gone. Sequence: all refuse, the home accepts and then fails. Cause: the
-// home was picked whatever had been tried.
+// Guards against sending a request again and again to an engine that has just failed it,
+// until the retry budget is spent. This happened when all endpoints refused, the home
+// endpoint then accepted and failed, and was picked again although it had been tried.
 func TestHomeEndpointIsAskedOnce(t *testing.T) {
 	is := is.New(t)
 	g := newTestGeneration(t, "a", "b")
--- a/entry/service.go
+++ b/entry/service.go
@@ -9,8 +9,8 @@
 	"aspenyard.example/wire"
 )
 
-// callRepeatable carries out a plain service's call that may be repeated. It
-// never touches the store.
+// callRepeatable carries out an idempotent call to a plain service, with up to
+// routing.MaxAttempts attempts. It needs no record in the store.
 func (e *Entry) callRepeatable(ctx context.Context, c *call, body []byte) (serviceResponse, *result.Error) {
 	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
@@ -28,7 +28,7 @@
 		refusals++
 		switch {
 		case ctx.Err() != nil:
-			return serviceResponse{}, result.Fail(result.DeadlineExceeded, ran, "the deadline passed")
+			return serviceResponse{}, result.Fail(result.DeadlineExceeded, ran, "the deadline passed before the request ended")
 		case failure.Code == result.ServiceFailed, refusals >= routing.MaxAttempts, len(request.Tried) == 0:
 			if ran != result.RanNo && failure.Code.Refusal() {
 				failure.Code = result.EndpointFailed
@@ -41,12 +41,13 @@
 	}
 }
 
-// attemptRepeatable makes one attempt on one endpoint.
+// attemptRepeatable makes one attempt at one endpoint. When no endpoint is left it
+// clears request.Tried, which ends callRepeatable.
 func (e *Entry) attemptRepeatable(ctx context.Context, c *call, request *routing.Request, body []byte) (serviceResponse, *result.Error) {
 	endpoint := e.policy.Route(time.Now(), request, *e.control.endpoints.Load())
 	if endpoint == nil {
 		request.Tried = map[string]bool{}
-		return serviceResponse{}, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves %q", request.Service)
+		return serviceResponse{}, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves the service %q", request.Service)
 	}
 	request.Tried[endpoint.Name] = true
 	reservation, refusal := e.reserve(ctx, c, endpoint, request)
@@ -58,7 +59,7 @@
 		ServiceKind: c.kind.ID, ServiceBody: body,
 	})
 	if err != nil {
-		return serviceResponse{}, result.Fail(result.EndpointFailed, result.RanUnknown, "%s: %v", endpoint.Name, err)
+		return serviceResponse{}, result.Fail(result.EndpointFailed, result.RanUnknown, "the run request to %s failed: %v", endpoint.Name, err)
 	}
 	defer run.close()
 	event, err := run.receive()
@@ -67,7 +68,7 @@
 	}
 	end := event.GetEnd()
 	if end == nil {
-		return serviceResponse{}, result.Fail(result.EndpointFailed, result.RanUnknown, "%s sent no end", endpoint.Name)
+		return serviceResponse{}, result.Fail(result.EndpointFailed, result.RanUnknown, "the agent of %s sent no end event", endpoint.Name)
 	}
 	return serviceResponse{status: int(end.ServiceStatus), body: end.ServiceBody}, endError(end)
 }
--- a/entry/span.go
+++ b/entry/span.go
@@ -13,12 +13,13 @@
 	"aspenyard.example/wire"
 )
 
-// planSplit chooses the endpoints that hold a prompt together when none can
-// alone, in the order in which they are taken.
+// planSplit chooses the endpoints that together hold a prompt that no endpoint holds
+// alone, in the order in which their places are reserved.
 //
-// All spans take their endpoints in the order of the names. Two spans that each
-// hold what the other waits for, each until its deadline, cannot happen: the one
-// that holds the later name does not wait for an earlier one.
+// Every split request reserves its endpoints in the order of their names. This prevents
+// a deadlock in which two requests each hold an endpoint that the other waits for until
+// its deadline: a request that holds an endpoint never waits for one with an earlier
+// name.
 func planSplit(r *routing.Request, endpoints []routing.Endpoint) ([]*routing.Endpoint, *result.Error) {
 	need := r.PromptTokens + r.OutputTokens
 	total := 0
@@ -34,24 +35,25 @@
 		}
 	}
 	if total > 0 && total < need {
-		return nil, result.Refuse(result.PromptTooLong, 0, "%d tokens of memory are needed, all endpoints together offer %d", need, total)
+		return nil, result.Refuse(result.PromptTooLong, 0, "the request needs %d tokens of KV cache, all endpoints together have %d", need, total)
 	}
 	if !fitsSingleEndpoint(r, endpoints) {
 		if chosen := leastBusy(r, usable, need); chosen != nil {
 			return chosen, nil
 		}
 	}
-	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoints serve %d tokens of %q", need, r.Model)
+	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "the live endpoints cannot serve a request of %d tokens to %q now", need, r.Model)
 }
 
-// mightServe tells whether an endpoint serves the model, or might when it is back:
-// one that is silent, or whose engine does not answer just now, offers nothing.
-// A prompt is only called too long if it would not fit with all of them.
+// mightServe reports whether an endpoint serves the model or might do so later: an
+// endpoint that is silent, or whose engine does not answer at the moment, lists no
+// models. A prompt is refused as too long only if it would not fit with these counted in.
 func mightServe(r *routing.Request, e *routing.Endpoint) bool {
 	return len(e.Models) == 0 || slices.Contains(e.Models, r.Model)
 }
 
-// fitsSingleEndpoint tells whether some endpoint could hold the request alone, tried or not.
+// fitsSingleEndpoint reports whether some endpoint has the memory for the whole request,
+// including endpoints that were already tried.
 func fitsSingleEndpoint(r *routing.Request, endpoints []routing.Endpoint) bool {
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -62,7 +64,8 @@
 	return false
 }
 
-// leastBusy takes the least busy endpoints until they hold the need, sorted by name.
+// leastBusy takes the endpoints with the smallest backlog until together they hold the
+// needed tokens, and returns them sorted by name; nil if all of them do not suffice.
 func leastBusy(r *routing.Request, usable []*routing.Endpoint, need int) []*routing.Endpoint {
 	level := r.Level()
 	sort.SliceStable(usable, func(i, j int) bool {
@@ -80,9 +83,10 @@
 	return nil
 }
 
-// runSplit runs the request over several endpoints: each but the last prefills and
-// holds its part of the prompt, the last imports their KV cache and generates.
-// Whatever ends the attempt ends its context, and with it every part's hold.
+// runSplit runs the request on several endpoints. All but the last are helpers: each
+// prefills one part of the prompt and holds its KV cache. The last endpoint imports
+// these caches, prefills the rest and generates. The end of the attempt ends its
+// context, and with it every helper's hold.
 func (g *generation) runSplit(ctx context.Context, endpoints []*routing.Endpoint) *result.Error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,8 +107,8 @@
 	return markRanAfterParts(g.generateOnLast(ctx, endpoints[len(endpoints)-1], imports, admission.EstimateTokens(rest)), len(imports))
 }
 
-// markRanAfterParts says of a failed span whose first parts were prefilled that it ran: a
-// later member's refusal speaks of that member alone.
+// markRanAfterParts marks a failure as one after the request ran if at least one part
+// was prefilled: the refusal of a later endpoint only says that nothing ran there.
 func markRanAfterParts(failure *result.Error, parts int) *result.Error {
 	if failure == nil || parts == 0 {
 		return failure
@@ -113,8 +117,8 @@
 	return failure
 }
 
-// splitText splits a text at or just before a number of bytes, never within a character:
-// half a character is not valid text and would not come through a message whole.
+// splitText splits a text at the given number of bytes, or before it so as not to split
+// a character: half a character is not valid UTF-8, which a protobuf string must be.
 func splitText(text string, size int) (before, after string) {
 	if size >= len(text) {
 		return text, ""
@@ -125,7 +129,9 @@
 	return text[:size], text[size:]
 }
 
-// prefillPart prefills one part and returns where its KV cache is held until ctx ends.
+// prefillPart has a helper prefill one part of the prompt, after the parts in imports,
+// and returns where its KV cache can be imported from until ctx ends. cancel is called
+// when the helper stops holding the cache.
 func (g *generation) prefillPart(ctx context.Context, cancel context.CancelFunc, helper *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
 	r := g.routing
 	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.EstimateTokens(part), 0, true
@@ -153,12 +159,13 @@
 	if failure := endError(event.GetEnd()); failure != nil {
 		return nil, failure
 	}
-	return nil, result.Fail(result.EndpointFailed, result.RanYes, "%s did not hold its part", helper.Name)
+	return nil, result.Fail(result.EndpointFailed, result.RanYes, "%s ended without holding its prefill part", helper.Name)
 }
 
-// watchHeldPart follows a held part. Its KV cache stays as long as the stream, which
-// ends with the span's context. A member that fails ends the whole span, whose
-// lead would otherwise decode from a cache that is gone.
+// watchHeldPart waits for the end of a helper's stream and then cancels the split
+// request. The helper holds its KV cache as long as the stream is open, which is until
+// the request's context ends. If the helper fails earlier, the last endpoint would
+// otherwise decode from a cache that is gone.
 func watchHeldPart(run *runStream, cancel context.CancelFunc) {
 	defer run.close()
 	defer cancel()
@@ -170,7 +177,8 @@
 	}
 }
 
-// generateOnLast generates the answer on the last member, which prefills the last tokens.
+// generateOnLast runs the request on the last endpoint, which imports the helpers' KV
+// caches, prefills the last tokens of the prompt and generates the output.
 func (g *generation) generateOnLast(ctx context.Context, endpoint *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
 	r := g.routing
 	r.PromptTokens, r.SpanPart = tokens, true
--- a/entry/span_test.go
+++ b/entry/span_test.go
@@ -11,9 +11,8 @@
 	"aspenyard.example/routing"
 )
 
-// Symptom: a long prompt in another script than Latin is refused or garbled.
-// Sequence: its bytes are cut into parts within a character. Cause: cutting by the
-// number of bytes alone.
+// Guards against refusing or garbling long prompts in scripts other than Latin, which
+// happened when the prompt was split by the number of bytes alone, within a character.
 func TestPromptIsSplitBetweenCharacters(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat("繫纜樁 ", 100)
@@ -28,10 +27,13 @@
 	is.Equal(joined, text)
 }
 
+// newTestEngine is an endpoint for the model m with a KV cache of memory tokens.
 func newTestEngine(name string, memory int) routing.Endpoint {
 	return routing.Endpoint{Name: name, Models: []string{"m"}, MemoryTokens: memory}
 }
 
+// Endpoints are reserved in the order of their names, which prevents deadlocks between
+// split requests; the busiest one is left out.
 func TestSplitPromptTakesEndpointsInNameOrder(t *testing.T) {
 	is := is.New(t)
 	endpoints := []routing.Endpoint{newTestEngine("c", 400_000), newTestEngine("a", 400_000), newTestEngine("b", 400_000), newTestEngine("d", 400_000)}
@@ -45,6 +47,8 @@
 	is.Equal(names, "bcd")
 }
 
+// A prompt is refused as too long only if it would not fit with the silent endpoints
+// counted in.
 func TestSplitPromptRefusals(t *testing.T) {
 	is := is.New(t)
 	endpoints := []routing.Endpoint{newTestEngine("a", 400_000), newTestEngine("b", 400_000)}
