--- a/entry/once.go
+++ b/entry/once.go
@@ -16,23 +16,28 @@
 )
 
 const (
-	// storeRetryAfter is when to come back after the store could not be used.
+	// storeRetryAfter is the Retry-After of a request that needs the store while it is
+	// unavailable, and the time between background writes of an outcome.
 	storeRetryAfter = 5 * time.Second
-	// inProgressRetryAfter is when to come back for a request that still runs.
+	// inProgressRetryAfter is the Retry-After of a request whose earlier copy still
+	// runs, and the time between background queries to its agent.
 	inProgressRetryAfter = time.Second
-	// resolveInterval is the time between questions to an agent whose stream broke.
+	// resolveInterval is the time between queries to an agent whose stream broke.
 	resolveInterval = 200 * time.Millisecond
-	// recordTries bounds the tries to record an outcome before answering.
-	recordTries          = 3 // lateRecordTime is how long an entry goes on trying after it has answered.
+	// recordTries is meant to bound the writes of an outcome before the caller is
+	// answered. Nothing uses it: recordOutcome makes one such write.
+	recordTries = 3
+	// backgroundRecordTime is how long an entry keeps trying to resolve and record an
+	// outcome after the caller was answered.
 	backgroundRecordTime = 10 * time.Minute
 )
 
-// nonRepeatableCall is one request that may run at most nonRepeatableCall.
+// nonRepeatableCall is a request with an idempotency key that runs at most once.
 //
-// The order of steps is what makes it so. A reservation at an agent comes first,
-// because its number is what the claim names. The claim in the store comes
-// second: only one entry can create it. The order comes last, and starts only if
-// it names that reservation. Whoever finds the claim later asks that one agent.
+// The order of its steps ensures this. First it reserves a place at an agent, because
+// the claim names the reservation's number. Then it writes the claim to the store, which
+// only one request can do. Last it sends the run request, which starts only if it names
+// that reservation. An entry that finds the claim later queries the one agent it names.
 type nonRepeatableCall struct {
 	entry    *Entry
 	call     *call
@@ -40,17 +45,17 @@
 	digest   string
 	claimKey string
 	routing  routing.Request
-	// storedValue is what the store last gave for the key; mine is this entry's claim,
-	// once written.
+	// storedValue is the value of claimKey as last read from the store. ownClaim is the
+	// claim that this call has written, nil before.
 	storedValue infra.Value
 	ownClaim    *attempt.Claim
 }
 
-// serviceResponse is what a plain service answered.
+// serviceResponse is the response of a plain service.
 type serviceResponse struct {
 	status   int
 	body     []byte
-	replayed bool
+	replayed bool // it is the recorded response of an earlier request
 }
 
 func (e *Entry) newNonRepeatableCall(c *call, body []byte) *nonRepeatableCall {
@@ -62,9 +67,9 @@
 	}
 }
 
-// run carries the request out, or gives the outcome that its key already has. It
-// goes on when the caller hangs up: the call may have been sent, and its outcome
-// must be on record for the caller who asks again.
+// run carries the request out, or returns the outcome that its key already has. It
+// continues when the caller disconnects, because the call may have been sent and its
+// outcome must be on record when the caller asks again.
 func (n *nonRepeatableCall) run(ctx context.Context) (serviceResponse, *result.Error) {
 	ctx, cancel := n.call.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
@@ -76,11 +81,11 @@
 		}
 		switch attempt.ActionFor(claim, n.digest) {
 		case attempt.Mismatch:
-			return serviceResponse{}, result.Refuse(result.KeyReused, 0, "the key was used for another request")
+			return serviceResponse{}, result.Refuse(result.KeyReused, 0, "the idempotency key was used for a different request")
 		case attempt.Replay:
 			return replayOutcome(claim)
 		case attempt.ReportUnknown:
-			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "nobody can tell whether an earlier request with this key ran")
+			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "it cannot be determined whether an earlier request with this key ran")
 		case attempt.AskAgent:
 			answer, failure, settled := n.resolveClaim(ctx, claim)
 			if !settled {
@@ -96,6 +101,8 @@
 	return serviceResponse{}, last
 }
 
+// mayRetry reports whether a call that did not run may make another attempt after this
+// failure.
 func (n *nonRepeatableCall) mayRetry(failure *result.Error) bool {
 	switch failure.Code {
 	case result.Leaving, result.NoEndpoint, result.NoReservation, result.Withdrawn, result.Overloaded:
@@ -104,9 +111,9 @@
 	return false
 }
 
-// readClaim finds the key's claim. While the store is down, nobody can tell whether
-// an earlier request with this key ran, so "no" may be said only if the caller
-// vouches that there was none.
+// readClaim reads the claim of the key, nil for none. While the store is unavailable, it
+// is unknown whether an earlier request with this key ran. The error then states that
+// nothing ran only if the caller has stated that there was no earlier request.
 func (n *nonRepeatableCall) readClaim(ctx context.Context) (*attempt.Claim, *result.Error) {
 	value, err := n.entry.store.Get(ctx, n.claimKey)
 	if err != nil {
@@ -114,12 +121,14 @@
 	}
 	claim, err := attempt.DecodeClaim(value.Data)
 	if err != nil {
-		return nil, result.Fail(result.Internal, result.RanUnknown, "the claim cannot be read")
+		return nil, result.Fail(result.Internal, result.RanUnknown, "the claim in the store cannot be decoded")
 	}
 	n.storedValue = value
 	return claim, nil
 }
 
+// storeUnavailable is the error of a call that was not sent because the store is
+// unavailable. See readClaim for what it states about earlier requests.
 func (n *nonRepeatableCall) storeUnavailable(detail string) *result.Error {
 	failure := result.Refuse(result.StoreUnavailable, storeRetryAfter, "%s", detail)
 	if !n.call.firstAttempt {
@@ -128,17 +137,19 @@
 	return failure
 }
 
+// replayOutcome returns the outcome that a claim in the state ClaimDone records.
 func replayOutcome(claim *attempt.Claim) (serviceResponse, *result.Error) {
 	outcome := claim.Outcome
 	answer := serviceResponse{status: outcome.ServiceStatus, body: outcome.Body, replayed: true}
 	if outcome.Code != int(result.OK) {
-		return answer, result.Fail(result.Code(outcome.Code), result.RanYes, "the recorded outcome of the earlier request")
+		return answer, result.Fail(result.Code(outcome.Code), result.RanYes, "this is the recorded outcome of an earlier request with this key")
 	}
 	return answer, nil
 }
 
-// resolveClaim asks the agent that a claim names. settled is true when the claimed
-// order did not and will not run, so that the key may be claimed again.
+// resolveClaim queries the agent that a claim names for the outcome, and records what is
+// final. settled is true when the claimed run did not and will not start, so that the
+// key may be claimed again.
 func (n *nonRepeatableCall) resolveClaim(ctx context.Context, claim *attempt.Claim) (answer serviceResponse, failure *result.Error, settled bool) {
 	reservation := &wire.Reservation{Incarnation: claim.Reservation.Incarnation, Number: claim.Reservation.Number}
 	response, err := n.entry.withdraw(ctx, claim.Addr, reservation, true)
@@ -158,7 +169,7 @@
 		unknown := *claim
 		unknown.State = attempt.ClaimUnknown
 		_ = n.replaceClaim(ctx, claim, &unknown, false)
-		return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent that had the order is gone"), false
+		return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent no longer knows whether the earlier request ran"), false
 	}
 	return serviceResponse{}, &result.Error{
 		Code: result.InProgress, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
@@ -166,12 +177,13 @@
 	}, false
 }
 
-// attempt reserves, claims and orders, in that order. old is the claim to replace.
+// attempt makes one attempt: it reserves a place, writes the claim in place of old and
+// sends the run request, in this order.
 func (n *nonRepeatableCall) attempt(ctx context.Context, old *attempt.Claim) (serviceResponse, *result.Error) {
 	n.call.attempts++
 	endpoint := n.entry.policy.Route(time.Now(), &n.routing, *n.entry.control.endpoints.Load())
 	if endpoint == nil {
-		return serviceResponse{}, n.markNotRun(ctx, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves %q", n.routing.Service))
+		return serviceResponse{}, n.markNotRun(ctx, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "no live endpoint serves the service %q", n.routing.Service))
 	}
 	reservation, refusal := n.entry.reserve(ctx, n.call, endpoint, &n.routing)
 	if refusal != nil {
@@ -183,10 +195,10 @@
 		Reservation: attempt.Reservation{Incarnation: reservation.Incarnation, Number: reservation.Number},
 	}
 	if ctx.Err() != nil {
-		return serviceResponse{}, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed before the order was sent")
+		return serviceResponse{}, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed before the run request was sent")
 	}
 	if failure := n.writeClaim(ctx, old, claim); failure != nil {
-		// The reservation is not needed; left alone, it would lapse by itself.
+		// The reservation is not needed. If this call fails, it expires by itself.
 		_, _ = n.entry.withdraw(context.WithoutCancel(ctx), endpoint.Addr, reservation, false)
 		return serviceResponse{}, failure
 	}
@@ -199,7 +211,8 @@
 	return answer, failure
 }
 
-// writeClaim writes this entry's writeClaim. Only nil allows the order to be sent.
+// writeClaim writes the claim of this call in place of old. The run request may be sent
+// only if it returns nil.
 func (n *nonRepeatableCall) writeClaim(ctx context.Context, old, claim *attempt.Claim) *result.Error {
 	err := n.replaceClaimFrom(ctx, &n.storedValue, old, claim, true)
 	switch {
@@ -208,20 +221,22 @@
 	case errors.Is(err, infra.ErrConflict):
 		return &result.Error{
 			Code: result.InProgress, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
-			Detail: "another request with this key has just been taken",
+			Detail: "another request with this key was accepted first",
 		}
 	}
 	return n.storeUnavailable("the claim could not be written; this request was not sent to any endpoint")
 }
 
-// replaceClaim replaces a claim by compare-and-swap; an unclear answer is settled by
-// reading back. Errors: infra.ErrConflict when another claim stands there,
-// infra.ErrUnavailable when the store cannot tell.
+// replaceClaim replaces a claim by compare-and-swap. If it is unclear whether a write
+// took effect, the claim is read back. confirmed is set when the agent has confirmed that
+// the run of old did not start. Errors: infra.ErrConflict when the store holds another
+// claim or the change is not allowed, infra.ErrUnavailable when the store did not answer.
 func (n *nonRepeatableCall) replaceClaim(ctx context.Context, old, next *attempt.Claim, confirmed bool) error {
 	return n.replaceClaimFrom(ctx, nil, old, next, confirmed)
 }
 
-// replaceClaimFrom is write for a value that has just been read.
+// replaceClaimFrom is replaceClaim with a value that was just read, which saves a read;
+// known is nil to read first.
 func (n *nonRepeatableCall) replaceClaimFrom(ctx context.Context, known *infra.Value, old, next *attempt.Claim, confirmed bool) error {
 	change := func(data []byte) ([]byte, bool, error) {
 		current, err := attempt.DecodeClaim(data)
@@ -241,6 +256,7 @@
 	return infra.Update(ctx, n.entry.store, n.claimKey, known, change, isOwn)
 }
 
+// sameClaim reports whether two claims are of one attempt and in the same state.
 func sameClaim(a, b *attempt.Claim) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -248,7 +264,7 @@
 	return a.Attempt == b.Attempt && a.State == b.State
 }
 
-// sendRun sends the sendRun and waits for its outcome.
+// sendRun sends the run request and waits for its outcome.
 func (n *nonRepeatableCall) sendRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
 	run, err := n.entry.startRun(ctx, claim.Addr, &wire.RunRequest{
 		Reservation: reservation, RequestId: n.call.account.ID + "/" + n.call.idempotencyKey, Attempt: n.call.attempts,
@@ -265,8 +281,9 @@
 	return n.resolveLostRun(ctx, claim, reservation)
 }
 
-// resolveLostRun finds out what became of an order whose stream broke. It ends with the
-// deadline at the latest; a silent agent leaves it unknown.
+// resolveLostRun queries the agent for the outcome of a run whose stream broke, until ctx
+// ends or the agent does not answer and is suspect. It then returns OutcomeUnknown and
+// keeps querying in the background.
 func (n *nonRepeatableCall) resolveLostRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
 	for ctx.Err() == nil {
 		response, err := n.entry.withdraw(ctx, claim.Addr, reservation, false)
@@ -279,26 +296,27 @@
 		}
 		switch response.State {
 		case wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN:
-			return serviceResponse{}, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the order before it started", claim.Endpoint)
+			return serviceResponse{}, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "%s lost the run request before it started", claim.Endpoint)
 		case wire.AttemptState_ATTEMPT_STATE_FINISHED:
 			return n.handleEnd(ctx, claim, response.End)
 		case wire.AttemptState_ATTEMPT_STATE_FORGOTTEN:
 			unknown := *claim
 			unknown.State = attempt.ClaimUnknown
 			_ = n.replaceClaim(ctx, claim, &unknown, false)
-			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent that had the order was replaced")
+			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "the agent no longer knows whether the request ran")
 		}
 		membership.Sleep(ctx, resolveInterval)
 	}
 	go n.resolveInBackground(claim)
 	return serviceResponse{}, &result.Error{
 		Code: result.OutcomeUnknown, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
-		Detail: "the order was sent and its outcome did not come in time; ask again with the same key",
+		Detail: "the run request was sent, but its outcome did not arrive in time; retry with the same key",
 	}
 }
 
-// resolveInBackground goes on asking after the caller was answered, so that an outcome that
-// the agent alone knows is on record before the agent is replaced.
+// resolveInBackground keeps querying the agent after the caller was answered, so that an
+// outcome that only the agent knows is recorded before the agent is replaced. It gives
+// up after backgroundRecordTime.
 func (n *nonRepeatableCall) resolveInBackground(claim *attempt.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), backgroundRecordTime)
 	defer cancel()
@@ -310,14 +328,15 @@
 	}
 }
 
-// agentIsSuspect tells whether the claim's agent is suspect: then waiting until the
-// deadline would only hold the answer back.
+// agentIsSuspect reports whether the claim's agent is suspect or unknown. Waiting for it
+// until the deadline would then only delay the response.
 func (n *nonRepeatableCall) agentIsSuspect(claim *attempt.Claim) bool {
 	m := n.entry.loop.View().Members[claim.Endpoint]
 	return m == nil || m.Suspect
 }
 
-// handleEnd turns an agent's end into the answer and records it.
+// handleEnd records the end of a run in the claim and returns the response of the service
+// or the error.
 func (n *nonRepeatableCall) handleEnd(ctx context.Context, claim *attempt.Claim, end *wire.End) (serviceResponse, *result.Error) {
 	failure := endError(end)
 	if failure != nil && failure.Ran == result.RanNo {
@@ -336,28 +355,29 @@
 	return serviceResponse{status: int(end.ServiceStatus), body: end.ServiceBody}, failure
 }
 
-// recordOutcome writes an outcome. The caller's answer does not depend on it: while the
-// store is down, the agent remembers the outcome, and the entry goes on trying.
+// recordOutcome writes the outcome into the claim. The response to the caller does not
+// depend on it: while the store is unavailable, the agent remembers the outcome, and the
+// entry keeps writing in the background for backgroundRecordTime.
 func (n *nonRepeatableCall) recordOutcome(ctx context.Context, claim, done *attempt.Claim) {
 	ctx = context.WithoutCancel(ctx)
 	err := n.replaceClaim(ctx, claim, done, false)
 	if err == nil || errors.Is(err, infra.ErrConflict) {
 		return
 	}
-	n.entry.log.Warn("outcome not recorded yet", zap.String("request", n.call.id), zap.Error(err))
+	n.entry.log.Warn("outcome could not be recorded; retrying in the background", zap.String("request", n.call.id), zap.Error(err))
 	go func() {
 		for until := time.Now().Add(backgroundRecordTime); time.Now().Before(until); time.Sleep(storeRetryAfter) {
 			if err := n.replaceClaim(ctx, claim, done, false); err == nil || errors.Is(err, infra.ErrConflict) {
 				return
 			}
 		}
-		n.entry.log.Error("outcome never recorded", zap.String("request", n.call.id))
+		n.entry.log.Error("outcome was not recorded: giving up", zap.String("request", n.call.id))
 	}()
 }
 
-// markNotRun marks this entry's claim as not run, so that the key stays usable
-// after the agent that confirmed it is gone. Failing to do so is safe: the agent
-// is asked again.
+// markNotRun marks this call's claim as not run and returns failure unchanged. The key
+// can then be claimed again even after the agent that confirmed it is gone. A failed
+// write is safe, because whoever finds the claim queries the agent.
 func (n *nonRepeatableCall) markNotRun(ctx context.Context, failure *result.Error) *result.Error {
 	if n.ownClaim != nil && n.ownClaim.State == attempt.ClaimClaimed {
 		notRun := *n.ownClaim
