--- a/entry/control.go
+++ b/entry/control.go
@@ -14,15 +14,15 @@
 	"aspenyard.example/wire"
 )
 
-// controlState is the entry's state on the controlState thread, and the snapshots that it
-// publishes for callers' threads.
+// controlState is the entry's delegate in the membership loop. Its plain fields are used
+// only by the loop's goroutine; the atomic ones are snapshots that request handlers read.
 type controlState struct {
 	entry            *Entry
 	loads            map[string]loadReport
 	view             *membership.View
 	endpointsChanged bool
-	// avoidUntil holds endpoints that avoidUntil a request here, and until when they are
-	// passed over.
+	// avoidUntil holds the endpoints that failed a request of this entry, and until
+	// when they are avoided.
 	avoidUntil map[string]time.Time
 
 	endpoints     atomic.Pointer[[]routing.Endpoint]
@@ -30,11 +30,11 @@
 	entryCount    atomic.Int64 // live entries, this one included
 }
 
-// loadReport is the newest load known of an endpoint: from a heartbeat or from an
+// loadReport is the newest load report of an endpoint, from a heartbeat or from the
 // answer to a reservation.
 type loadReport struct {
 	incarnation uint64
-	takenMs     int64
+	takenMs     int64 // time of the report by the agent's clock, in milliseconds
 	load        *wire.Load
 	receivedAt  time.Time
 }
@@ -61,6 +61,8 @@
 	}
 }
 
+// recordLoad stores a load report unless a newer one is known. Call it on the loop's
+// goroutine.
 func (c *controlState) recordLoad(now time.Time, endpoint string, incarnation uint64, load *wire.Load) {
 	if load == nil {
 		return
@@ -73,17 +75,19 @@
 	c.endpointsChanged = true
 }
 
-// recordAgentLoad takes in the load that came with an answer of an agent; any thread.
+// recordAgentLoad stores the load report that came with an agent's answer. It may be
+// called from any goroutine.
 func (c *controlState) recordAgentLoad(endpoint string, incarnation uint64, load *wire.Load) {
 	c.entry.loop.Post(func() { c.recordLoad(time.Now(), endpoint, incarnation, load) })
 }
 
-// avoidFailedFor is how long an endpoint that failed a request is passed over unless
-// it is heard of again. Heartbeats of a large fleet are seconds apart; requests
-// show a dead endpoint sooner.
+// avoidFailedFor is how long an endpoint that failed a request is avoided, unless its
+// agent's heartbeat arrives before. In a large fleet heartbeats are seconds apart, so that
+// requests detect a dead endpoint sooner.
 const avoidFailedFor = 2 * time.Second
 
-// avoidEndpoint passes an endpoint over for a while; any thread.
+// avoidEndpoint makes routing avoid an endpoint for avoidFailedFor. It may be called from
+// any goroutine.
 func (c *controlState) avoidEndpoint(endpoint string) {
 	c.entry.loop.Post(func() {
 		c.avoidUntil[endpoint] = time.Now().Add(avoidFailedFor)
@@ -111,6 +115,8 @@
 	}
 }
 
+// publishEndpoints replaces the snapshot of endpoints, sorted by name, and drops the load
+// reports of nodes that are no longer members.
 func (c *controlState) publishEndpoints(members *membership.View) {
 	endpoints := make([]routing.Endpoint, 0, len(members.Members))
 	for name, m := range members.Members {
@@ -128,6 +134,7 @@
 	c.endpoints.Store(&endpoints)
 }
 
+// buildEndpoint combines an agent's last heartbeat with its newest load report.
 func (c *controlState) buildEndpoint(name string, m *membership.Member) routing.Endpoint {
 	h := m.LastHeartbeat
 	endpoint := routing.Endpoint{
@@ -152,20 +159,20 @@
 	return endpoint
 }
 
-// storeReadersPerDataCentre is how many entries of a data centre watch the store: two,
-// so that one may be frozen without delaying an edit.
+// storeReadersPerDataCentre is how many entries of a data centre watch the store. With
+// two, a frozen entry does not delay the spread of an edit.
 const storeReadersPerDataCentre = 2
 
-// updateStoreReader decides which duties this entry has by its rank among the live
-// entries. Two entries may both think so, or for a moment none; each duty is
-// safe with any number of holders.
+// updateStoreReader decides by this entry's rank among the live entries of its data
+// centre whether it watches the store. Entries with different views may, for a moment,
+// give too many or no readers; any number of them is safe.
 func (c *controlState) updateStoreReader(members *membership.View) {
 	s := c.entry.settings
 	c.isStoreReader.Store(rendezvousRank("catalogue/"+s.DataCentre, s.Name, members.Entries(s.DataCentre)) < storeReadersPerDataCentre)
 }
 
-// rendezvousRank is this node's place, from 0, in the order that a rendezvous hash gives
-// to a duty's candidates. When one dies, only its own duties move.
+// rendezvousRank is the rank of this node, from 0, among the candidates for a duty, by
+// rendezvous hashing. When a candidate dies, only its own duties move.
 func rendezvousRank(duty, self string, others []*membership.Member) int {
 	own := rendezvousWeight(duty, self)
 	rank := 0
@@ -177,11 +184,13 @@
 	return rank
 }
 
+// rendezvousWeight is a node's rendezvous hash for a duty; the highest ranks first.
 func rendezvousWeight(duty, name string) uint64 {
 	return xxhash.Sum64String(duty + "\x00" + name)
 }
 
-// inFlightCounts counts this entry's own requests by endpoint.
+// inFlightCounts counts the requests that this entry has in flight at each endpoint. It
+// is safe for concurrent use.
 type inFlightCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/entry/keeper.go
+++ b/entry/keeper.go
@@ -16,27 +16,32 @@
 )
 
 const (
-	// powerInterval is the time between looks at a site's power.
+	// powerInterval is the mean time between updates of the power ledgers. It doubles
+	// with each failed round, up to 16 times as long.
 	powerInterval = 300 * time.Millisecond
-	grantTimeout  = time.Second
+	// grantTimeout bounds one Grant call to an agent.
+	grantTimeout = time.Second
 )
 
-// powerCoordinator keeps the power ledgers of the sites for which this entry ranks first.
-// Two keepers at once are harmless: the ledger is written by compare-and-swap,
-// and the agents refuse grants older than what they have.
+// powerCoordinator updates the power ledgers of the sites for which this entry ranks
+// first and sends the grants to the agents. Two coordinators of one site at once are
+// harmless: the ledger is written by compare-and-swap, and agents refuse grants older
+// than the one they have.
 type powerCoordinator struct {
 	entry         *Entry
-	unlistedSince map[string]time.Time // endpoints in a ledger that nobody has heard of
+	unlistedSince map[string]time.Time // when silent endpoints were first seen missing from the platform's list
 	mu            sync.Mutex
-	ledgers       map[string]*power.Ledger // as last read, for operators
+	ledgers       map[string]*power.Ledger // as last read or written, for the operators' status
 }
 
 func newPowerCoordinator(e *Entry) *powerCoordinator {
 	return &powerCoordinator{entry: e, unlistedSince: map[string]time.Time{}, ledgers: map[string]*power.Ledger{}}
 }
 
+// ledgerKey is the store key of a site's ledger and names the duty to update it.
 func ledgerKey(site string) string { return "power/" + site }
 
+// run updates the ledgers of the sites that this entry coordinates until ctx ends.
 func (p *powerCoordinator) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -56,6 +61,8 @@
 	}
 }
 
+// isCoordinator reports whether this entry coordinates a site: it is in one of the
+// site's data centres, is not draining and ranks first among their live entries.
 func (p *powerCoordinator) isCoordinator(site *catalogue.Record) bool {
 	members := p.entry.loop.View()
 	inSite := false
@@ -67,8 +74,9 @@
 	return inSite && !p.entry.draining.Load() && rendezvousRank(ledgerKey(site.ID), p.entry.settings.Name, candidates) == 0
 }
 
-// updateSite does one round for a site; false when the store could not be used, which
-// leaves all grants as they are.
+// updateSite reads a site's ledger, updates it from the agents' reports and sends the
+// grants. It returns false, and leaves all grants as they are, when the ledger could not
+// be read, decoded or written.
 func (p *powerCoordinator) updateSite(ctx context.Context, site *catalogue.Record) bool {
 	value, err := p.entry.store.Get(ctx, ledgerKey(site.ID))
 	if err != nil {
@@ -76,7 +84,7 @@
 	}
 	current, err := power.DecodeLedger(value.Data)
 	if err != nil {
-		p.entry.log.Error("the store holds a power ledger that cannot be read", zap.String("site", site.ID), zap.Error(err))
+		p.entry.log.Error("the power ledger in the store cannot be decoded", zap.String("site", site.ID), zap.Error(err))
 		return false
 	}
 	reports := p.siteReports(site, current)
@@ -86,8 +94,9 @@
 			return false
 		}
 		if err := p.entry.store.CompareAndSwap(ctx, ledgerKey(site.ID), data, value.Revision); err != nil {
-			// Also when the write may have happened: the next round reads it back,
-			// and only what was read or is known to be written is ever sent.
+			// The write may have happened nevertheless. The next round reads the
+			// ledger again, and a grant is sent only from a ledger that was read or
+			// whose write was confirmed.
 			return false
 		}
 		current = next
@@ -99,8 +108,8 @@
 	return true
 }
 
-// siteReports gathers what the agents of a site last said, and marks what is silent
-// or gone.
+// siteReports gathers the last power reports of a site's agents and of all endpoints in
+// its ledger, and marks those that are silent or gone.
 func (p *powerCoordinator) siteReports(site *catalogue.Record, ledger *power.Ledger) []power.Report {
 	now := time.Now()
 	members := p.entry.loop.View()
@@ -129,9 +138,9 @@
 	return reports
 }
 
-// isGone tells whether a VM has been off the platform's list, as read by this
-// entry, for longer than the list's lag. Before that, a silent endpoint may
-// still draw its watts.
+// isGone reports whether a VM has been missing from the platform's list, as read by this
+// entry, for longer than the list may lag. Until then a silent endpoint may still draw
+// its watts.
 func (p *powerCoordinator) isGone(now time.Time, name string, members *membership.View) bool {
 	m := members.Members[name]
 	if members.ListReadAt.IsZero() || (m != nil && m.Listed) {
@@ -146,7 +155,8 @@
 	return members.ListReadAt.Sub(since) > p.entry.settings.ListLag.D()
 }
 
-// sendGrants tells the agents of grants that they do not have yet.
+// sendGrants sends each agent its grant if the agent has not applied it yet, and waits
+// for all calls to end.
 func (p *powerCoordinator) sendGrants(ctx context.Context, ledger *power.Ledger, reports []power.Report) {
 	members := p.entry.loop.View()
 	var calls sync.WaitGroup
@@ -166,11 +176,11 @@
 	defer cancel()
 	request := &wire.GrantRequest{Endpoint: endpoint, Incarnation: grant.Incarnation, Revision: grant.Revision, Watts: grant.Watts}
 	if _, err := p.entry.clients.Agent(addr).Grant(ctx, connect.NewRequest(request)); err != nil {
-		p.entry.log.Debug("grant not delivered", zap.String("endpoint", endpoint), zap.Error(err))
+		p.entry.log.Debug("power grant could not be delivered", zap.String("endpoint", endpoint), zap.Error(err))
 	}
 }
 
-// ledger gives a site's ledger as this entry last had it, or nil.
+// ledger returns a site's ledger as this entry last read or wrote it, or nil.
 func (p *powerCoordinator) ledger(site string) *power.Ledger {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -15,20 +15,23 @@
 )
 
 const (
-	// borrowTimeout bounds a question to a home; it ends before the next is due.
+	// borrowTimeout bounds one Borrow call. It is shorter than
+	// admission.BorrowInterval, so that a call ends before the next one is due.
 	borrowTimeout = 400 * time.Millisecond
-	// accountUsageTTL is how long an account's use is remembered.
+	// accountUsageTTL is how long the limiter remembers an account without requests.
 	accountUsageTTL = time.Minute
-	permille        = 1000
+	// permille is the factor by which shares and demands are scaled in messages.
+	permille = 1000
 )
 
-// limitLending is both sides of the limitLending of client accounts' limits: this entry
-// lends as the home of some accounts and borrows for those whose traffic it has.
+// limitLending implements both sides of the lending of client accounts' limits: this
+// entry lends the limits of the accounts whose home entry it is, and borrows shares of
+// the limits of the accounts whose requests it receives.
 type limitLending struct {
 	entry *Entry
 	mu    sync.Mutex
-	// lender and shares are guarded by mu: lend runs on RPC threads, share on
-	// callers' threads.
+	// lender and borrower are guarded by mu: lend is called by RPC handlers, share by
+	// the handlers of callers' requests.
 	lender   *admission.Lender
 	borrower *admission.Borrower
 }
@@ -37,14 +40,14 @@
 	return &limitLending{entry: e, lender: admission.NewLender(time.Now()), borrower: admission.NewBorrower()}
 }
 
-// share is this entry's part of an account's limits, 0 to 1.
+// share is this entry's current share of an account's limits, from 0 to 1.
 func (l *limitLending) share(account string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.borrower.Share(time.Now(), account, int(l.entry.control.entryCount.Load()))
 }
 
-// lend answers another entry, or this one, that asks this one as a home.
+// lend answers a Borrow request of another entry, or of this one, to this home entry.
 func (l *limitLending) lend(request *wire.BorrowRequest) *wire.BorrowResponse {
 	now := time.Now()
 	l.mu.Lock()
@@ -57,7 +60,7 @@
 	return response
 }
 
-// run borrows until ctx ends.
+// run borrows at each admission.BorrowInterval until ctx ends.
 func (l *limitLending) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		membership.Sleep(ctx, admission.BorrowInterval)
@@ -65,7 +68,8 @@
 	}
 }
 
-// borrow asks the home of each limited account with traffic here for a share.
+// borrow asks the home entry of each limited account that has requests here for a
+// share of its limits. All accounts of one home entry go into one request.
 func (l *limitLending) borrow(ctx context.Context) {
 	now := time.Now()
 	l.mu.Lock()
@@ -91,7 +95,8 @@
 	}
 }
 
-// homeCandidates lists the entries that may be homeCandidates, by name; this one has no address.
+// homeCandidates maps the names of the live entries, this one included, to their
+// addresses. This entry's address is "".
 func (l *limitLending) homeCandidates() map[string]string {
 	homes := map[string]string{l.entry.settings.Name: ""}
 	for name, m := range l.entry.loop.View().Members {
@@ -102,6 +107,8 @@
 	return homes
 }
 
+// homeEntry names the home entry of an account: the candidate that rendezvous hashing
+// ranks first, which all entries with the same view agree on.
 func homeEntry(account, self string, homes map[string]string) string {
 	home, best := self, rendezvousWeight("limits/"+account, self)
 	for name := range homes {
@@ -112,8 +119,9 @@
 	return home
 }
 
-// borrowFrom borrows from one home. Without an answer the shares lent before run out, and
-// the entry is left with its own part.
+// borrowFrom sends one Borrow request to the home entry at addr, which is "" for this
+// entry. Without an answer, the shares borrowed before expire and this entry is left
+// with its static share.
 func (l *limitLending) borrowFrom(ctx context.Context, askedAt time.Time, addr string, request *wire.BorrowRequest) {
 	var response *wire.BorrowResponse
 	if addr == "" {
@@ -123,7 +131,7 @@
 		defer cancel()
 		answer, err := l.entry.clients.Peer(addr).Borrow(ctx, connect.NewRequest(request))
 		if err != nil {
-			l.entry.log.Debug("nothing borrowed", zap.String("home", addr), zap.Error(err))
+			l.entry.log.Debug("no limits borrowed: the home entry did not answer", zap.String("home", addr), zap.Error(err))
 			return
 		}
 		response = answer.Msg
--- a/entry/store.go
+++ b/entry/store.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// longPollWait is how long a watch waits at the store before it is renewed.
+	// longPollWait is how long the store holds a watch call that sees no change before
+	// it returns and is sent again.
 	longPollWait = 30 * time.Second
-	// readerPollInterval is how often an entry without the reader's duty looks for it.
+	// readerPollInterval is how often an entry that is not a store reader checks
+	// whether it has become one.
 	readerPollInterval = 200 * time.Millisecond
-	// minStoreBackoff and maxStoreBackoff bound the wait after a failed read: it
-	// doubles, with jitter, so that the store's return is not met by all readers
-	// at once.
+	// minStoreBackoff and maxStoreBackoff bound the wait after a failed read. It
+	// doubles, with jitter, so that not all readers call at once when the store is
+	// back.
 	minStoreBackoff = 200 * time.Millisecond
 	maxStoreBackoff = 5 * time.Second
 )
 
-// watchStore watches the catalogue's pages while this entry has the reader's
-// duty. An entry that holds it wrongly costs the store a few watches.
+// watchStore reads and watches the catalogue's pages in the store while this entry is a
+// store reader, one goroutine per page. An entry that takes itself for one wrongly only
+// costs the store a few watch calls.
 func (e *Entry) watchStore(ctx context.Context) {
 	var unread atomic.Int64
 	unread.Store(catalogue.PageCount)
@@ -36,6 +39,9 @@
 	}
 }
 
+// watchPage watches one page until ctx ends. unread counts the pages that have not been
+// read yet; the last one makes the catalogue ready. An entry that is not a store reader
+// reads nothing once it has read the page or the catalogue is ready.
 func (e *Entry) watchPage(ctx context.Context, page int, unread *atomic.Int64) {
 	revision, read := uint64(0), false
 	backoff := minStoreBackoff
@@ -61,7 +67,9 @@
 	}
 }
 
-// readPage reads a page at once the first time and watches it after that.
+// readPage returns the page's revision after handing a changed page to the catalogue.
+// It reads the page at once or, with watch set, waits until its revision differs from
+// the given one.
 func (e *Entry) readPage(ctx context.Context, number int, revision uint64, watch bool) (uint64, error) {
 	key := catalogue.PageKey(number)
 	var value infra.Value
@@ -76,15 +84,16 @@
 	}
 	page, err := catalogue.DecodePage(value.Data)
 	if err != nil {
-		e.log.Error("the store holds a page that cannot be read", zap.Int("page", number), zap.Error(err))
+		e.log.Error("a catalogue page in the store cannot be decoded", zap.Int("page", number), zap.Error(err))
 		return 0, err
 	}
 	if value.Revision != revision {
 		e.catalogue.PostPage(number, page)
 	}
 	if value.Revision < revision {
-		// A watch of a store that lags returns at once, again and again.
-		return revision, errors.Errorf("%s went back from revision %d to %d", key, revision, value.Revision)
+		// The error makes the caller back off: a watch of a store replica that lags
+		// behind this revision returns at once each time.
+		return revision, errors.Errorf("revision of %s went back from %d to %d", key, revision, value.Revision)
 	}
 	return value.Revision, nil
 }
