--- a/entry/api.go
+++ b/entry/api.go
@@ -16,7 +16,7 @@
 	"aspenyard.example/result"
 )
 
-// callersHandler serves the callers' interface.
+// callersHandler serves the callers' API and the health checks.
 func (e *Entry) callersHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.trackActive(e.completions))
@@ -34,7 +34,7 @@
 	return mux
 }
 
-// trackActive counts the requests in progress, for a graceful shutdown.
+// trackActive counts the requests in flight, for which a graceful shutdown waits.
 func (e *Entry) trackActive(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.activeRequests.Add(1)
@@ -43,9 +43,9 @@
 	}
 }
 
-// completionRequest is the body of a completion, in the shape that users of
-// language-model APIs know. Fields that the system has no use for are accepted
-// and passed over, so that ordinary client libraries work unchanged.
+// completionRequest is the body of a completion request, in the format of common
+// language-model APIs. Fields that the entry does not use are accepted and ignored, so
+// that ordinary client libraries work unchanged.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -61,16 +61,18 @@
 }
 
 const (
+	// defaultMaxTokens is the number of output tokens of a request that sets none.
 	defaultMaxTokens = 256
-	maxTokensLimit   = 1_000_000
+	// maxTokensLimit is the largest number of output tokens a request may ask for.
+	maxTokensLimit = 1_000_000
 )
 
-// readBody decodes a caller's body within the limit.
+// readBody reads the body of a request, up to the body_limit of the settings.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.settings.BodyLimit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, result.Refuse(result.BodyTooLarge, 0, "the body is over %d bytes", tooLarge.Limit)
+		return nil, result.Refuse(result.BodyTooLarge, 0, "the body is longer than %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
 		return nil, result.Refuse(result.BadBody, 0, "the body could not be read")
@@ -82,7 +84,7 @@
 	e.serveCompletion(w, r, completionFormat{}, func(body *completionRequest) (string, *result.Error) {
 		var prompt string
 		if json.Unmarshal(body.Prompt, &prompt) != nil || prompt == "" {
-			return "", result.Refuse(result.BadField, 0, "prompt: a non-empty string")
+			return "", result.Refuse(result.BadField, 0, "prompt must be a non-empty string")
 		}
 		return prompt, nil
 	})
@@ -91,13 +93,13 @@
 func (e *Entry) chat(w http.ResponseWriter, r *http.Request) {
 	e.serveCompletion(w, r, chatFormat{}, func(body *completionRequest) (string, *result.Error) {
 		if len(body.Messages) == 0 {
-			return "", result.Refuse(result.BadField, 0, "messages: at least one")
+			return "", result.Refuse(result.BadField, 0, "messages must contain at least one message")
 		}
 		var prompt strings.Builder
 		for _, message := range body.Messages {
 			var content string
 			if json.Unmarshal(message.Content, &content) != nil {
-				return "", result.Refuse(result.BadField, 0, "messages: content must be a string")
+				return "", result.Refuse(result.BadField, 0, "the content of each message must be a string")
 			}
 			prompt.WriteString(message.Role + ": " + content + "\n")
 		}
@@ -105,12 +107,13 @@
 	})
 }
 
-// serveCompletion serves both kinds of completion.
+// serveCompletion serves a text or a chat completion. promptOf extracts the prompt from
+// the body. A missing or wrong API key is reported before any fault of the body.
 func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request, format responseFormat, promptOf func(*completionRequest) (string, *result.Error)) {
 	data, refusal := e.readBody(w, r)
 	var body completionRequest
 	if refusal == nil && json.Unmarshal(data, &body) != nil {
-		refusal = result.Refuse(result.BadBody, 0, "the body is not the JSON of a completion")
+		refusal = result.Refuse(result.BadBody, 0, "the body is not a valid completion request in JSON")
 	}
 	c, callRefusal := e.prepareCall(r, body.Model, result.UnknownModel)
 	if callRefusal != nil && (refusal == nil || callRefusal.Code == result.NoKey || callRefusal.Code == result.WrongKey) {
@@ -141,7 +144,8 @@
 	out.finish(failure)
 }
 
-// checkTokenCounts checks the lengths that a request asks for.
+// checkTokenCounts checks the prompt's length and the requested output tokens against the
+// limits, sets both in the call and returns the number of output tokens.
 func checkTokenCounts(c *call, body *completionRequest, prompt string) (int, *result.Error) {
 	maxTokens := defaultMaxTokens
 	if body.MaxTokens != nil {
@@ -151,20 +155,20 @@
 		maxTokens = *body.MaxCompletionTokens
 	}
 	if maxTokens < 1 || maxTokens > maxTokensLimit {
-		return 0, result.Refuse(result.BadField, 0, "max_tokens: %d; allowed: 1 to %d", maxTokens, maxTokensLimit)
+		return 0, result.Refuse(result.BadField, 0, "max_tokens is %d; it must be from 1 to %d", maxTokens, maxTokensLimit)
 	}
 	work := c.kind.Work
 	if work.MaxOutputTokens > 0 && maxTokens > work.MaxOutputTokens {
-		return 0, result.Refuse(result.BadField, 0, "max_tokens: %d; this kind of work allows %d", maxTokens, work.MaxOutputTokens)
+		return 0, result.Refuse(result.BadField, 0, "max_tokens is %d; this kind of work allows at most %d", maxTokens, work.MaxOutputTokens)
 	}
 	c.promptTokens, c.outputTokens = admission.EstimateTokens(prompt), maxTokens
 	if work.MaxPromptTokens > 0 && c.promptTokens > work.MaxPromptTokens {
-		return 0, result.Refuse(result.PromptTooLong, 0, "%d tokens; this kind of work allows %d", c.promptTokens, work.MaxPromptTokens)
+		return 0, result.Refuse(result.PromptTooLong, 0, "the prompt has %d tokens; this kind of work allows at most %d", c.promptTokens, work.MaxPromptTokens)
 	}
 	return maxTokens, nil
 }
 
-// service serves calls to plain services.
+// service serves a call to a plain service.
 func (e *Entry) service(w http.ResponseWriter, r *http.Request) {
 	c, body, refusal := e.prepareServiceCall(w, r)
 	if refusal == nil {
@@ -197,7 +201,8 @@
 	_, _ = w.Write(answer.body)
 }
 
-// prepareServiceCall recognises the caller of a plain service and checks the request.
+// prepareServiceCall authenticates the caller of a plain service, reads the body and
+// checks the request. The call is never nil.
 func (e *Entry) prepareServiceCall(w http.ResponseWriter, r *http.Request) (*call, []byte, *result.Error) {
 	kind := r.PathValue("kind")
 	c, refusal := e.prepareCall(r, kind, result.UnknownKind)
@@ -213,11 +218,13 @@
 	case !json.Valid(body):
 		return c, nil, result.Refuse(result.BadBody, 0, "the body is not JSON")
 	case !c.kind.Work.Repeatable && c.idempotencyKey == "":
-		return c, nil, result.Refuse(result.KeyRequired, 0, "%q may not be repeated: send %s", kind, headerIdempotencyKey)
+		return c, nil, result.Refuse(result.KeyRequired, 0, "%q is not repeatable and needs the header %s", kind, headerIdempotencyKey)
 	}
 	return c, body, nil
 }
 
+// models lists the kinds of work that run on a model, in the format of common
+// language-model APIs.
 func (e *Entry) models(w http.ResponseWriter, r *http.Request) {
 	c := &call{id: newID(), startedAt: time.Now()}
 	view := e.catalogue.View()
@@ -241,7 +248,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"object": "list", "data": models})
 }
 
-// requestStatus answers a status lookup.
+// requestStatus is the response to a status lookup.
 type requestStatus struct {
 	RequestID string      `json:"request_id"`
 	State     string      `json:"state"`
@@ -249,6 +256,7 @@
 	Ran       result.Ran  `json:"ran"`
 }
 
+// statusByID reports the result of a request that ended at this entry.
 func (e *Entry) statusByID(w http.ResponseWriter, r *http.Request) {
 	c := &call{id: newID(), startedAt: time.Now()}
 	account, refusal := authenticate(r, e.catalogue.View())
@@ -258,14 +266,15 @@
 	}
 	found, ok := e.recent.find(r.PathValue("id"), account.ID)
 	if !ok {
-		writeError(w, c, result.Fail(result.UnknownRequest, result.RanUnknown, "this entry has no request %q; look it up by key", r.PathValue("id")))
+		writeError(w, c, result.Fail(result.UnknownRequest, result.RanUnknown, "this entry does not know request %q; look it up by its idempotency key", r.PathValue("id")))
 		return
 	}
 	writeHeaders(w, c, result.OK, result.RanYes)
 	writeJSON(w, http.StatusOK, requestStatus{RequestID: found.id, State: "ended", Code: found.code, Ran: found.ran})
 }
 
-// statusByKey tells what became of a request that may not be repeated.
+// statusByKey reports the state of a request that is not repeatable, by its idempotency
+// key. Any entry can answer it.
 func (e *Entry) statusByKey(w http.ResponseWriter, r *http.Request) {
 	c := &call{id: newID(), startedAt: time.Now(), idempotencyKey: r.URL.Query().Get("key")}
 	c.deadline = c.startedAt.Add(e.settings.DefaultDeadline.D())
@@ -284,7 +293,8 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// status reads a claim and, where it is open, asks its agent.
+// status reads the claim of the key and, if the claim has no outcome yet, queries the
+// agent that it names.
 func (n *nonRepeatableCall) status(ctx context.Context) (*requestStatus, *result.Error) {
 	claim, failure := n.readClaim(ctx)
 	if failure != nil {
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -13,7 +13,7 @@
 	"aspenyard.example/settings"
 )
 
-// newTestEntry is an entry whose loops do not run, with an empty catalogue.
+// newTestEntry is an entry with an empty catalogue that does not serve.
 func newTestEntry(tb testing.TB) *Entry {
 	tb.Helper()
 	s := settings.Entry{
@@ -31,8 +31,8 @@
 	return e
 }
 
-// FuzzCallers sends any body and headers to every path of the callers' interface:
-// each answer carries a known code and says that nothing ran.
+// FuzzCallers sends arbitrary bodies and headers to the paths of the callers' API. Each
+// response must carry a known result code and state that nothing ran.
 func FuzzCallers(f *testing.F) {
 	f.Add("/v1/completions", `{"model":"line-plan","prompt":"tie","max_tokens":4}`, "a.b", "30s", "key")
 	f.Add("/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true}`, "", "-1s", "")
@@ -53,7 +53,7 @@
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
 		if recorder.Code == http.StatusNotFound || recorder.Code == http.StatusMethodNotAllowed || recorder.Code == http.StatusMovedPermanently || recorder.Code == http.StatusTemporaryRedirect {
-			return // not a path of the interface
+			return // not a path of the API
 		}
 		code, err := strconv.Atoi(recorder.Header().Get(headerResultCode))
 		if err != nil || result.Lookup(result.Code(code)).Code != result.Code(code) || recorder.Header().Get(headerRan) != string(result.RanNo) {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -21,7 +21,7 @@
 	"aspenyard.example/wire"
 )
 
-// operatorsHandler serves operators' work, metrics and health.
+// operatorsHandler serves the operators' API, the metrics and the health checks.
 func (e *Entry) operatorsHandler() http.Handler {
 	mux := node.MonitoringMux(e.metrics, e.checkReady)
 	mux.HandleFunc("GET /v1/status", e.requireOperator(e.getStatus))
@@ -34,17 +34,19 @@
 	return mux
 }
 
+// operatorHandler handles a request of the operators' API; operator is the id of the
+// authenticated operator.
 type operatorHandler func(w http.ResponseWriter, r *http.Request, c *call, operator string)
 
-// requireOperator admits operators only. While the catalogue names none, the bootstrap
-// key of the settings counts.
+// requireOperator passes only operators' requests on to next. While the catalogue has no
+// operator, the bootstrap key of the settings is accepted.
 func (e *Entry) requireOperator(next operatorHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := &call{id: newID(), startedAt: time.Now()}
 		key := bearerKey(r)
 		view := e.catalogue.View()
 		if key == "" {
-			writeError(w, c, result.Refuse(result.NoKey, 0, "no Authorization header with a bearer key"))
+			writeError(w, c, result.Refuse(result.NoKey, 0, "the request has no Authorization header with a bearer key"))
 			return
 		}
 		if record := view.OperatorByKey(key); record != nil {
@@ -56,7 +58,7 @@
 			next(w, r, c, "bootstrap")
 			return
 		}
-		writeError(w, c, result.Refuse(result.NotOperator, 0, "the key is not an operator's"))
+		writeError(w, c, result.Refuse(result.NotOperator, 0, "the key does not belong to an operator"))
 	}
 }
 
@@ -69,7 +71,7 @@
 func (e *Entry) getRecord(w http.ResponseWriter, r *http.Request, c *call, _ string) {
 	record := e.catalogue.View().Get(catalogue.Type(r.PathValue("type")), r.PathValue("id"))
 	if record == nil {
-		writeError(w, c, result.Refuse(result.UnknownEntry, 0, "no %s %q", r.PathValue("type"), r.PathValue("id")))
+		writeError(w, c, result.Refuse(result.UnknownEntry, 0, "the catalogue has no %s %q", r.PathValue("type"), r.PathValue("id")))
 		return
 	}
 	writeJSON(w, http.StatusOK, record)
@@ -78,7 +80,7 @@
 func (e *Entry) getHistory(w http.ResponseWriter, r *http.Request, c *call, _ string) {
 	records, err := catalogue.History(r.Context(), e.store, catalogue.Type(r.PathValue("type")), r.PathValue("id"))
 	if err != nil {
-		writeError(w, c, result.Refuse(result.StoreUnavailable, storeRetryAfter, "the history cannot be read"))
+		writeError(w, c, result.Refuse(result.StoreUnavailable, storeRetryAfter, "the history cannot be read from the store"))
 		return
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"records": records})
@@ -96,7 +98,7 @@
 		return
 	}
 	if string(record.Type) != r.PathValue("type") || record.ID != r.PathValue("id") {
-		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "type and id differ from the path's"))
+		writeError(w, c, result.Refuse(result.BadCatalogue, 0, "the type and id of the record differ from those in the path"))
 		return
 	}
 	e.applyEdit(w, r, c, operator, record)
@@ -111,18 +113,20 @@
 	e.applyEdit(w, r, c, operator, record)
 }
 
-// editResponse tells of an edit: the record in force and, after a lost race, that
-// it is another's.
+// editResponse is the response to an edit: the record in force and, if another edit came
+// first, Conflict and the error. The record is then that of the other edit.
 type editResponse struct {
 	Record   *catalogue.Record `json:"record"`
 	Conflict bool              `json:"conflict,omitempty"`
 	Error    *errorDetail      `json:"error,omitempty"`
 }
 
+// applyEdit writes an edit to the store and waits until it is in force at this entry. An
+// If-Match header makes the edit conditional on the record's revision.
 func (e *Entry) applyEdit(w http.ResponseWriter, r *http.Request, c *call, operator string, record *catalogue.Record) {
 	expect, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if r.Header.Get("If-Match") != "" && err != nil {
-		writeError(w, c, result.Refuse(result.BadField, 0, "If-Match: a revision"))
+		writeError(w, c, result.Refuse(result.BadField, 0, "If-Match must be a revision number"))
 		return
 	}
 	page := catalogue.PageOf(record.Key())
@@ -144,17 +148,18 @@
 		return
 	}
 	if err := e.catalogue.ApplyPage(r.Context(), outcome.Number, outcome.Page); err != nil {
-		e.log.Warn("edit not in force here yet", zap.String("record", record.Key()), zap.Error(err))
+		e.log.Warn("catalogue edit is stored but not in force at this entry yet", zap.String("record", record.Key()), zap.Error(err))
 	}
 	if err := catalogue.AppendHistory(r.Context(), e.store, outcome.Current); err != nil {
-		e.log.Warn("history not written", zap.String("record", record.Key()), zap.Error(err))
+		e.log.Warn("history of a catalogue edit could not be written", zap.String("record", record.Key()), zap.Error(err))
 	}
 	e.log.Info("catalogue edited", zap.String("record", record.Key()), zap.Uint64("revision", outcome.Current.Revision), zap.String("operator", operator))
 	writeHeaders(w, c, result.OK, result.RanYes)
 	writeJSON(w, http.StatusOK, editResponse{Record: outcome.Current})
 }
 
-// nodeRevision tells whether a node has an edit.
+// nodeRevision is a node's revision of a page and whether an edit of it is in force
+// there.
 type nodeRevision struct {
 	Node     string `json:"node"`
 	Revision uint64 `json:"revision"`
@@ -163,16 +168,18 @@
 }
 
 const (
+	// spreadTimeout bounds the query to one node.
 	spreadTimeout = time.Second
-	// maxSpreadQueries bounds the nodes asked at once.
+	// maxSpreadQueries bounds the nodes that are queried at once.
 	maxSpreadQueries = 64
 )
 
-// getSpread asks every known node for its revision of a record's page.
+// getSpread reports at which nodes an edit is in force. It queries every known node for
+// its revision of the record's page.
 func (e *Entry) getSpread(w http.ResponseWriter, r *http.Request, c *call, _ string) {
 	revision, err := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
-		writeError(w, c, result.Refuse(result.BadField, 0, "revision: a number"))
+		writeError(w, c, result.Refuse(result.BadField, 0, "revision must be a number"))
 		return
 	}
 	page := catalogue.PageOf(catalogue.Key(catalogue.Type(r.PathValue("type")), r.PathValue("id")))
@@ -196,6 +203,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"nodes": spread})
 }
 
+// queryRevision asks one node for its revision of a page; a node that does not answer is
+// silent.
 func (e *Entry) queryRevision(ctx context.Context, name string, m *membership.Member, page int, revision uint64) nodeRevision {
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
@@ -207,7 +216,7 @@
 	return nodeRevision{Node: name, Revision: has, InForce: has >= revision}
 }
 
-// memberStatus is one node in the operators' status.
+// memberStatus is the status of one node, as the operators' API reports it.
 type memberStatus struct {
 	Node       string `json:"node"`
 	Role       string `json:"role"`
@@ -220,14 +229,17 @@
 	LimitWatts uint64 `json:"limit_watts,omitempty"`
 }
 
-// siteStatus is one site's power in the operators' status.
+// siteStatus is the power status of one site, as the operators' API reports it.
 type siteStatus struct {
 	Site string `json:"site"`
-	// CapWatts is asked for; InForceWatts is what the site keeps to now.
+	// CapWatts is the cap that the operators set; InForceWatts the cap that the site
+	// keeps to now, which is higher until a lowered cap has taken effect. CountedWatts
+	// is the most that the site may be drawing.
 	CapWatts     uint64 `json:"cap_watts"`
 	InForceWatts uint64 `json:"cap_in_force_watts"`
 	CountedWatts uint64 `json:"counted_watts"`
-	// Known is false when another entry keeps this site's ledger.
+	// Known is false when this entry does not have the site's ledger, because another
+	// entry coordinates the site.
 	Known bool `json:"known"`
 }
 
@@ -245,6 +257,7 @@
 	})
 }
 
+// describeMember derives a node's status from its last heartbeat.
 func describeMember(name string, m *membership.Member) memberStatus {
 	status := memberStatus{Node: name, Role: m.Role(), DataCentre: m.DataCentre(), Addr: m.Addr(), State: "live"}
 	switch {
--- a/entry/response.go
+++ b/entry/response.go
@@ -11,7 +11,7 @@
 	"aspenyard.example/result"
 )
 
-// errorBody is the stable body of an error.
+// errorBody is the JSON body of every error response. Clients depend on its fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -32,12 +32,15 @@
 	}}
 }
 
+// writeHeaders sets the headers that every response carries: the request id, the result
+// code and whether the request ran.
 func writeHeaders(w http.ResponseWriter, c *call, code result.Code, ran result.Ran) {
 	w.Header().Set(headerRequestID, c.id)
 	w.Header().Set(headerResultCode, strconv.Itoa(int(code)))
 	w.Header().Set(headerRan, string(ran))
 }
 
+// writeError writes an error response. Retry-After is rounded up to whole seconds.
 func writeError(w http.ResponseWriter, c *call, failure *result.Error) {
 	writeHeaders(w, c, failure.Code, failure.Ran)
 	if failure.RetryAfter > 0 {
@@ -52,20 +55,23 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// finishRefused ends a call that was not admitted.
+// finishRefused finishes a call that was not admitted and writes its error response.
 func (e *Entry) finishRefused(w http.ResponseWriter, c *call, refusal *result.Error) {
 	e.finishCall(c, refusal)
 	writeError(w, c, refusal)
 }
 
-// responseFormat is how an answer looks: a text completion's or a chat's.
+// responseFormat builds the JSON of a response: that of a text completion or of a chat
+// completion.
 type responseFormat interface {
-	// chunk is one server-sent event; finish is "" before the last.
+	// chunk is the data of one server-sent event. finish is the finish reason, "" before
+	// the last event.
 	chunk(c *call, text, finish string) any
-	// complete is an answer in one piece.
+	// complete is the body of a response that is not streamed.
 	complete(c *call, text string, tokens int) any
 }
 
+// usage is the token count of a response.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -76,6 +82,8 @@
 	return &usage{c.promptTokens, tokens, c.promptTokens + tokens}
 }
 
+// completionResponse is a response or one event of a streamed response, in the format of
+// common language-model APIs.
 type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -85,6 +93,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
+// choice is the output of a completion. Which of Text, Delta and Message is set depends
+// on the kind of completion and on streaming.
 type choice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
@@ -105,8 +115,8 @@
 	return completionResponse{ID: c.id, Object: object, Created: c.startedAt.Unix(), Model: c.kind.ID, Choices: []choice{ch}}
 }
 
-// finishLength is the finish reason of every answer: the engines generate up to
-// the number of tokens asked for.
+// finishLength is the finish reason of every response: engines always generate up to the
+// requested number of tokens.
 const finishLength = "length"
 
 type completionFormat struct{}
@@ -133,10 +143,10 @@
 	return a
 }
 
-// responseWriter writes one generation's answer. A streamed answer begins with its
-// first token, so that a failure before it has its own HTTP status. An answer
-// that fails later ends with an error event and without the end marker, and an
-// answer in one piece is only written when it is complete.
+// responseWriter writes the response of one generation. The head of a streamed response
+// is written with the first token, so that a failure before it has its own HTTP status. A
+// stream that fails later ends with an error event and without the [DONE] marker. A
+// response that is not streamed is written only when it is complete.
 type responseWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
@@ -152,7 +162,7 @@
 	return &responseWriter{w: w, controller: http.NewResponseController(w), call: c, format: format, stream: stream}
 }
 
-// writeTokens implements sink.
+// writeTokens implements tokenWriter.
 func (r *responseWriter) writeTokens(text string, tokens int) error {
 	r.tokens += tokens
 	if !r.stream {
@@ -163,6 +173,7 @@
 	return r.writeEvent(r.format.chunk(r.call, text, ""))
 }
 
+// writeHead writes the head of a streamed response once.
 func (r *responseWriter) writeHead() {
 	if r.headSent {
 		return
@@ -185,7 +196,7 @@
 	return r.controller.Flush()
 }
 
-// finish ends the answer.
+// finish writes the end of the response; failure is nil for a generation that succeeded.
 func (r *responseWriter) finish(failure *result.Error) {
 	switch {
 	case failure != nil && !r.headSent:
