--- a/entry/once.go
+++ b/entry/once.go
@@ -24,11 +24,10 @@
 	inProgressRetryAfter = time.Second
 	// resolveInterval is the time between queries to an agent whose stream broke.
 	resolveInterval = 200 * time.Millisecond
-	// recordTries is meant to bound the writes of an outcome before the caller is
-	// answered. Nothing uses it: recordOutcome makes one such write.
-	recordTries = 3
-	// backgroundRecordTime is how long an entry keeps trying to resolve and record an
-	// outcome after the caller was answered.
+	// recordTries is unused: it was meant to bound the writes of an outcome before the
+	// caller is answered, of which recordOutcome makes one. backgroundRecordTime is how
+	// long an entry keeps trying to resolve and record an outcome after that.
+	recordTries          = 3
 	backgroundRecordTime = 10 * time.Minute
 )
 
