--- a/entry/operators.go
+++ b/entry/operators.go
@@ -212,8 +212,8 @@
 	if err != nil || page >= len(response.Msg.Revisions) {
 		return nodeRevision{Node: name, Silent: true}
 	}
-	has := response.Msg.Revisions[page]
-	return nodeRevision{Node: name, Revision: has, InForce: has >= revision}
+	known := response.Msg.Revisions[page]
+	return nodeRevision{Node: name, Revision: known, InForce: known >= revision}
 }
 
 // memberStatus is the status of one node, as the operators' API reports it.
@@ -250,9 +250,9 @@
 		list = append(list, describeMember(name, m))
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Node < list[j].Node })
-	sum, hash := e.catalogue.View().Digest()
+	revisionSum, hash := e.catalogue.View().Digest()
 	writeJSON(w, http.StatusOK, map[string]any{
-		"node": e.settings.Name, "catalogue_revision": sum, "catalogue_hash": strconv.FormatUint(hash, 16),
+		"node": e.settings.Name, "catalogue_revision": revisionSum, "catalogue_hash": strconv.FormatUint(hash, 16),
 		"reader": e.control.isStoreReader.Load(), "members": list, "sites": e.siteStatuses(), "active_requests": e.activeRequests.Load(),
 	})
 }
--- a/entry/power.go
+++ b/entry/power.go
@@ -124,10 +124,10 @@
 			continue
 		}
 		known[name] = true
-		draw := m.LastHeartbeat.Power
+		powerReport := m.LastHeartbeat.Power
 		reports = append(reports, power.Report{
-			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, FloorWatts: draw.FloorWatts, MaxWatts: draw.MaxWatts, WantWatts: draw.WantWatts,
-			LimitWatts: draw.LimitWatts, Revision: draw.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && p.isGone(now, name, members),
+			Endpoint: name, Incarnation: m.LastHeartbeat.Incarnation, FloorWatts: powerReport.FloorWatts, MaxWatts: powerReport.MaxWatts, WantWatts: powerReport.WantWatts,
+			LimitWatts: powerReport.LimitWatts, Revision: powerReport.GrantRevision, Silent: m.Suspect, Gone: m.Suspect && p.isGone(now, name, members),
 		})
 	}
 	for name := range ledger.Grants {
--- a/entry/service.go
+++ b/entry/service.go
@@ -15,7 +15,7 @@
 	ctx, cancel := c.withDeadline(ctx)
 	defer cancel()
 	request := routing.Request{Service: c.kind.Work.Service, Class: c.class(), DataCentre: e.settings.DataCentre, Tried: map[string]bool{}}
-	ran, refusals := result.RanNo, 0
+	ran, failures := result.RanNo, 0
 	for {
 		c.attempts++
 		answer, failure := e.attemptRepeatable(ctx, c, &request, body)
@@ -25,11 +25,11 @@
 		}
 		ran = combineRan(ran, failure.Ran)
 		failure.Ran = ran
-		refusals++
+		failures++
 		switch {
 		case ctx.Err() != nil:
 			return serviceResponse{}, result.Fail(result.DeadlineExceeded, ran, "the deadline passed before the request ended")
-		case failure.Code == result.ServiceFailed, refusals >= routing.MaxAttempts, len(request.Tried) == 0:
+		case failure.Code == result.ServiceFailed, failures >= routing.MaxAttempts, len(request.Tried) == 0:
 			if ran != result.RanNo && failure.Code.Refusal() {
 				failure.Code = result.EndpointFailed
 			}
--- a/entry/span.go
+++ b/entry/span.go
@@ -21,28 +21,28 @@
 // its deadline: a request that holds an endpoint never waits for one with an earlier
 // name.
 func planSplit(r *routing.Request, endpoints []routing.Endpoint) ([]*routing.Endpoint, *result.Error) {
-	need := r.PromptTokens + r.OutputTokens
-	total := 0
+	neededTokens := r.PromptTokens + r.OutputTokens
+	totalTokens := 0
 	var usable []*routing.Endpoint
 	for i := range endpoints {
 		e := &endpoints[i]
 		if e.MemoryTokens == 0 || !mightServe(r, e) {
 			continue
 		}
-		total += routing.MaxPromptTokens(e)
+		totalTokens += routing.MaxPromptTokens(e)
 		if (routing.CanServe{}).Keep(r, e) {
 			usable = append(usable, e)
 		}
 	}
-	if total > 0 && total < need {
-		return nil, result.Refuse(result.PromptTooLong, 0, "the request needs %d tokens of KV cache, all endpoints together have %d", need, total)
+	if totalTokens > 0 && totalTokens < neededTokens {
+		return nil, result.Refuse(result.PromptTooLong, 0, "the request needs %d tokens of KV cache, all endpoints together have %d", neededTokens, totalTokens)
 	}
 	if !fitsSingleEndpoint(r, endpoints) {
-		if chosen := leastBusy(r, usable, need); chosen != nil {
+		if chosen := leastBusy(r, usable, neededTokens); chosen != nil {
 			return chosen, nil
 		}
 	}
-	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "the live endpoints cannot serve a request of %d tokens to %q now", need, r.Model)
+	return nil, result.Refuse(result.NoEndpoint, noEndpointRetryAfter, "the live endpoints cannot serve a request of %d tokens to %q now", neededTokens, r.Model)
 }
 
 // mightServe reports whether an endpoint serves the model or might do so later: an
@@ -66,15 +66,15 @@
 
 // leastBusy takes the endpoints with the smallest backlog until together they hold the
 // needed tokens, and returns them sorted by name; nil if all of them do not suffice.
-func leastBusy(r *routing.Request, usable []*routing.Endpoint, need int) []*routing.Endpoint {
+func leastBusy(r *routing.Request, usable []*routing.Endpoint, neededTokens int) []*routing.Endpoint {
 	level := r.Level()
 	sort.SliceStable(usable, func(i, j int) bool {
 		return usable[i].Backlog.UpTo(level) < usable[j].Backlog.UpTo(level)
 	})
-	held := 0
+	capacityTokens := 0
 	for n, e := range usable {
-		held += routing.MaxPromptTokens(e)
-		if held >= need {
+		capacityTokens += routing.MaxPromptTokens(e)
+		if capacityTokens >= neededTokens {
 			chosen := append([]*routing.Endpoint(nil), usable[:n+1]...)
 			sort.Slice(chosen, func(i, j int) bool { return chosen[i].Name < chosen[j].Name })
 			return chosen
@@ -93,10 +93,10 @@
 	var imports []*wire.Import
 	rest := g.prompt
 	for i, helper := range endpoints[:len(endpoints)-1] {
-		after := len(endpoints) - 1 - i
-		size := min(routing.MaxPromptTokens(helper), admission.EstimateTokens(rest)-after)
+		laterEndpoints := len(endpoints) - 1 - i
+		partTokens := min(routing.MaxPromptTokens(helper), admission.EstimateTokens(rest)-laterEndpoints)
 		var part string
-		part, rest = splitText(rest, size*admission.BytesPerToken)
+		part, rest = splitText(rest, partTokens*admission.BytesPerToken)
 		held, failure := g.prefillPart(ctx, cancel, helper, part, imports)
 		if failure != nil {
 			g.routing.Tried[helper.Name] = true
