--- a/entry/operators.go
+++ b/entry/operators.go
@@ -121,8 +121,9 @@
 	Error    *errorDetail      `json:"error,omitempty"`
 }
 
-// applyEdit writes an edit to the store and waits until it is in force at this entry. An
-// If-Match header makes the edit conditional on the record's revision.
+// applyEdit writes an edit to the store, puts it in force at this entry and adds it to the
+// record's history; after the write, failures are only logged. An If-Match header makes the
+// edit conditional on the record's revision.
 func (e *Entry) applyEdit(w http.ResponseWriter, r *http.Request, c *call, operator string, record *catalogue.Record) {
 	expect, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if r.Header.Get("If-Match") != "" && err != nil {
@@ -203,8 +204,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{"nodes": spread})
 }
 
-// queryRevision asks one node for its revision of a page; a node that does not answer is
-// silent.
+// queryRevision asks one node for its revision of a page. A node that does not answer is
+// reported as silent.
 func (e *Entry) queryRevision(ctx context.Context, name string, m *membership.Member, page int, revision uint64) nodeRevision {
 	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
 	defer cancel()
@@ -243,6 +244,7 @@
 	Known bool `json:"known"`
 }
 
+// getStatus reports this entry's view of the nodes, the sites' power and the catalogue.
 func (e *Entry) getStatus(w http.ResponseWriter, _ *http.Request, _ *call, _ string) {
 	members := e.loop.View().Members
 	list := make([]memberStatus, 0, len(members))
