--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside one endpoint. It alone gives orders to
-// what it stands beside, and it is the authority on whether work started there:
-// an entry's view of the endpoint is only a hint.
+// Package agent implements the process that runs beside one endpoint. Only the agent sends
+// requests to its endpoint, and it is the authority on whether a request started there: the
+// view that an entry has of the endpoint is only a hint.
 package agent
 
 import (
@@ -23,7 +23,7 @@
 	"aspenyard.example/wire/wireconnect"
 )
 
-// Agent is one agent's process.
+// Agent is the agent process of one endpoint.
 type Agent struct {
 	settings    settings.Agent
 	log         *zap.Logger
@@ -36,11 +36,11 @@
 	loop        *membership.Loop
 	control     *controlState
 	health      endpointHealth
-	// activeRuns counts the orders being carried out, for a graceful shutdown.
+	// activeRuns counts the run requests in progress; a drain waits for them.
 	activeRuns sync.WaitGroup
 }
 
-// New makes an agent; Serve starts it.
+// New returns the agent that s configures. It opens no connection before Serve.
 func New(s settings.Agent, log *zap.Logger) *Agent {
 	clients := node.NewClients()
 	return &Agent{
@@ -49,28 +49,29 @@
 	}
 }
 
-// takeOverRetryInterval is the wait between tries to reach the endpoint at start.
+// takeOverRetryInterval is the wait between attempts to reach the endpoint at startup.
 const takeOverRetryInterval = 100 * time.Millisecond
 
-// Serve works until a signal arrives or ctx ends. The first signal drains: new
-// work is refused, queued work is sent away, running work ends, within the
-// settings' drain_timeout. A second signal, or ctx's end, stops at once.
+// Serve runs the agent until a signal arrives, ctx ends or one of its servers fails, whose
+// error it returns. The first signal drains the agent: new and queued jobs are refused, and
+// running jobs may finish within drain_timeout of the settings. A second signal, or the end of
+// ctx, stops the agent at once. So does a signal before the endpoint was taken over.
 func (a *Agent) Serve(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	// The listener comes first: it is what keeps a second agent, such as a
-	// predecessor that was paused, from standing beside the same endpoint.
+	// The listener is opened before the endpoint is used: the bound port excludes a second
+	// agent for the same endpoint, such as a predecessor that was suspended and resumed.
 	listener, err := net.Listen("tcp", a.settings.Listen)
 	if err != nil {
-		return errors.Wrap(err, "listen for entries")
+		return errors.Wrap(err, "listen for RPCs")
 	}
-	operators, err := net.Listen("tcp", a.settings.OperatorsListen)
+	monitoring, err := net.Listen("tcp", a.settings.OperatorsListen)
 	if err != nil {
-		return errors.Wrap(err, "listen for operators")
+		return errors.Wrap(err, "listen for monitoring requests")
 	}
 	failures := make(chan error, 3)
 	go func() {
-		failures <- node.ServeHTTP(ctx, operators, node.MonitoringMux(a.metrics, a.checkReady))
+		failures <- node.ServeHTTP(ctx, monitoring, node.MonitoringMux(a.metrics, a.checkReady))
 	}()
 	if !a.awaitEndpoint(ctx, signals) {
 		return nil
@@ -95,16 +96,16 @@
 	}
 }
 
-// awaitEndpoint waits for the endpoint, takes a fencing number above any it has
-// seen, and cancels what a predecessor left there. Until then this agent is not
-// heard of, so no work can be counted on memory that is still taken.
+// awaitEndpoint repeats takeOver until it succeeds. It returns false if ctx ended or a signal
+// arrived first. The agent sends no heartbeat before, so that no entry counts on KV cache
+// that sequences of a predecessor still hold.
 func (a *Agent) awaitEndpoint(ctx context.Context, signals <-chan os.Signal) bool {
 	for {
 		err := a.takeOver(ctx)
 		if err == nil {
 			return true
 		}
-		a.log.Warn("endpoint not ready", zap.Error(err))
+		a.log.Warn("cannot take over the endpoint; retrying", zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return false
@@ -115,6 +116,9 @@
 	}
 }
 
+// takeOver reads the endpoint's status, chooses a fencing number above any that the endpoint
+// has seen, which is also the agent's incarnation, and cancels the sequences that a
+// predecessor left at an engine.
 func (a *Agent) takeOver(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -123,8 +127,8 @@
 		return err
 	}
 	a.status = status
-	// The clock makes the number rise from one VM to the next; the endpoint's own
-	// memory makes it rise even where the clock went back.
+	// The clock makes the number increase when the agent moves to another VM. The last
+	// number that the endpoint has seen makes it increase even if the clock went back.
 	a.incarnation = max(uint64(time.Now().UnixMilli()), status.FencingNumber+1)
 	a.engine.SetFencingNumber(a.incarnation)
 	if a.settings.Kind == "service" {
@@ -133,13 +137,15 @@
 	return a.cancelSequences(ctx)
 }
 
+// cancelSequences cancels all sequences at the engine and stops at the first error. It runs
+// before this agent starts sequences of its own.
 func (a *Agent) cancelSequences(ctx context.Context) error {
 	sequences, err := a.engine.Sequences(ctx)
 	if err != nil {
 		return err
 	}
 	for _, sequence := range sequences {
-		a.log.Info("cancel a predecessor's sequence", zap.String("sequence", sequence.ID))
+		a.log.Info("cancelling a sequence left by a previous agent", zap.String("sequence", sequence.ID))
 		if err := a.engine.Cancel(ctx, sequence.ID); err != nil {
 			return err
 		}
@@ -147,6 +153,8 @@
 	return nil
 }
 
+// initControl creates the control state and the control loop, which need the endpoint's
+// status and the incarnation.
 func (a *Agent) initControl() {
 	a.control = newControlState(a)
 	a.loop = membership.NewLoop(membership.Config{
@@ -173,21 +181,23 @@
 	a.metrics.NewGauge("aspenyard_agent_power_limit_watts", func() float64 { return float64(a.control.gauges.limitWatts.Load()) })
 }
 
-// checkReady tells the platform whether the endpoint takes work.
+// checkReady returns nil if the endpoint accepts requests, and otherwise the reason why it
+// does not. The readiness check of the monitoring server calls it.
 func (a *Agent) checkReady() error {
 	if a.loop == nil {
-		return errors.New("the endpoint has not been reached yet")
+		return errors.New("the agent has not taken over its endpoint yet")
 	}
 	if a.loop.Leaving() {
-		return errors.New("leaving")
+		return errors.New("the agent is draining")
 	}
 	if !a.health.isUp() {
-		return errors.New("the endpoint does not answer")
+		return errors.New("the endpoint does not answer health probes")
 	}
 	return nil
 }
 
-// drain ends gracefully.
+// drain refuses new and queued jobs and waits until the running jobs have finished, a further
+// signal arrives or drain_timeout has passed.
 func (a *Agent) drain(ctx context.Context, signals <-chan os.Signal) {
 	a.log.Info("draining", zap.Duration("at_most", a.settings.DrainTimeout.D()))
 	a.loop.Leave()
@@ -201,15 +211,16 @@
 	}()
 	select {
 	case <-done:
-		// The last answers are in the sockets' buffers; the entries read them
-		// before the connections are closed.
+		// The last answers may still be in the sockets' buffers. This wait lets the entries
+		// read them before the connections are closed.
 		time.Sleep(answerFlushDelay)
 		a.log.Info("drained")
 	case <-signals:
-		a.log.Warn("second signal: stopping with work unfinished")
+		a.log.Warn("second signal; stopping with unfinished requests")
 	case <-time.After(a.settings.DrainTimeout.D()):
-		a.log.Warn("drain_timeout passed: stopping with work unfinished")
+		a.log.Warn("drain_timeout has passed; stopping with unfinished requests")
 	}
 }
 
+// answerFlushDelay is the wait between the last answer and the end of the process.
 const answerFlushDelay = 200 * time.Millisecond
--- a/agent/control.go
+++ b/agent/control.go
@@ -15,24 +15,27 @@
 	"aspenyard.example/wire"
 )
 
-// outcomeRetention is how long an attempt's outcome is kept for those who ask
-// again: longer than any entry's deadline.
+// outcomeRetention is how long the outcome of an attempt is kept for entries that ask for it
+// again. It is longer than any deadline that an entry accepts.
 const outcomeRetention = time.Hour
 
-// job is one reservation's work while it is open.
+// job is a reservation that is not yet over, from its acceptance to the queue until its
+// batch slot and memory are free. Its mutable fields belong to the control thread.
 type job struct {
 	reservation attempt.Reservation
 	class       admission.Class
 	repeatable  bool
-	// decision gets nil when the work may start, or why it never will.
+	// decision receives once: nil when the job may start, or the reason why it never will.
 	decision chan *result.Error
-	// cancel ends running work, with the reason as its cause; nil before.
+	// cancel stops the running job with the reason as the context's cause. It is nil before
+	// the job runs, and for the jobs of a plain service.
 	cancel context.CancelCauseFunc
-	// stopping is set once the order was shed and until its place is free.
+	// stopping is set once the job was shed. Its slot stays taken until the job is removed.
 	stopping bool
 }
 
-// controlState is the agent's state on the controlState thread.
+// controlState is the part of the agent's state that belongs to the control thread. It
+// implements membership.Delegate.
 type controlState struct {
 	agent          *Agent
 	startedAt      time.Time
@@ -44,18 +47,20 @@
 	endpointDown   bool
 	catalogueView  *catalogue.View
 	catalogueReady bool
-	// powerRefusals counts the refusals for want of power in this period and the one
-	// before; periodEnd is when this one ends.
+	// powerRefusals and previousPowerRefusals count the reservations that were refused for
+	// lack of power in the current powerRefusalPeriod, which ends at powerPeriodEnd, and in
+	// the one before.
 	powerRefusals, previousPowerRefusals int
 	powerPeriodEnd                       time.Time
 	gauges                               gauges
 }
 
-// gauges holds what other threads may read.
+// gauges holds the values of metrics, which any thread may read.
 type gauges struct {
 	running, queued, attempts, limitWatts atomic.Int64
 }
 
+// newControlState returns the control state of an agent that has taken over its endpoint.
 func newControlState(a *Agent) *controlState {
 	slots := int(a.status.MaxRunning)
 	if a.settings.Kind == "service" {
@@ -72,114 +77,120 @@
 	}
 }
 
-// reserve takes a job into the queue, or refuses it.
+// reserve offers a request to the queue. If the queue accepts it, reserve returns its
+// reservation, whose lease has started. Otherwise the decision holds the reason.
 func (c *controlState) reserve(now time.Time, request *wire.ReserveRequest) (attempt.Reservation, admission.Decision) {
 	if c.endpointDown {
 		return attempt.Reservation{}, admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
 	}
 	reservation := c.table.Reserve(now)
 	class := admission.Class(min(request.Class, uint32(admission.Bulk)))
-	verdict := c.queue.Offer(now, admission.Job{
+	decision := c.queue.Offer(now, admission.Job{
 		ID: reservation.Number, DeferralKey: request.Key, Account: request.Account, Class: class,
 		PromptTokens: int(request.PromptTokens), OutputTokens: int(request.OutputTokens),
 		Deadline: now.Add(time.Duration(request.RemainingMs) * time.Millisecond),
 	})
-	if !verdict.Accepted {
+	if !decision.Accepted {
 		c.table.Discard(reservation)
-		if verdict.Code == result.NoPower {
+		if decision.Code == result.NoPower {
 			c.powerRefusals++
 		}
-		return reservation, verdict
+		return reservation, decision
 	}
 	c.jobs[reservation.Number] = &job{
 		reservation: reservation, class: class, repeatable: request.Repeatable, decision: make(chan *result.Error, 1),
 	}
-	return reservation, verdict
+	return reservation, decision
 }
 
-// accept takes the order of a reservation in; nil when it may never start.
+// accept accepts the run request of a reservation and returns its job, or nil if the run
+// request must never start. The job may start from now on.
 func (c *controlState) accept(now time.Time, reservation attempt.Reservation) *job {
 	if !c.table.Accept(now, reservation) {
 		return nil
 	}
-	o := c.jobs[reservation.Number]
+	j := c.jobs[reservation.Number]
 	c.queue.MarkReady(reservation.Number)
 	c.startReady()
-	return o
+	return j
 }
 
-// startReady starts whatever may start. While the queue is being emptied nothing may:
-// each order that goes could let the next one start.
+// startReady starts the jobs that the queue has capacity for. While the endpoint is down or
+// the agent drains it starts none: refuseQueued refuses the queued jobs one by one, and each
+// removal would otherwise start the next job just before that is refused.
 func (c *controlState) startReady() {
 	for !c.endpointDown && !c.leaving {
 		id, found := c.queue.StartNext()
 		if !found {
 			return
 		}
-		o := c.jobs[id]
-		if c.table.Start(o.reservation) {
-			o.decision <- nil
+		j := c.jobs[id]
+		if c.table.Start(j.reservation) {
+			j.decision <- nil
 			continue
 		}
-		c.remove(o)
+		c.remove(j)
 	}
 }
 
-// markPrefilled notes that an order's prefill is done, which may let another start.
-func (c *controlState) markPrefilled(o *job) {
-	c.queue.MarkPrefilled(o.reservation.Number)
+// markPrefilled records the end of a job's prefill, after which another job may start.
+func (c *controlState) markPrefilled(j *job) {
+	c.queue.MarkPrefilled(j.reservation.Number)
 	c.startReady()
 }
 
-// remove frees what an order held.
-func (c *controlState) remove(o *job) {
-	delete(c.jobs, o.reservation.Number)
-	c.queue.Remove(o.reservation.Number)
-	c.table.Discard(o.reservation)
+// remove frees the slot and the memory of a job and starts the jobs that fit in their place.
+func (c *controlState) remove(j *job) {
+	delete(c.jobs, j.reservation.Number)
+	c.queue.Remove(j.reservation.Number)
+	c.table.Discard(j.reservation)
 	c.startReady()
 }
 
-// withdraw cancels a reservation that has not started, or tells its state.
+// withdraw cancels a reservation that has not started and returns attempt.DidNotRun, or
+// returns the reservation's state and outcome. With peek it cancels nothing.
 func (c *controlState) withdraw(now time.Time, reservation attempt.Reservation, peek bool) (attempt.State, attempt.Outcome) {
 	if peek {
 		return c.table.Peek(now, reservation)
 	}
 	state, outcome := c.table.Withdraw(reservation)
 	if state == attempt.DidNotRun {
-		if o := c.jobs[reservation.Number]; o != nil && reservation.Incarnation == c.agent.incarnation {
-			c.refuse(o, result.Refuse(result.Withdrawn, 0, "withdrawn"))
+		if j := c.jobs[reservation.Number]; j != nil && reservation.Incarnation == c.agent.incarnation {
+			c.refuse(j, result.Refuse(result.Withdrawn, 0, "the reservation was withdrawn before it started"))
 		}
 	}
 	return state, outcome
 }
 
-// refuse ends an order that has not started.
-func (c *controlState) refuse(o *job, why *result.Error) {
+// refuse removes a job that has not started and sends the reason to its run request.
+func (c *controlState) refuse(j *job, reason *result.Error) {
 	select {
-	case o.decision <- why:
+	case j.decision <- reason:
 	default:
 	}
-	c.remove(o)
+	c.remove(j)
 }
 
-// startDraining refuses new work and sends queued work away; running work ends.
+// startDraining refuses new and queued jobs. Running jobs go on.
 func (c *controlState) startDraining() {
 	c.leaving = true
 	c.queue.SetClosed(true)
-	c.refuseQueued(result.Refuse(result.Leaving, 0, "the endpoint is leaving"))
+	c.refuseQueued(result.Refuse(result.Leaving, 0, "the endpoint's agent is draining"))
 }
 
-func (c *controlState) refuseQueued(why *result.Error) {
+// refuseQueued refuses all jobs that have not started, with reason.
+func (c *controlState) refuseQueued(reason *result.Error) {
 	for _, id := range c.queue.Waiting() {
-		o := c.jobs[id]
-		if state, _ := c.table.Withdraw(o.reservation); state == attempt.DidNotRun {
-			c.refuse(o, why)
+		j := c.jobs[id]
+		if state, _ := c.table.Withdraw(j.reservation); state == attempt.DidNotRun {
+			c.refuse(j, reason)
 		}
 	}
 }
 
-// setDown follows the endpoint's health. When it stops answering, all orders end
-// at once: their callers are served elsewhere rather than at their deadlines.
+// setDown records whether the endpoint is down. When it goes down, the queued jobs are
+// refused and the running jobs that are repeatable are stopped, so that entries retry them
+// elsewhere at once instead of waiting until their deadlines.
 func (c *controlState) setDown(down bool) {
 	if c.endpointDown == down {
 		return
@@ -190,15 +201,14 @@
 		return
 	}
 	c.refuseQueued(result.Refuse(result.NoEndpoint, time.Second, "the endpoint does not answer"))
-	for _, o := range c.jobs {
-		if o.cancel != nil && o.repeatable {
-			o.cancel(result.Fail(result.EndpointFailed, result.RanYes, "the endpoint does not answer"))
+	for _, j := range c.jobs {
+		if j.cancel != nil && j.repeatable {
+			j.cancel(result.Fail(result.EndpointFailed, result.RanYes, "the endpoint does not answer"))
 		}
 	}
 }
 
-// applyGrant applies a power applyGrant and sheds work that does not fit it, the least
-// urgent and latest first.
+// applyGrant applies a power grant and sheds the running jobs that exceed it.
 func (c *controlState) applyGrant(request *wire.GrantRequest) *wire.GrantResponse {
 	applied := c.limit.Apply(request.Incarnation, request.Revision, request.Watts)
 	c.applyLimit()
@@ -208,19 +218,23 @@
 	return &wire.GrantResponse{Applied: applied, LimitWatts: c.limit.EnforcedWatts(c.queue.Report().Running), Revision: c.limit.Revision()}
 }
 
+// applyLimit sets the number of slots that the power limit allows and starts ready jobs.
 func (c *controlState) applyLimit() {
 	c.queue.SetSlots(c.limit.Slots())
 	c.startReady()
 }
 
+// shed stops as many running jobs as exceed the slots of the power limit: those of the least
+// urgent class first, and within a class those that were reserved last. Only repeatable jobs
+// are stopped. Jobs that are already stopping count as stopped.
 func (c *controlState) shed() {
 	excess := c.queue.Report().Running - c.limit.Slots()
 	var running []*job
-	for _, o := range c.jobs {
-		if o.stopping {
+	for _, j := range c.jobs {
+		if j.stopping {
 			excess--
-		} else if o.cancel != nil && o.repeatable {
-			running = append(running, o)
+		} else if j.cancel != nil && j.repeatable {
+			running = append(running, j)
 		}
 	}
 	if excess <= 0 {
@@ -232,20 +246,21 @@
 		}
 		return int(b.reservation.Number) - int(a.reservation.Number)
 	})
-	for _, o := range running[:min(excess, len(running))] {
-		o.stopping = true
-		o.cancel(result.Fail(result.NoPower, result.RanYes, "stopped to keep the site within its power cap"))
+	for _, j := range running[:min(excess, len(running))] {
+		j.stopping = true
+		j.cancel(result.Fail(result.NoPower, result.RanYes, "stopped to keep the site within its power cap"))
 	}
 }
 
-// FillHeartbeat implements membership.Delegate.
+// FillHeartbeat implements membership.Delegate: it adds the endpoint, its load report, its
+// power and the catalogue's digest to a heartbeat.
 func (c *controlState) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
 	a := c.agent
 	h.Endpoint, h.EngineAddr, h.OperatorsAddr = a.settings.Name, a.settings.Endpoint, a.settings.OperatorsListen
 	h.Models, h.Services = a.status.Models, a.settings.Services
 	if c.endpointDown || !c.catalogueReady {
-		// Nothing is offered that would be refused: without the catalogue this agent
-		// does not know whether its site has a power cap.
+		// The agent advertises no model or service that it would refuse. Without the catalogue
+		// it does not know whether its site has a power cap, and starts nothing.
 		h.Models, h.Services = nil, nil
 	}
 	h.Load = c.loadReport(now)
@@ -259,16 +274,19 @@
 	a.catalogue.FillHeartbeat(h)
 }
 
-// powerRefusalPeriod is the time over which refusals for want of power are counted.
+// powerRefusalPeriod is the length of the periods in which refusals for lack of power are
+// counted.
 const powerRefusalPeriod = 2 * time.Second
 
-// slotDemand is how many batch places the present work could use. Work that was refused
-// for slotDemand of power counts: an endpoint without a grant has no other work, and
-// would never ask for one while the others use up the cap.
+// slotDemand returns the number of batch slots that the current jobs and those recently
+// refused for lack of power could use. The refused ones count because an endpoint without a
+// grant has no other jobs, and would never ask for a grant while other endpoints use up the
+// cap.
 func (c *controlState) slotDemand() int {
 	return c.queue.SlotDemand() + max(c.powerRefusals, c.previousPowerRefusals)
 }
 
+// loadReport returns the load report for heartbeats and for answers to reservations.
 func (c *controlState) loadReport(now time.Time) *wire.Load {
 	report := c.queue.Report()
 	load := &wire.Load{
@@ -283,12 +301,14 @@
 	return load
 }
 
-// HandleHeartbeat implements membership.Delegate.
+// HandleHeartbeat implements membership.Delegate: it compares the sender's catalogue with
+// this node's.
 func (c *controlState) HandleHeartbeat(_ time.Time, h *wire.Heartbeat) {
 	c.agent.catalogue.HandleHeartbeat(h)
 }
 
-// Tick implements membership.Delegate.
+// Tick implements membership.Delegate: it expires reservations, follows the leaving state,
+// the power cap and the power limit, and updates the gauges.
 func (c *controlState) Tick(now time.Time, _ *membership.View) {
 	c.removeExpired(now)
 	switch leaving := c.agent.loop.Leaving(); {
@@ -304,7 +324,8 @@
 	}
 	c.updatePowerCap()
 	if c.limit.Revision() > 0 {
-		// Work that was just starting when a grant was lowered is shed now.
+		// Jobs that had started but could not be cancelled yet when a grant was lowered are
+		// shed now.
 		c.shed()
 	}
 	report := c.queue.Report()
@@ -314,17 +335,17 @@
 	c.gauges.limitWatts.Store(int64(c.limit.EnforcedWatts(report.Running)))
 }
 
-// removeExpired frees the places of reservations whose order never came.
+// removeExpired removes the jobs whose lease has expired without a run request.
 func (c *controlState) removeExpired(now time.Time) {
-	for _, lapsed := range c.table.Sweep(now) {
-		if o := c.jobs[lapsed.Number]; o != nil {
-			c.remove(o)
+	for _, expired := range c.table.Sweep(now) {
+		if j := c.jobs[expired.Number]; j != nil {
+			c.remove(j)
 		}
 	}
 }
 
-// updatePowerCap learns whether this data centre's site has a power cap. Until
-// the catalogue is known, it is taken to have one, and nothing starts.
+// updatePowerCap reads from the catalogue whether the site of this data centre has a power
+// cap. Until the catalogue is known, the site is assumed to have one, and no job starts.
 func (c *controlState) updatePowerCap() {
 	view, ready := c.agent.catalogue.View(), c.agent.catalogue.Ready()
 	if view == c.catalogueView && ready == c.catalogueReady {
--- a/agent/control_test.go
+++ b/agent/control_test.go
@@ -22,35 +22,36 @@
 	})
 }
 
-// acceptTestJob reserves and claims one order.
+// acceptTestJob reserves a job and accepts its run request. A class of 0 is the most urgent.
 func acceptTestJob(t *testing.T, c *controlState, class uint32, tokens uint64) *job {
 	t.Helper()
 	is := is.New(t)
-	reservation, verdict := c.reserve(testStart, &wire.ReserveRequest{
+	reservation, decision := c.reserve(testStart, &wire.ReserveRequest{
 		Account: "a", Class: class, PromptTokens: tokens, RemainingMs: time.Hour.Milliseconds(), Repeatable: true,
 	})
-	is.True(verdict.Accepted)
-	o := c.accept(testStart, reservation)
-	is.True(o != nil)
-	return o
+	is.True(decision.Accepted)
+	j := c.accept(testStart, reservation)
+	is.True(j != nil)
+	return j
 }
 
-// decisionOf gives what an order was told; false while it waits.
-func decisionOf(o *job) (*result.Error, bool) {
+// decisionOf returns the decision that a job has received. It returns false if there is none
+// yet.
+func decisionOf(j *job) (*result.Error, bool) {
 	select {
-	case v := <-o.decision:
+	case v := <-j.decision:
 		return v, true
 	default:
 		return nil, false
 	}
 }
 
-// Symptom: work runs that the agent no longer knows, and its memory and watts are
-// not counted. Sequence: the endpoint stops answering; the queued orders are
-// refused one by one; the first to go lets the next start, which is then closed
-// like a queued one. Cause: starting work while the queue is being emptied.
+// Guards against jobs that run although the agent has removed them, so that their memory and
+// watts are not counted. When the endpoint goes down or the agent drains, the queued jobs are
+// refused one by one. If the removal of one starts the next, that one is then removed like a
+// queued job.
 func TestNoQueuedJobStartsDuringDrainOrOutage(t *testing.T) {
-	for name, empty := range map[string]func(*controlState){
+	for name, refuseAll := range map[string]func(*controlState){
 		"down":    func(c *controlState) { c.setDown(true) },
 		"leaving": func(c *controlState) { c.startDraining() },
 	} {
@@ -59,14 +60,14 @@
 			c := newTestControlState()
 			running := []*job{acceptTestJob(t, c, 2, 150_000), acceptTestJob(t, c, 2, 150_000)}
 			waiting := []*job{acceptTestJob(t, c, 2, 150_000), acceptTestJob(t, c, 2, 10_000)}
-			for _, o := range running {
-				v, told := decisionOf(o)
-				is.True(told && v == nil) // started
+			for _, j := range running {
+				v, decided := decisionOf(j)
+				is.True(decided && v == nil) // started
 			}
-			empty(c)
-			for _, o := range waiting {
-				v, told := decisionOf(o)
-				is.True(told && v != nil) // refused, not started
+			refuseAll(c)
+			for _, j := range waiting {
+				v, decided := decisionOf(j)
+				is.True(decided && v != nil) // refused, not started
 				is.Equal(v.Ran, result.RanNo)
 			}
 			is.Equal(len(c.jobs), len(running))
@@ -82,7 +83,7 @@
 	is.Equal(c.queue.Report().Queued, 1)
 	c.removeExpired(testStart.Add(2 * time.Minute))
 	is.Equal(c.queue.Report().Queued, 0)
-	is.True(c.accept(testStart.Add(2*time.Minute), reservation) == nil) // its order never starts
+	is.True(c.accept(testStart.Add(2*time.Minute), reservation) == nil) // the run request must never start
 }
 
 func TestSheddingStopsLeastUrgentJobFirst(t *testing.T) {
@@ -90,15 +91,15 @@
 	c := newTestControlState()
 	urgent, bulk := acceptTestJob(t, c, 0, 1000), acceptTestJob(t, c, 2, 1000)
 	stopped := map[*job]bool{}
-	for _, o := range []*job{urgent, bulk} {
-		o.cancel = func(error) { stopped[o] = true }
+	for _, j := range []*job{urgent, bulk} {
+		j.cancel = func(error) { stopped[j] = true }
 	}
 	c.limit = power.NewLimit(1, 1000, 5000, 8)
 	c.limit.SetCapped(true)
-	is.True(c.limit.Apply(1, 1, 1500)) // one place of eight
+	is.True(c.limit.Apply(1, 1, 1500)) // one slot of eight
 	c.shed()
 	is.True(stopped[bulk])
 	is.True(!stopped[urgent])
 	c.shed()
-	is.True(!stopped[urgent]) // what is stopping counts until its place is free
+	is.True(!stopped[urgent]) // a stopping job counts as stopped although it still holds its slot
 }
