--- a/agent/health.go
+++ b/agent/health.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// probeInterval and probeTimeout time the health probe; probeFailures in a
-	// row mark the endpoint as down. A frozen endpoint keeps its connections open
-	// and would otherwise hold its callers until their deadlines.
+	// probeInterval is the wait between health probes and probeTimeout the limit on one
+	// probe. probeFailures consecutive failures mark the endpoint as down. Without probes, a
+	// suspended endpoint, which keeps its connections open, would hold its callers until
+	// their deadlines.
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = time.Second
 	probeFailures = 2
-	// sweepInterval is how often the engine's list is compared with the table.
+	// sweepInterval is the wait between sweeps for sequences that no job owns.
 	sweepInterval = time.Second
 )
 
-// endpointHealth is the endpoint's state, for any thread.
+// endpointHealth is the result of the health probes. It is safe for concurrent use.
 type endpointHealth struct {
 	down atomic.Bool
 }
 
 func (h *endpointHealth) isUp() bool { return !h.down.Load() }
 
-// monitorHealth follows the endpoint's health until ctx ends.
+// monitorHealth probes the endpoint until ctx ends and tells the control thread whether it is
+// down.
 func (a *Agent) monitorHealth(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -52,12 +54,14 @@
 	}
 }
 
-// sequenceID names a reservation's sequence at the engine. It carries the
-// incarnation, so that a successor knows what is not its own.
+// sequenceID returns the ID of a reservation's sequence at the engine. It contains the
+// agent's incarnation, so that a later agent recognizes sequences that are not its own.
 func sequenceID(r attempt.Reservation) string {
 	return strconv.FormatUint(r.Incarnation, 10) + "-" + strconv.FormatUint(r.Number, 10)
 }
 
+// parseSequenceID returns the reservation of a sequence ID, or false if the ID has not the
+// form that sequenceID gives it.
 func parseSequenceID(id string) (attempt.Reservation, bool) {
 	incarnation, number, found := strings.Cut(id, "-")
 	if !found {
@@ -68,9 +72,9 @@
 	return attempt.Reservation{Incarnation: i, Number: n}, errI == nil && errN == nil
 }
 
-// sweepSequences frees, until ctx ends, the sequences at the engine that no open order
-// owns. Such a sequence would hold its memory for good: it is left when an order
-// reached the engine after its sender had given it up.
+// sweepSequences cancels sequences at the engine that no job owns, until ctx ends. Such a
+// sequence remains when a request reaches the engine after the agent has given it up, and
+// would hold its memory forever.
 func (a *Agent) sweepSequences(ctx context.Context) {
 	if a.settings.Kind == "service" {
 		return
@@ -82,8 +86,9 @@
 	}
 }
 
-// cancelUnownedSequences cancels sequences that nobody owned in two sweeps running, and
-// returns those seen for the first time.
+// cancelUnownedSequences cancels the sequences that no job owned in two consecutive sweeps;
+// suspects is the result of the sweep before. It returns the unowned sequences that remain:
+// those seen for the first time and those that could not be cancelled.
 func (a *Agent) cancelUnownedSequences(ctx context.Context, suspects map[string]bool) map[string]bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
@@ -107,7 +112,7 @@
 		if !suspects[id] {
 			continue
 		}
-		a.log.Warn("cancel a sequence that nobody owns", zap.String("sequence", id))
+		a.log.Warn("cancelling a sequence that no job owns", zap.String("sequence", id))
 		if a.engine.Cancel(ctx, id) == nil {
 			delete(unowned, id)
 		}
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -18,16 +18,17 @@
 	"aspenyard.example/wire"
 )
 
-// Reserve implements wireconnect.AgentHandler.
+// Reserve implements wireconnect.AgentHandler: it offers a request to the queue. The answer
+// holds the reservation or the refusal, and the endpoint's load report.
 func (a *Agent) Reserve(ctx context.Context, request *connect.Request[wire.ReserveRequest]) (*connect.Response[wire.ReserveResponse], error) {
 	var response *wire.ReserveResponse
 	err := a.loop.Do(ctx, func() {
 		now := time.Now()
-		reservation, verdict := a.control.reserve(now, request.Msg)
+		reservation, decision := a.control.reserve(now, request.Msg)
 		response = &wire.ReserveResponse{
-			Accepted: verdict.Accepted, EstimatedStartMs: verdict.Wait.Milliseconds(),
-			Code: int32(verdict.Code), RetryAfterMs: verdict.RetryAfter.Milliseconds(), Load: a.control.loadReport(now),
-			Deferral:    verdict.Deferred,
+			Accepted: decision.Accepted, EstimatedStartMs: decision.Wait.Milliseconds(),
+			Code: int32(decision.Code), RetryAfterMs: decision.RetryAfter.Milliseconds(), Load: a.control.loadReport(now),
+			Deferral:    decision.Deferred,
 			Reservation: &wire.Reservation{Incarnation: reservation.Incarnation, Number: reservation.Number},
 		}
 	})
@@ -37,7 +38,9 @@
 	return connect.NewResponse(response), nil
 }
 
-// Withdraw implements wireconnect.AgentHandler.
+// Withdraw implements wireconnect.AgentHandler: it cancels a reservation that has not
+// started. The answer holds the reservation's state and, after its end, the outcome. With
+// peek set, nothing is cancelled.
 func (a *Agent) Withdraw(ctx context.Context, request *connect.Request[wire.WithdrawRequest]) (*connect.Response[wire.WithdrawResponse], error) {
 	response := &wire.WithdrawResponse{}
 	err := a.loop.Do(ctx, func() {
@@ -51,7 +54,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Grant implements wireconnect.AgentHandler.
+// Grant implements wireconnect.AgentHandler: it applies a power grant. The answer tells
+// whether the grant was applied and which limit, in watts, is now in force.
 func (a *Agent) Grant(ctx context.Context, request *connect.Request[wire.GrantRequest]) (*connect.Response[wire.GrantResponse], error) {
 	var response *wire.GrantResponse
 	err := a.loop.Do(ctx, func() { response = a.control.applyGrant(request.Msg) })
@@ -79,38 +83,41 @@
 	return wire.AttemptState_ATTEMPT_STATE_FORGOTTEN
 }
 
-// eventSender is what Run writes to.
+// eventSender is the part of Run's stream that a generation uses.
 type eventSender interface {
 	Send(*wire.RunEvent) error
 }
 
-// Run implements wireconnect.AgentHandler.
+// Run implements wireconnect.AgentHandler: it waits until the reservation's job may start,
+// runs it and sends its events to the entry. The last event is the End, which the agent has
+// recorded as the attempt's outcome before it sends it.
 func (a *Agent) Run(ctx context.Context, request *connect.Request[wire.RunRequest], stream *connect.ServerStream[wire.RunEvent]) error {
 	a.activeRuns.Add(1)
 	defer a.activeRuns.Done()
 	deadline := time.Now().Add(time.Duration(request.Msg.RemainingMs) * time.Millisecond)
 	ctx, cancel := context.WithDeadlineCause(ctx, deadline, result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed"))
 	defer cancel()
-	o, refusal := a.awaitStart(ctx, reservationFromWire(request.Msg.Reservation))
+	j, refusal := a.awaitStart(ctx, reservationFromWire(request.Msg.Reservation))
 	if refusal != nil {
 		return stream.Send(endEvent(errorEnd(refusal)))
 	}
 	started := &wire.Started{Reservation: request.Msg.Reservation}
 	if err := stream.Send(&wire.RunEvent{Event: &wire.RunEvent_Started{Started: started}}); err != nil {
-		a.log.Debug("entry gone at start", zap.Error(err))
+		a.log.Debug("cannot send the started event to the entry", zap.Error(err))
 	}
-	end := a.execute(ctx, o, request.Msg, stream)
-	_ = a.loop.Do(context.Background(), func() { a.control.table.Finish(time.Now(), o.reservation, end) })
+	end := a.execute(ctx, j, request.Msg, stream)
+	_ = a.loop.Do(context.Background(), func() { a.control.table.Finish(time.Now(), j.reservation, end) })
 	a.log.Info("attempt ended", zap.String("request", request.Msg.RequestId), zap.Uint32("attempt", request.Msg.Attempt),
-		zap.Uint64("reservation", o.reservation.Number), zap.Int32("code", end.Code), zap.String("ran", end.Ran))
+		zap.Uint64("reservation", j.reservation.Number), zap.Int32("code", end.Code), zap.String("ran", end.Ran))
 	err := stream.Send(endEvent(end))
 	if request.Msg.ServiceKind == "" && (end.Code != int32(result.OK) || request.Msg.Hold) {
-		a.cancelSequence(sequenceID(o.reservation))
+		a.cancelSequence(sequenceID(j.reservation))
 	}
-	_ = a.loop.Do(context.Background(), func() { a.control.remove(o) })
+	_ = a.loop.Do(context.Background(), func() { a.control.remove(j) })
 	return err
 }
 
+// errorEnd returns the End of an attempt that ended with e.
 func errorEnd(e *result.Error) *wire.End {
 	return &wire.End{Code: int32(e.Code), Ran: string(e.Ran), Detail: e.Detail, RetryAfterMs: e.RetryAfter.Milliseconds()}
 }
@@ -119,50 +126,52 @@
 	return &wire.RunEvent{Event: &wire.RunEvent_End{End: end}}
 }
 
-// awaitStart queues the order until it may start. An error means that it never will.
+// awaitStart accepts the run request of a reservation and waits until its job may start. If
+// it returns an error, the job has not started and never will.
 func (a *Agent) awaitStart(ctx context.Context, reservation attempt.Reservation) (*job, *result.Error) {
-	var o *job
+	var j *job
 	if ctx.Err() != nil {
-		// The order came too late, as after a pause of its sender.
+		// The run request arrived late, for example because its sender was suspended.
 		_ = a.loop.Do(context.Background(), func() { a.control.withdraw(time.Now(), reservation, false) })
-		return nil, result.Refuse(result.DeadlineExceeded, 0, "the deadline had passed when the order came")
+		return nil, result.Refuse(result.DeadlineExceeded, 0, "the deadline had passed when the run request arrived")
 	}
-	err := a.loop.Do(context.Background(), func() { o = a.control.accept(time.Now(), reservation) })
-	if err != nil || o == nil {
-		return nil, result.Refuse(result.NoReservation, 0, "reservation %d of %d is not open", reservation.Number, reservation.Incarnation)
+	err := a.loop.Do(context.Background(), func() { j = a.control.accept(time.Now(), reservation) })
+	if err != nil || j == nil {
+		return nil, result.Refuse(result.NoReservation, 0, "reservation %d of incarnation %d is unknown, expired or already used", reservation.Number, reservation.Incarnation)
 	}
 	select {
-	case verdict := <-o.decision:
-		return o, verdict
+	case decision := <-j.decision:
+		return j, decision
 	case <-ctx.Done():
 	}
-	// The caller is gone or late. Unless the work started just now, it never will.
+	// The entry closed the stream or the deadline passed. If the job has not started
+	// meanwhile, it is withdrawn and never starts.
 	state := attempt.Running
 	_ = a.loop.Do(context.Background(), func() { state, _ = a.control.withdraw(time.Now(), reservation, false) })
 	if state == attempt.DidNotRun {
 		return nil, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed in the queue")
 	}
-	return o, <-o.decision
+	return j, <-j.decision
 }
 
-// execute runs started work to its end.
-func (a *Agent) execute(ctx context.Context, o *job, request *wire.RunRequest, stream eventSender) *wire.End {
+// execute runs a started job and returns its outcome.
+func (a *Agent) execute(ctx context.Context, j *job, request *wire.RunRequest, stream eventSender) *wire.End {
 	if request.ServiceKind != "" {
-		return a.callService(o, request)
+		return a.callService(j, request)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	_ = a.loop.Do(context.Background(), func() { o.cancel = cancel })
-	g := &generation{agent: a, job: o, request: request, stream: stream, digest: xxhash.New()}
+	_ = a.loop.Do(context.Background(), func() { j.cancel = cancel })
+	g := &generation{agent: a, job: j, request: request, stream: stream, digest: xxhash.New()}
 	return g.run(ctx)
 }
 
-// cancelRetryInterval is the wait between tries to cancel at the engine.
+// cancelRetryInterval is the wait between attempts to cancel a sequence at the engine.
 const cancelRetryInterval = 200 * time.Millisecond
 
-// cancelSequence cancels a sequence and returns only when the engine has let go of it. The
-// order stays counted until then, in memory and in watts, because the engine may
-// still be working on it.
+// cancelSequence cancels a sequence and returns when the engine has confirmed it. Until then
+// the job's memory and watts stay counted, because the engine may still be running the
+// sequence.
 func (a *Agent) cancelSequence(id string) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -175,50 +184,53 @@
 	}
 }
 
-// serviceGrace is how much longer than the caller's deadline a service's call
-// may take: it has started, and its outcome is worth knowing.
+// serviceGrace is how long a call of a plain service may go on after the caller's deadline.
+// The call has started, so it is better to wait for its outcome than to leave it unknown.
 const serviceGrace = time.Minute
 
-// callService carries out one call. It goes on when the caller is gone: the call
-// may not be repeated, so its outcome must be there for whoever asks.
-func (a *Agent) callService(o *job, request *wire.RunRequest) *wire.End {
+// callService calls the plain service and returns the outcome. The call goes on when the
+// entry closes the stream: it is not repeatable, so its outcome must be known to later
+// requests for it.
+func (a *Agent) callService(j *job, request *wire.RunRequest) *wire.End {
 	wait := time.Duration(request.RemainingMs)*time.Millisecond + serviceGrace
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	reply, err := a.engine.Call(ctx, request.ServiceKind, request.RequestId, request.ServiceBody)
+	response, err := a.engine.Call(ctx, request.ServiceKind, request.RequestId, request.ServiceBody)
 	switch {
 	case errors.Is(err, engine.ErrNotSent):
-		return errorEnd(result.Refuse(result.NoEndpoint, time.Second, "the service cannot be reached"))
+		return errorEnd(result.Refuse(result.NoEndpoint, time.Second, "cannot connect to the service"))
 	case errors.Is(err, engine.ErrRefused):
-		return errorEnd(result.Refuse(result.NoEndpoint, time.Second, "the service refused the order: %v", err))
+		return errorEnd(result.Refuse(result.NoEndpoint, time.Second, "the service refused the call: %v", err))
 	case err != nil:
-		return errorEnd(result.Fail(result.OutcomeUnknown, result.RanUnknown, "the service's answer was lost: %v", err))
+		return errorEnd(result.Fail(result.OutcomeUnknown, result.RanUnknown, "the call was sent, but the service's answer could not be read: %v", err))
 	}
-	end := &wire.End{Code: int32(result.OK), Ran: string(result.RanYes), ServiceStatus: int32(reply.Status), ServiceBody: reply.Body}
-	if reply.Status >= 400 {
+	end := &wire.End{Code: int32(result.OK), Ran: string(result.RanYes), ServiceStatus: int32(response.Status), ServiceBody: response.Body}
+	if response.Status >= 400 {
 		end.Code = int32(result.ServiceFailed)
-		end.Detail = "the service answered with an error status"
+		end.Detail = "the service answered with HTTP status 400 or above"
 	}
 	return end
 }
 
-// generation is one sequence on its way from the engine to the entry.
+// generation relays one sequence from the engine to the entry.
 type generation struct {
 	agent       *Agent
 	job         *job
 	request     *wire.RunRequest
 	stream      eventSender
 	digest      *xxhash.Digest
-	sentTokens  uint64 // sent in this attempt
+	sentTokens  uint64 // tokens sent to the entry in this attempt
 	prefillDone bool
-	// bufferedText and collected are the chunk in the making.
+	// bufferedText and bufferedTokens are the chunk that the next flush sends.
 	bufferedText   strings.Builder
 	bufferedTokens uint32
 }
 
-// maxResumes bounds how often one sequence is resumed at the engine.
+// maxResumes bounds how often the stream of one sequence is resumed at the engine.
 const maxResumes = 3
 
+// run starts the sequence at the engine, relays it and returns the outcome. If the stream
+// breaks, run resumes it at the token after the last one sent to the entry.
 func (g *generation) run(ctx context.Context) *wire.End {
 	source, err := g.start(ctx)
 	for resumes := 0; ; resumes++ {
@@ -245,14 +257,15 @@
 	}
 }
 
-// stopReason gives the reason for which running work was stopped.
+// stopReason returns the error for a running job whose context ended.
 func stopReason(ctx context.Context) *result.Error {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, context.Canceled):
 		return result.Fail(result.Cancelled, result.RanYes, "the entry closed the stream")
 	case errors.Is(cause, context.DeadlineExceeded):
-		// The RPC's own deadline ended a moment before the one kept here.
+		// The deadline of the RPC itself passed shortly before the one that Run set, which
+		// has a cause of its own.
 		return result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed")
 	}
 	return result.FromError(cause)
@@ -274,9 +287,9 @@
 // maxChunkTokens bounds the tokens of one chunk.
 const maxChunkTokens = 64
 
-// relay passes tokens on until the engine's end marker, io.EOF, which gives nil.
-// Tokens that have arrived together travel together: nobody waits for more, and
-// under load a message carries several.
+// relay sends the tokens of source to the entry and returns nil after the engine's end
+// marker. Tokens that have arrived together are sent as one chunk of at most maxChunkTokens.
+// relay never waits for more tokens, but under load a message carries several.
 func (g *generation) relay(ctx context.Context, source *engine.Stream) error {
 	for {
 		token, err := source.Next()
@@ -299,10 +312,11 @@
 	}
 }
 
-// finishRelay passes on what was collected before the source finishRelay.
+// finishRelay sends the tokens that were buffered when source.Next returned err. It returns
+// nil if err is io.EOF, the engine's end marker.
 func (g *generation) finishRelay(err error) error {
-	if failure := g.flush(); failure != nil {
-		return failure
+	if flushErr := g.flush(); flushErr != nil {
+		return flushErr
 	}
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -310,19 +324,19 @@
 	return err
 }
 
-// bufferToken adds a token to the chunk in the making. A token out of its turn shows
-// that the stream lost or doubled some.
+// bufferToken adds a token to the buffered chunk. An unexpected offset means that the stream
+// lost or duplicated tokens.
 func (g *generation) bufferToken(token engine.Token) error {
 	expected := g.request.DeliveredTokens + g.sentTokens + uint64(g.bufferedTokens)
 	if token.Offset != expected {
-		return errors.Wrapf(engine.ErrStreamBroken, "token %d came in place of %d", token.Offset, expected)
+		return errors.Wrapf(engine.ErrStreamBroken, "got token offset %d, want %d", token.Offset, expected)
 	}
 	g.bufferedTokens++
 	g.bufferedText.WriteString(token.Text)
 	return nil
 }
 
-// flush passes the chunk in the making to the entry.
+// flush sends the buffered chunk to the entry.
 func (g *generation) flush() error {
 	if g.bufferedTokens == 0 {
 		return nil
@@ -331,13 +345,14 @@
 	g.bufferedTokens = 0
 	g.bufferedText.Reset()
 	if err := g.stream.Send(&wire.RunEvent{Event: &wire.RunEvent_Chunk{Chunk: chunk}}); err != nil {
-		return errors.Wrap(err, "entry gone")
+		return errors.Wrap(err, "send to the entry")
 	}
 	g.sentTokens += uint64(chunk.Tokens)
 	_, _ = g.digest.WriteString(chunk.Text)
 	return nil
 }
 
+// markPrefilled reports the end of the job's prefill to the queue at the first token.
 func (g *generation) markPrefilled() {
 	if g.prefillDone {
 		return
@@ -346,15 +361,15 @@
 	g.agent.loop.Post(func() { g.agent.control.markPrefilled(g.job) })
 }
 
-// holdSequence reports a finished prefill and keeps its memory until the entry closes
-// the stream.
+// holdSequence reports the finished prefill of a prefill part to the entry and keeps the
+// sequence, with its KV cache, until the entry closes the stream.
 func (g *generation) holdSequence(ctx context.Context) error {
 	held := &wire.Held{Import: &wire.Import{
 		EngineAddr: g.agent.settings.Endpoint, Sequence: sequenceID(g.job.reservation),
 		Tokens: uint64(admission.EstimateTokens(g.request.Prompt)),
 	}}
 	if err := g.stream.Send(&wire.RunEvent{Event: &wire.RunEvent_Held{Held: held}}); err != nil {
-		return errors.Wrap(err, "entry gone")
+		return errors.Wrap(err, "send to the entry")
 	}
 	<-ctx.Done()
 	return errors.WithStack(ctx.Err())
