--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,9 +1,8 @@
-// Package engine is an agent's way to what it stands beside: a model engine or
-// a plain service, over HTTP.
+// Package engine is the HTTP client that an agent uses to reach its endpoint, a model engine
+// or a plain service.
 //
-// Its one concern besides transport is what may be said after a failure. A call
-// that never got a connection certainly did not run; once a connection was
-// obtained, a failure leaves the run unknown.
+// Its errors tell whether a request can have run. A request that got no connection certainly
+// did not run. After a connection was obtained, a failure leaves this unknown.
 package engine
 
 import (
@@ -22,16 +21,21 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNotSent marks a failure before any byte of an order left this process.
-var ErrNotSent = errors.New("engine: order not sent")
+// ErrNotSent is returned for a failure before any byte of the request was sent, so that the
+// request did not run.
+var ErrNotSent = errors.New("engine: request not sent")
 
-// ErrRefused marks an endpoint's own word that it did not take the order.
-var ErrRefused = errors.New("engine: order refused")
+// ErrRefused is returned when the endpoint answered that it does not accept the request, so
+// that the request did not run.
+var ErrRefused = errors.New("engine: request refused by the endpoint")
 
-// ErrStreamBroken marks a stream that ended without its end marker.
+// ErrStreamBroken is returned for a stream that ended without its end marker or that holds
+// anything other than the next token of its sequence.
 var ErrStreamBroken = errors.New("engine: stream broken")
 
-// Request is one sequence for a model engine.
+// Request starts a sequence at a model engine; it is the body of /v1/completions. Delivered is
+// the text of the first DeliveredTokens output tokens, which the caller already has. With Hold
+// set, the engine prefills the prompt and keeps its KV cache without decoding.
 type Request struct {
 	RequestID       string   `json:"request_id"`
 	Model           string   `json:"model"`
@@ -45,23 +49,26 @@
 	Imports         []Import `json:"imports,omitempty"`
 }
 
-// Import names a held sequence on another engine.
+// Import identifies a held sequence on another engine, whose KV cache of Tokens prompt tokens
+// precedes that of the request. Engine is the other engine's address.
 type Import struct {
 	Engine   string `json:"engine"`
 	Sequence string `json:"sequence"`
 	Tokens   uint64 `json:"tokens"`
 }
 
-// Token is one piece of a stream.
+// Token is one output token of a stream, or the end of a held prefill.
 type Token struct {
 	Text string
-	// Offset counts the output tokens before this one.
+	// Offset is the number of output tokens before this one.
 	Offset uint64
-	// Held is set, without text, when a hold request's prefill is done.
+	// Held is set, without text, when the prefill of a request with Hold is done.
 	Held bool
 }
 
-// Status is what an endpoint tells of itself.
+// Status is an endpoint's description of itself: its models, the size of its KV cache in
+// tokens, its batch size, its prefill rate in tokens per second, its power draw in watts when
+// idle and with a full batch, and the highest fencing number that it has seen.
 type Status struct {
 	Models                 []string `json:"models"`
 	MemoryTokens           uint64   `json:"memory_tokens"`
@@ -72,20 +79,21 @@
 	FencingNumber          uint64   `json:"fencing_number"`
 }
 
-// Sequence is one line of the engine's own list.
+// Sequence is an entry of the engine's list of sequences that it holds memory for.
 type Sequence struct {
 	ID       string `json:"id"`
 	Finished bool   `json:"finished"`
 }
 
-// Client talks to one endpoint. Fence is sent with every order.
+// Client sends requests to one endpoint. Requests that start or cancel something carry the
+// fencing number, so that the endpoint can refuse those of a superseded agent.
 type Client struct {
 	base          string
 	fencingNumber uint64
 	http          *http.Client
 }
 
-// New makes a client for the endpoint at addr.
+// New returns a client for the endpoint at addr, a host and port. It opens no connection yet.
 func New(addr string) *Client {
 	return &Client{
 		base: "http://" + addr,
@@ -93,21 +101,24 @@
 	}
 }
 
-// SetFencingNumber sets the fencing number; call it before any order is given.
+// SetFencingNumber sets the fencing number. It must be called before any request that carries
+// the number, and not concurrently with one.
 func (c *Client) SetFencingNumber(number uint64) { c.fencingNumber = number }
 
-// Status asks the endpoint what it is.
+// Status requests the endpoint's status. It also serves as the health probe.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	return status, c.getJSON(ctx, "/v1/status", &status)
 }
 
-// Sequences lists what the engine holds memory for.
+// Sequences lists the sequences that the engine holds memory for.
 func (c *Client) Sequences(ctx context.Context) ([]Sequence, error) {
 	var sequences []Sequence
 	return sequences, c.getJSON(ctx, "/v1/sequences", &sequences)
 }
 
+// getJSON decodes the JSON answer to a GET request of path. An HTTP status other than 200 is
+// an error.
 func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -124,7 +135,8 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(into), path)
 }
 
-// Cancel frees a sequence; a missing one is no error.
+// Cancel cancels a sequence and frees its memory. A sequence that the engine does not have is
+// no error.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, c.base+"/v1/sequences/"+id, nil)
 	if err != nil {
@@ -144,17 +156,18 @@
 
 const (
 	fencingHeader = "X-Fencing-Number"
-	// requestKeyHeader names the caller's request to a plain service, which may echo it.
-	// It is not Idempotency-Key: the HTTP library takes that name as leave to
-	// send a request again.
+	// requestKeyHeader identifies the caller's request to a plain service, which may echo it
+	// in its answer. It is not Idempotency-Key, because net/http retries a request that
+	// carries that header.
 	requestKeyHeader = "X-Request-Key"
 )
 
-// post posts an order. On failure it tells ErrNotSent apart from the rest: the
-// trace's GotConn fires before the first byte is written.
+// post sends a POST request. Its error is ErrNotSent if no connection was obtained: GotConn of
+// the trace is called before the first byte is written. After any other error the request may
+// have run.
 func (c *Client) post(ctx context.Context, path string, body []byte, header http.Header) (*http.Response, error) {
-	sent := false
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }}
+	connected := false
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
@@ -164,28 +177,29 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(fencingHeader, strconv.FormatUint(c.fencingNumber, 10))
-	// Without GetBody the transport cannot send an order a second time once it
-	// has written a part of it.
+	// Without GetBody the transport cannot retry a request once it has written a part of
+	// its body.
 	request.GetBody = nil
 	response, err := c.http.Do(request)
-	if err != nil && !sent {
+	if err != nil && !connected {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return response, errors.Wrap(err, "order")
+	return response, errors.Wrap(err, "send request")
 }
 
-// Stream is a running sequence's output.
+// Stream reads the output of a sequence. It is not safe for concurrent use.
 type Stream struct {
 	id       string
 	response *http.Response
 	reader   *bufio.Reader
 }
 
-// maxEventBytes bounds one server-sent event.
+// maxEventBytes bounds one line of a stream of server-sent events, and so one event's data.
 const maxEventBytes = 1 << 20
 
-// Start orders a sequence. Errors: ErrNotSent, ErrRefused, or any other, after
-// which the sequence may be running and must be cancelled.
+// Start starts a sequence and returns its output. The errors ErrNotSent and ErrRefused mean
+// that the sequence does not run. After any other error it may be running and must be
+// cancelled.
 func (c *Client) Start(ctx context.Context, request Request) (*Stream, error) {
 	request.Stream = true
 	body, err := json.Marshal(request)
@@ -204,7 +218,8 @@
 	return &Stream{id: request.RequestID, response: response, reader: bufio.NewReaderSize(response.Body, 4096)}, nil
 }
 
-// Resume reads a sequence that still runs, from an output offset.
+// Resume returns the output of a started sequence from offset on, which is counted in output
+// tokens.
 func (c *Client) Resume(ctx context.Context, id string, offset uint64) (*Stream, error) {
 	path := fmt.Sprintf("%s/v1/sequences/%s/stream?offset=%d", c.base, id, offset)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
@@ -222,13 +237,14 @@
 	return &Stream{id: id, response: response, reader: bufio.NewReaderSize(response.Body, 4096)}, nil
 }
 
-// Close ends the reading; the sequence stays at the engine until it has ended
-// or is cancelled.
+// Close closes the stream's connection. The sequence goes on at the engine until it has
+// finished or is cancelled.
 func (s *Stream) Close() { _ = s.response.Body.Close() }
 
-// Buffered tells whether another event has already arrived, at least in part.
+// Buffered returns whether another event has already arrived, at least in part.
 func (s *Stream) Buffered() bool { return s.reader.Buffered() > 0 }
 
+// completionChunk is the data of one server-sent event.
 type completionChunk struct {
 	ID      string `json:"id"`
 	Offset  uint64 `json:"offset"`
@@ -238,8 +254,9 @@
 	} `json:"choices"`
 }
 
-// Next returns the next token; io.EOF only after the engine's own end marker,
-// ErrBroken when the connection ended without it.
+// Next waits for the next token. It returns io.EOF only after the engine's end marker, and
+// ErrStreamBroken if the connection ended before the marker or an event is invalid or belongs
+// to another sequence.
 func (s *Stream) Next() (Token, error) {
 	for {
 		line, err := s.reader.ReadString('\n')
@@ -247,7 +264,7 @@
 			return Token{}, errors.Wrap(ErrStreamBroken, err.Error())
 		}
 		if len(line) > maxEventBytes {
-			return Token{}, errors.Wrap(ErrStreamBroken, "event too long")
+			return Token{}, errors.Wrap(ErrStreamBroken, "event exceeds the size limit")
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !found {
@@ -261,8 +278,8 @@
 			return Token{}, errors.Wrap(ErrStreamBroken, err.Error())
 		}
 		if chunk.ID != s.id {
-			// A recycled connection brought another sequence's answer.
-			return Token{}, errors.Wrapf(ErrStreamBroken, "chunk of sequence %q", chunk.ID)
+			// A reused connection delivered the answer of another sequence.
+			return Token{}, errors.Wrapf(ErrStreamBroken, "received a chunk of sequence %q", chunk.ID)
 		}
 		token := Token{Offset: chunk.Offset, Held: chunk.Held}
 		if len(chunk.Choices) > 0 {
@@ -272,19 +289,20 @@
 	}
 }
 
-// ServiceResponse is a plain service's answer.
+// ServiceResponse is a plain service's answer: its HTTP status and its body, cut off at
+// maxResponseBytes.
 type ServiceResponse struct {
 	Status int
 	Body   []byte
 }
 
-// maxResponseBytes bounds a plain service's answer, so that it fits into the
-// record of its outcome.
+// maxResponseBytes bounds the body of a plain service's answer, so that it fits into the
+// stored record of the outcome.
 const maxResponseBytes = 256 << 10
 
-// Call carries out one call of a plain service. key identifies the caller's
-// request. Errors: ErrNotSent, ErrRefused (an old fencing number), or any other,
-// after which nobody knows whether it ran.
+// Call calls a plain service. kind selects the service, and key identifies the caller's
+// request. The errors ErrNotSent and ErrRefused, the answer to an outdated fencing number,
+// mean that the call did not run. After any other error this is unknown.
 func (c *Client) Call(ctx context.Context, kind, key string, body []byte) (ServiceResponse, error) {
 	response, err := c.post(ctx, "/call/"+kind, body, http.Header{requestKeyHeader: {key}})
 	if err != nil {
@@ -292,14 +310,14 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode == http.StatusConflict {
-		return ServiceResponse{}, errors.Wrap(ErrRefused, "old fencing number")
+		return ServiceResponse{}, errors.Wrap(ErrRefused, "outdated fencing number")
 	}
 	if echoed := response.Header.Get(requestKeyHeader); echoed != "" && echoed != key {
-		return ServiceResponse{}, errors.Errorf("the answer belongs to another call, %q", echoed)
+		return ServiceResponse{}, errors.Errorf("the answer carries the request key of another call, %q", echoed)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return ServiceResponse{}, errors.Wrap(err, "read reply")
+		return ServiceResponse{}, errors.Wrap(err, "read the service's response")
 	}
 	return ServiceResponse{Status: response.StatusCode, Body: data}, nil
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// newTestClient answers every request with handler.
+// newTestClient returns a client of a server that answers every request with handler.
 func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -20,7 +20,8 @@
 	return New(server.Listener.Addr().String())
 }
 
-// sendEvents answers with server-sent sendEvents and then closes the connection.
+// sendEvents returns a handler that sends each line as a server-sent event and then ends the
+// response.
 func sendEvents(lines ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -57,12 +58,12 @@
 	is.Equal(err, io.EOF)
 	is.Equal(text, "ab")
 	_, err = readAll(newTestClient(t, sendEvents(chunkJSON("7-1", 0, "a"))))
-	is.True(errors.Is(err, ErrStreamBroken)) // a closed connection is no end
+	is.True(errors.Is(err, ErrStreamBroken)) // a closed connection is no end marker
 }
 
-// Symptom: a caller gets another caller's text. Sequence: a connection that still
-// carries an earlier answer is used again. Cause, were it there: taking what comes
-// on a connection for the answer to what was sent on it.
+// Guards against a caller that gets another caller's text. That happens if a connection is
+// reused that still carries an earlier answer, and whatever arrives on it is taken for the
+// answer to the request sent last.
 func TestChunkOfAnotherSequenceIsRejected(t *testing.T) {
 	is := is.New(t)
 	text, err := readAll(newTestClient(t, sendEvents(chunkJSON("7-1", 0, "a"), chunkJSON("6-9", 1, "foreign"), "[DONE]")))
@@ -75,12 +76,12 @@
 	client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(requestKeyHeader, "crew/other") })
 	_, err := client.Call(context.Background(), "filing", "crew/mine", nil)
 	is.True(err != nil)
-	is.True(!errors.Is(err, ErrNotSent)) // it may have run
+	is.True(!errors.Is(err, ErrNotSent)) // the call may have run
 }
 
-// Symptom: "did not run" of a call that ran. Sequence: the connection breaks after
-// the order was sent. Cause, were it there: taking every transport error for an
-// order that was not sent.
+// Guards against reporting that a call did not run although it did. That happens if the
+// connection breaks after the request was sent, and every transport error is taken for
+// ErrNotSent.
 func TestErrNotSentOnlyWithoutConnection(t *testing.T) {
 	is := is.New(t)
 	_, err := newTestClient(t, abortConnection).Call(context.Background(), "filing", "k", nil)
