--- a/power/ledger.go
+++ b/power/ledger.go
@@ -1,11 +1,12 @@
-// Package power keeps a site's draw under its cap. One ledger per site, a value
-// in the platform's store, says how many watts each endpoint may draw. The
-// package is pure: the keeper reads and writes the ledger and sends the grants.
+// Package power keeps the power draw of a site below its cap. Each site has a ledger, a value
+// in the platform's store, that records how many watts each endpoint may draw. The package
+// does no I/O: the entry that is the site's power coordinator reads and writes the ledger and
+// sends the grants to the agents.
 //
-// The rule that holds at every moment, with none, one or two keepers: an agent
-// never draws more than the ledger counts for it, and the counted watts sum to
-// at most the cap. An increase is counted before it is sent. A decrease keeps
-// being counted at its old value until the agent has confirmed the new one.
+// The invariant holds at any time, with no, one or two coordinators: an endpoint never draws
+// more than the ledger counts for it, and the counted watts sum to at most the cap. An
+// increase of a grant is counted before it is sent. A decrease stays counted at the old value
+// until the agent has confirmed the new one.
 package power
 
 import (
@@ -15,54 +16,56 @@
 	"github.com/pkg/errors"
 )
 
-// Ledger is a site's grants.
+// Ledger holds the power grants of a site's endpoints.
 type Ledger struct {
-	// Revision rises with every write; agents refuse grants of an older one.
+	// Revision increases with every write. An agent refuses a grant whose revision is older
+	// than that of the last grant it applied.
 	Revision uint64 `json:"revision"`
-	// CapWatts is the cap that the operators ask for.
+	// CapWatts is the cap that the operators have set.
 	CapWatts uint64 `json:"cap_watts"`
-	// Grants by endpoint.
+	// Grants holds the grants by endpoint name.
 	Grants map[string]*Grant `json:"grants"`
 }
 
-// Grant is one endpoint's part.
+// Grant is the power granted to one endpoint.
 type Grant struct {
-	// Incarnation is the agent's life that the grant is for.
+	// Incarnation is the incarnation of the agent that the grant is for.
 	Incarnation uint64 `json:"incarnation"`
 	// Revision is the ledger's revision at which Watts was set.
 	Revision uint64 `json:"revision"`
-	// Watts is what the agent may draw at most.
+	// Watts is the most that the endpoint may draw.
 	Watts uint64 `json:"watts"`
-	// CountedWatts is what the endpoint may still be drawing: Watts, or the value
-	// before an unconfirmed decrease.
+	// CountedWatts is the most that the endpoint may currently be drawing: Watts, or the
+	// value before a decrease that the agent has not confirmed yet.
 	CountedWatts uint64 `json:"counted"`
-	// FloorWatts is the idle draw, which no grant can take away.
+	// FloorWatts is the endpoint's idle draw, below which no grant can go.
 	FloorWatts uint64 `json:"floor"`
 }
 
-// Report is what an agent says of its endpoint.
+// Report is the state of one endpoint and its agent, from the agent's last heartbeat and the
+// platform's list of VMs.
 type Report struct {
 	Endpoint    string
 	Incarnation uint64
-	// FloorWatts, MaxWatts and WantWatts are the idle draw, the draw of a full endpoint and the
-	// draw that the present work could use, in watts.
+	// FloorWatts is the idle draw, MaxWatts the draw with a full batch, and WantWatts the
+	// draw that the current jobs could use.
 	FloorWatts, MaxWatts, WantWatts uint64
-	// LimitWatts is the worst-case draw the agent now keeps to, and Revision that of
-	// the last grant it has applied.
+	// LimitWatts is the worst-case draw that the agent currently enforces. Revision is that
+	// of the last grant that it has applied.
 	LimitWatts, Revision uint64
-	// Gone is set once the endpoint's VM has been off the platform's list for
+	// Gone is set once the endpoint's VM has been missing from the platform's list for
 	// longer than the list's lag.
 	Gone bool
-	// Silent is set when the agent is not heard of; its grant stays as it is.
+	// Silent is set if there is no current heartbeat of the agent. Its grant stays as it is.
 	Silent bool
 }
 
-// DecodeLedger reads a ledger; no data is an empty one.
+// DecodeLedger decodes a ledger from JSON. Without data it returns an empty ledger.
 func DecodeLedger(data []byte) (*Ledger, error) {
 	ledger := &Ledger{}
 	if len(data) > 0 {
 		if err := json.Unmarshal(data, ledger); err != nil {
-			return nil, errors.Wrap(err, "power ledger")
+			return nil, errors.Wrap(err, "decode the power ledger")
 		}
 	}
 	if ledger.Grants == nil {
@@ -71,13 +74,14 @@
 	return ledger, nil
 }
 
-// Encode writes a ledger.
+// Encode returns the ledger as JSON, as it is stored.
 func (l *Ledger) Encode() ([]byte, error) {
 	data, err := json.Marshal(l)
 	return data, errors.WithStack(err)
 }
 
-// CountedWatts sums the watts that the site may be drawing.
+// CountedWatts returns the sum of the counted watts: the most that the site's endpoints may
+// currently be drawing.
 func (l *Ledger) CountedWatts() uint64 {
 	sum := uint64(0)
 	for _, grant := range l.Grants {
@@ -86,18 +90,18 @@
 	return sum
 }
 
-// CapInForceWatts is the cap that the site keeps to now: after an operator has
-// lowered the cap, it is above CapWatts until the agents have confirmed.
+// CapInForceWatts returns the cap that the site currently stays within. After an operator
+// lowered the cap, it is above CapWatts until the agents have confirmed lower grants.
 func (l *Ledger) CapInForceWatts() uint64 {
 	return max(l.CapWatts, l.CountedWatts())
 }
 
-// minChangeWatts keeps the ledger from being written for trifles.
+// minChangeWatts is the smallest change of a grant that is worth a write of the ledger.
 const minChangeWatts = 50
 
-// Plan makes the next ledger from the present one, the cap and the reports. It
-// returns nil when nothing has to change. The result is to be written before
-// any of its grants is sent.
+// Plan computes the next ledger from the current one, the cap in watts and the reports, which
+// it sorts. It returns nil if nothing changes. The caller must write the result to the store
+// before it sends any of its grants.
 func Plan(current *Ledger, capWatts uint64, reports []Report) *Ledger {
 	next := current.clone()
 	next.Revision++
@@ -116,6 +120,7 @@
 	return next
 }
 
+// clone returns a deep copy of the ledger.
 func (l *Ledger) clone() *Ledger {
 	next := &Ledger{Revision: l.Revision, CapWatts: l.CapWatts, Grants: make(map[string]*Grant, len(l.Grants))}
 	for name, grant := range l.Grants {
@@ -125,7 +130,9 @@
 	return next
 }
 
-// applyReport takes in confirmations, new agents and endpoints that are gone.
+// applyReport updates the grant of the reported endpoint: it adds the grant of a new endpoint,
+// deletes that of an endpoint that is gone, resets it for a new incarnation of the agent, and
+// counts a confirmed decrease. It returns whether the ledger changed.
 func (l *Ledger) applyReport(report Report) bool {
 	grant := l.Grants[report.Endpoint]
 	if report.Gone {
@@ -140,8 +147,8 @@
 		return true
 	}
 	if grant.Incarnation != report.Incarnation {
-		// A new agent holds no grant, but its endpoint may still be at work for the
-		// agent before it: what was counted stays so until the new one confirms.
+		// The new agent has no grant yet, but its endpoint may still run sequences for the
+		// agent before it. The counted watts stay until the new agent confirms its grant.
 		grant.Incarnation, grant.Revision = report.Incarnation, l.Revision
 		grant.Watts, grant.FloorWatts = report.FloorWatts, report.FloorWatts
 		grant.CountedWatts = max(grant.CountedWatts, report.FloorWatts)
@@ -154,8 +161,8 @@
 	return false
 }
 
-// newGrant makes the grant of an endpoint that the ledger did not know. Its draw
-// is there whether the cap has room or not, so it is counted as it is.
+// newGrant returns the grant of an endpoint that is not in the ledger yet. The endpoint draws
+// its power whether or not the cap has room for it, so the draw is counted as reported.
 func (l *Ledger) newGrant(report Report) *Grant {
 	return &Grant{
 		Incarnation: report.Incarnation, Revision: l.Revision, FloorWatts: report.FloorWatts,
@@ -163,59 +170,64 @@
 	}
 }
 
-// targetWatts shares the cap out: every floor first, then equal steps up to what
-// each endpoint's work could use, then the rest equally up to the maximum, so
-// that new work finds watts without waiting for the ledger.
+// targetWatts distributes the cap and returns the target grants of the endpoints whose agents
+// are not silent. Each endpoint gets its floor first. The rest is distributed in equal shares
+// up to the draw that each endpoint's jobs could use, and what is left in equal shares up to
+// the maximum draw, so that new jobs find power without a change of the ledger. The counted
+// watts of all other endpoints are set aside.
 func (l *Ledger) targetWatts(reports []Report) map[string]uint64 {
 	targets := make(map[string]uint64, len(reports))
-	left := l.CapWatts
-	take := func(watts uint64) { left -= min(left, watts) }
+	remaining := l.CapWatts
+	subtract := func(watts uint64) { remaining -= min(remaining, watts) }
 	reported := map[string]bool{}
-	var open []Report
+	var reporting []Report
 	for _, report := range reports {
 		reported[report.Endpoint] = true
 		grant := l.Grants[report.Endpoint]
 		switch {
 		case grant == nil:
 		case report.Silent:
-			take(grant.CountedWatts)
+			subtract(grant.CountedWatts)
 		default:
 			targets[report.Endpoint] = report.FloorWatts
-			take(report.FloorWatts)
-			open = append(open, report)
+			subtract(report.FloorWatts)
+			reporting = append(reporting, report)
 		}
 	}
 	for name, grant := range l.Grants {
 		if !reported[name] {
-			take(grant.CountedWatts)
+			subtract(grant.CountedWatts)
 		}
 	}
-	left = distribute(targets, open, left, func(r Report) uint64 { return max(r.FloorWatts, min(r.WantWatts, r.MaxWatts)) })
-	distribute(targets, open, left, func(r Report) uint64 { return r.MaxWatts })
+	remaining = distribute(targets, reporting, remaining, func(r Report) uint64 { return max(r.FloorWatts, min(r.WantWatts, r.MaxWatts)) })
+	distribute(targets, reporting, remaining, func(r Report) uint64 { return r.MaxWatts })
 	return targets
 }
 
-// distribute raises the targets towards a limit in equal shares and returns what is left.
-func distribute(targets map[string]uint64, reports []Report, left uint64, limit func(Report) uint64) uint64 {
-	hungry := append([]Report(nil), reports...)
-	for left > 0 && len(hungry) > 0 {
-		share := max(1, left/uint64(len(hungry)))
-		var still []Report
-		for _, report := range hungry {
-			room := limit(report) - min(limit(report), targets[report.Endpoint])
-			step := min(share, room, left)
+// distribute raises the targets of the reported endpoints up to limit, in equal shares of the
+// available watts, and returns the watts that are left.
+func distribute(targets map[string]uint64, reports []Report, available uint64, limit func(Report) uint64) uint64 {
+	unsatisfied := append([]Report(nil), reports...)
+	for available > 0 && len(unsatisfied) > 0 {
+		share := max(1, available/uint64(len(unsatisfied)))
+		var next []Report
+		for _, report := range unsatisfied {
+			headroom := limit(report) - min(limit(report), targets[report.Endpoint])
+			step := min(share, headroom, available)
 			targets[report.Endpoint] += step
-			left -= step
-			if room > step {
-				still = append(still, report)
+			available -= step
+			if headroom > step {
+				next = append(next, report)
 			}
 		}
-		hungry = still
+		unsatisfied = next
 	}
-	return left
+	return available
 }
 
-// lowerGrants lowers grants to their targets. What is lowered stays counted.
+// lowerGrants lowers grants to their targets and returns whether it changed any. The old value
+// of a lowered grant stays counted. A decrease below minChangeWatts is made only if the site
+// is above its cap or an endpoint has no more than its floor.
 func (l *Ledger) lowerGrants(reports []Report, targets map[string]uint64) bool {
 	needed := l.CountedWatts() > l.CapWatts || l.anyAtFloor()
 	changed := false
@@ -233,8 +245,8 @@
 	return changed
 }
 
-// anyAtFloor tells whether an endpoint has no more than its floor: then even a
-// small decrease elsewhere is worth a write.
+// anyAtFloor returns whether an endpoint has no more than its floor. Then even a small
+// decrease of another grant is worth a write.
 func (l *Ledger) anyAtFloor() bool {
 	for _, grant := range l.Grants {
 		if grant.Watts <= grant.FloorWatts {
@@ -244,9 +256,9 @@
 	return false
 }
 
-// raiseGrants raises grants towards their targets, as far as the watts not
-// counted elsewhere allow. A grant with an unconfirmed decrease is not raised:
-// what its endpoint may draw is unclear.
+// raiseGrants raises grants towards their targets as far as the watts that are not counted
+// allow, and returns whether it changed any. A grant with an unconfirmed decrease is not
+// raised, because it is unknown which value its agent enforces.
 func (l *Ledger) raiseGrants(reports []Report, targets map[string]uint64) bool {
 	counted := l.CountedWatts()
 	changed := false
--- a/power/ledger_test.go
+++ b/power/ledger_test.go
@@ -17,14 +17,14 @@
 		{Endpoint: "b", Incarnation: 1, FloorWatts: 1000, MaxWatts: 5000, WantWatts: 1500, LimitWatts: 1000},
 	}
 	next := Plan(ledger, 6000, reports)
-	is.Equal(next.Grants["a"].Watts, uint64(4500)) // b wants no more than 1,500
+	is.Equal(next.Grants["a"].Watts, uint64(4500)) // b can use no more than 1,500 W
 	is.Equal(next.Grants["b"].Watts, uint64(1500))
-	is.True(Plan(next, 6000, reports) == nil) // nothing more to do
+	is.True(Plan(next, 6000, reports) == nil) // no further change
 }
 
-// Symptom: the site draws more than its cap. Sequence: a grant is lowered, the
-// watts are given to another endpoint, and the first agent has not heard of it.
-// Cause, were it there: counting a decrease before it is confirmed.
+// Guards against a site that draws more than its cap. That happens if a decrease is counted
+// before it is confirmed: the watts are granted to another endpoint while the first agent does
+// not know of the decrease yet.
 func TestDecreaseIsCountedUntilConfirmed(t *testing.T) {
 	is := is.New(t)
 	ledger, err := DecodeLedger(nil)
@@ -36,7 +36,7 @@
 	b := Report{Endpoint: "b", Incarnation: 1, FloorWatts: 1000, MaxWatts: 5000, WantWatts: 5000, LimitWatts: 1000}
 	ledger = Plan(ledger, 6000, []Report{a, b})
 	is.Equal(ledger.Grants["a"].Watts, uint64(3000))
-	is.Equal(ledger.Grants["b"].Watts, uint64(1000)) // a's watts are still counted
+	is.Equal(ledger.Grants["b"].Watts, uint64(1000)) // the decrease of a is not confirmed, so its old watts are counted
 	is.True(ledger.CountedWatts() <= 6000)
 	a.LimitWatts, a.Revision = 3000, ledger.Grants["a"].Revision
 	ledger = Plan(ledger, 6000, []Report{a, b})
@@ -47,12 +47,12 @@
 	is := is.New(t)
 	ledger := &Ledger{CapWatts: 5000, Grants: map[string]*Grant{"a": {Watts: 4000, CountedWatts: 4000, FloorWatts: 1000}}}
 	silent := Plan(ledger, 5000, []Report{{Endpoint: "a", Silent: true}})
-	is.True(silent == nil) // a silent agent's watts stay
+	is.True(silent == nil) // the grant of a silent agent stays
 	gone := Plan(ledger, 5000, []Report{{Endpoint: "a", Silent: true, Gone: true}})
 	is.Equal(gone.CountedWatts(), uint64(0))
 }
 
-// simAgent is an agent with work that comes and goes.
+// simAgent is a simulated agent with changing numbers of running and wanted sequences.
 type simAgent struct {
 	limit       *Limit
 	incarnation uint64
@@ -83,11 +83,10 @@
 	watts       uint64
 }
 
-// TestSiteNeverExceedsItsCap drives several keepers with old views over one
-// ledger, reports that are lost or old, grants that are lost, doubled, late and
-// reordered, agents that restart while their engine goes on, and lowered caps.
-// The sum of the draws never exceeds the counted watts, nor the cap once it is
-// reported as in force.
+// TestSiteNeverExceedsItsCap runs two coordinators with stale copies of one ledger, lost and
+// outdated reports, grants that are lost, duplicated, delayed and reordered, agents that
+// restart while their engine goes on, and changed caps. No endpoint's draw ever exceeds its
+// counted watts, and their sum never exceeds the cap reported as in force.
 func TestSiteNeverExceedsItsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
@@ -105,7 +104,7 @@
 		for _, name := range names {
 			reports[name] = agents[name].report(name)
 		}
-		views := []*Ledger{stored, stored}
+		copies := []*Ledger{stored, stored}
 		var messages []grantMessage
 		agent := func(t *rapid.T) (string, *simAgent) {
 			name := rapid.SampledFrom(names).Draw(t, "agent")
@@ -116,25 +115,25 @@
 				name, a := agent(t)
 				reports[name] = a.report(name)
 			},
-			"read": func(t *rapid.T) { views[rapid.IntRange(0, 1).Draw(t, "keeper")] = stored },
+			"read": func(t *rapid.T) { copies[rapid.IntRange(0, 1).Draw(t, "coordinator")] = stored },
 			"plan": func(t *rapid.T) {
-				keeper := rapid.IntRange(0, 1).Draw(t, "keeper")
+				coordinator := rapid.IntRange(0, 1).Draw(t, "coordinator")
 				list := make([]Report, 0, len(reports))
 				for _, name := range names {
 					list = append(list, reports[name])
 				}
-				next := Plan(views[keeper], capWatts, list)
-				if next == nil || views[keeper].Revision != stored.Revision {
-					return // the compare-and-swap fails
+				next := Plan(copies[coordinator], capWatts, list)
+				if next == nil || copies[coordinator].Revision != stored.Revision {
+					return // the compare-and-swap would fail
 				}
-				stored, views[keeper] = next, next
+				stored, copies[coordinator] = next, next
 				for name, grant := range next.Grants {
 					messages = append(messages, grantMessage{name, grant.Incarnation, grant.Revision, grant.Watts})
 				}
 			},
 			"deliver": func(t *rapid.T) {
 				if len(messages) > 0 {
-					m := rapid.SampledFrom(messages).Draw(t, "message") // any, again and again
+					m := rapid.SampledFrom(messages).Draw(t, "message") // any message, also repeatedly
 					agents[m.name].limit.Apply(m.incarnation, m.revision, m.watts)
 				}
 			},
@@ -148,7 +147,7 @@
 			"restart": func(t *rapid.T) {
 				_, a := agent(t)
 				a.incarnation++
-				a.running = 0 // a new agent cancels its predecessor's work before it reports
+				a.running = 0 // a new agent cancels its predecessor's sequences before its first report
 				a.limit = NewLimit(a.incarnation, simFloor, simMax, simSlots)
 				a.limit.SetCapped(true)
 			},
@@ -161,11 +160,11 @@
 						draw += a.worstCaseDraw()
 					}
 					if g := stored.Grants[name]; g != nil && a.running > 0 && a.worstCaseDraw() > g.CountedWatts {
-						t.Fatalf("%s draws %d W, counted %d", name, a.worstCaseDraw(), g.CountedWatts)
+						t.Fatalf("endpoint %s draws %d W, but the ledger counts %d W", name, a.worstCaseDraw(), g.CountedWatts)
 					}
 				}
 				if draw > stored.CapInForceWatts() {
-					t.Fatalf("drawing %d W under a cap in force of %d", draw, stored.CapInForceWatts())
+					t.Fatalf("the site draws %d W, above the cap in force of %d W", draw, stored.CapInForceWatts())
 				}
 			},
 		})
@@ -180,7 +179,7 @@
 	is.True(limit.Apply(7, 4, 3000))
 	is.Equal(limit.Slots(), 16)
 	is.True(!limit.Apply(7, 3, 5000)) // an older revision
-	is.True(!limit.Apply(6, 9, 5000)) // another life
+	is.True(!limit.Apply(6, 9, 5000)) // another incarnation
 	is.Equal(limit.Slots(), 16)
-	is.Equal(fmt.Sprint(limit.EnforcedWatts(20)), "3500") // more than granted still runs
+	is.Equal(fmt.Sprint(limit.EnforcedWatts(20)), "3500") // more sequences run than the grant allows
 }
--- a/power/limit.go
+++ b/power/limit.go
@@ -1,7 +1,7 @@
 package power
 
-// Limit is an agent's side of the ledger: what its endpoint may draw. It belongs
-// to the agent's control loop.
+// Limit is an agent's record of the power that its endpoint may draw. It is not safe for
+// concurrent use; it belongs to the agent's control thread.
 type Limit struct {
 	incarnation          uint64
 	floorWatts, maxWatts uint64
@@ -11,19 +11,19 @@
 	capped               bool
 }
 
-// NewLimit makes the limit of a new agent. slots is the batch size at which the
-// endpoint draws max watts.
+// NewLimit returns the limit of an agent without a grant. floor and max are the endpoint's
+// draw in watts when it is idle and with a full batch, which has slots sequences.
 func NewLimit(incarnation, floor, max uint64, slots int) *Limit {
 	return &Limit{incarnation: incarnation, floorWatts: floor, maxWatts: max, slots: slots, grantedWatts: floor}
 }
 
-// SetCapped tells whether the site has a cap. Without one, all slots are open.
+// SetCapped sets whether the site has a power cap. Without one, all slots may be used.
 func (l *Limit) SetCapped(capped bool) { l.capped = capped }
 
-// Apply takes a grant in and tells whether it is in force. A grant for another
-// life of the agent, or of an older revision, is refused: it may have been
-// delayed, or come from a keeper that was paused, and the watts it speaks of may
-// since have been given to another endpoint.
+// Apply applies a grant and returns whether it is now in force. A grant for another
+// incarnation of the agent or of an older revision is refused: it may have been delayed, or
+// sent by a coordinator that was suspended, and its watts may have been granted to another
+// endpoint since.
 func (l *Limit) Apply(incarnation, revision, watts uint64) bool {
 	if incarnation != l.incarnation || revision < l.revision {
 		return false
@@ -32,10 +32,10 @@
 	return true
 }
 
-// Revision is that of the last grant applied.
+// Revision returns the ledger revision of the last grant applied, and 0 before the first.
 func (l *Limit) Revision() uint64 { return l.revision }
 
-// Slots is how many sequences may run at once.
+// Slots returns how many sequences may run at once within the limit.
 func (l *Limit) Slots() int {
 	if !l.capped || l.maxWatts <= l.floorWatts {
 		return l.slots
@@ -43,7 +43,8 @@
 	return min(l.slots, int((l.grantedWatts-l.floorWatts)*uint64(l.slots)/(l.maxWatts-l.floorWatts)))
 }
 
-// WorstCaseDraw is the worst-case draw with this many sequences running, in watts.
+// WorstCaseDraw returns the most that the endpoint draws with running sequences, in watts. It
+// is linear from the floor to the maximum draw with a full batch.
 func (l *Limit) WorstCaseDraw(running int) uint64 {
 	if l.slots == 0 {
 		return l.floorWatts
@@ -52,8 +53,9 @@
 	return l.floorWatts + ceilDiv((l.maxWatts-l.floorWatts)*uint64(running), uint64(l.slots))
 }
 
-// EnforcedWatts is the worst-case draw that the agent can now promise: its grant, or
-// more while more work than that still runs.
+// EnforcedWatts returns the worst-case draw that the agent can currently guarantee, in watts:
+// its grant, or more while more sequences run than the grant allows. Without a cap it is the
+// maximum draw.
 func (l *Limit) EnforcedWatts(running int) uint64 {
 	if !l.capped {
 		return l.maxWatts
@@ -61,4 +63,5 @@
 	return max(l.grantedWatts, l.WorstCaseDraw(running))
 }
 
+// ceilDiv returns a/b rounded up.
 func ceilDiv(a, b uint64) uint64 { return (a + b - 1) / b }
