--- a/node/catalogue.go
+++ b/node/catalogue.go
@@ -15,9 +15,10 @@
 	"aspenyard.example/wire"
 )
 
-// CatalogueSync spreads the catalogue between nodes. Each heartbeat carries a digest
-// of its sender's page revisions; a node that hears of something it lacks pulls
-// the difference.
+// CatalogueSync keeps this node's replica of the catalogue up to date from its peers. Each
+// heartbeat carries a digest of its sender's page revisions. A node whose digest differs pulls
+// the changes that it lacks. It is safe for concurrent use, except for SetLoop and the methods
+// that belong to the control thread.
 type CatalogueSync struct {
 	loop        *membership.Loop
 	clients     *Clients
@@ -29,36 +30,41 @@
 	pulledBytes atomic.Uint64
 }
 
-// NewCatalogueSync makes an empty catalogue; Attach gives it its loop.
+// NewCatalogueSync returns an empty replica. SetLoop must be called before it is used.
 func NewCatalogueSync(clients *Clients, log *zap.Logger) *CatalogueSync {
 	c := &CatalogueSync{clients: clients, log: log, replica: catalogue.NewReplica()}
 	c.view.Store(c.replica.View())
 	return c
 }
 
-// SetLoop sets the control loop, before it runs.
+// SetLoop sets the control loop that changes the replica. It must be called before the loop
+// runs.
 func (c *CatalogueSync) SetLoop(loop *membership.Loop) { c.loop = loop }
 
-// View is the present catalogue; safe from any thread.
+// View returns an immutable snapshot of the current catalogue.
 func (c *CatalogueSync) View() *catalogue.View { return c.view.Load() }
 
-// Ready tells whether the catalogue came from the store or from a ready peer.
+// Ready returns whether the replica holds the whole catalogue, read from the store or equal to
+// that of an entry.
 func (c *CatalogueSync) Ready() bool { return c.ready.Load() }
 
-// SetReady is called once the store's pages have all been read.
+// SetReady marks the replica as ready. The entry calls it once it has read all pages from the
+// store.
 func (c *CatalogueSync) SetReady() { c.ready.Store(true) }
 
-// PulledBytes counts what came from peers.
+// PulledBytes returns the number of bytes pulled from peers. Nothing counts them yet, so it
+// is always 0.
 func (c *CatalogueSync) PulledBytes() uint64 { return c.pulledBytes.Load() }
 
-// FillHeartbeat adds the digest to a heartbeat; control thread.
+// FillHeartbeat adds the digest of the replica to a heartbeat. Control thread only.
 func (c *CatalogueSync) FillHeartbeat(h *wire.Heartbeat) {
 	h.CatalogueRevision, h.CatalogueHash = c.replica.View().Digest()
 }
 
-// HandleHeartbeat compares a peer's digest and pulls if the peer may have something newer;
-// control thread. The sum alone is not enough: two nodes may each lack an edit
-// that the other has.
+// HandleHeartbeat compares a peer's digest with that of the replica. If they differ it starts
+// a pull, unless one is running. If they are equal and the peer is an entry, the replica is
+// ready. Control thread only. The digest holds a hash besides the sum of the revisions,
+// because the sums can be equal although two nodes each lack an edit that the other has.
 func (c *CatalogueSync) HandleHeartbeat(h *wire.Heartbeat) {
 	sum, hash := c.replica.View().Digest()
 	if hash == h.CatalogueHash && sum == h.CatalogueRevision {
@@ -74,15 +80,18 @@
 	go c.pull(h.Addr, c.replica.View().Revisions())
 }
 
-// pullTimeout bounds one pull.
+// pullTimeout bounds the RPC of one pull.
 const pullTimeout = 5 * time.Second
 
+// pull reads the pages that are newer than revisions, by page number, from the peer at addr
+// and applies them on the control thread. After a failure, the next heartbeat whose digest
+// differs starts another pull.
 func (c *CatalogueSync) pull(addr string, revisions []uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	response, err := c.clients.Peer(addr).Pull(ctx, connect.NewRequest(&wire.PullRequest{Revisions: revisions}))
 	if err != nil {
-		c.log.Debug("catalogue pull failed", zap.String("peer", addr), zap.Error(err))
+		c.log.Debug("cannot pull the catalogue from a peer", zap.String("peer", addr), zap.Error(err))
 	}
 	c.loop.Post(func() {
 		c.pulling = false
@@ -95,6 +104,8 @@
 	})
 }
 
+// changeFromWire decodes a change of a page. It leaves out records that cannot be decoded or
+// are invalid.
 func changeFromWire(change *wire.PageChange) catalogue.Change {
 	out := catalogue.Change{Page: int(change.Page), Revision: change.Revision}
 	for _, data := range change.Entries {
@@ -106,34 +117,39 @@
 	return out
 }
 
+// applyChange applies a change from a peer. Control thread only.
 func (c *CatalogueSync) applyChange(change catalogue.Change) {
 	if c.replica.Apply(change) {
 		c.view.Store(c.replica.View())
 	}
 }
 
-// PostPage takes in a page as the store holds it, some time later; any thread.
+// PostPage applies a page read from the store at a later time and does not wait for it.
 func (c *CatalogueSync) PostPage(number int, page catalogue.Page) {
 	c.loop.Post(func() { c.applyPage(number, page) })
 }
 
-// ApplyPage is Offer that returns once the page is in force here, so that an
-// operator who was told of an edit also reads it.
+// ApplyPage applies a page read from the store and returns once it is in the view, so that an
+// operator whose edit was confirmed also reads it from this node. It fails with the error of
+// ctx or membership.ErrStopped.
 func (c *CatalogueSync) ApplyPage(ctx context.Context, number int, page catalogue.Page) error {
 	return c.loop.Do(ctx, func() { c.applyPage(number, page) })
 }
 
+// applyPage applies a page read from the store and logs a page that is older than the
+// replica's. Control thread only.
 func (c *CatalogueSync) applyPage(number int, page catalogue.Page) {
 	before := c.replica.StaleChanges
 	if c.replica.ApplyPage(number, page) {
 		c.view.Store(c.replica.View())
 	}
 	if c.replica.StaleChanges > before {
-		c.log.Warn("refused an old catalogue page from the store", zap.Int("page", number), zap.Uint64("revision", page.Revision))
+		c.log.Warn("ignored an outdated catalogue page from the store", zap.Int("page", number), zap.Uint64("revision", page.Revision))
 	}
 }
 
-// Pull implements wireconnect.PeerHandler.
+// Pull implements wireconnect.PeerHandler: it answers with the pages that are newer than the
+// revisions of the request.
 func (c *CatalogueSync) Pull(_ context.Context, request *connect.Request[wire.PullRequest]) (*connect.Response[wire.PullResponse], error) {
 	response := &wire.PullResponse{}
 	for _, change := range c.View().ChangesSince(request.Msg.Revisions) {
@@ -150,21 +166,24 @@
 	return connect.NewResponse(response), nil
 }
 
-// Revisions implements wireconnect.PeerHandler.
+// Revisions implements wireconnect.PeerHandler: it answers with the revision of each page, by
+// page number.
 func (c *CatalogueSync) Revisions(context.Context, *connect.Request[wire.RevisionsRequest]) (*connect.Response[wire.RevisionsResponse], error) {
 	return connect.NewResponse(&wire.RevisionsResponse{Revisions: c.View().Revisions()}), nil
 }
 
-// PeerHandler serves what nodes ask of each other. Lend is set by entries only.
+// PeerHandler implements wireconnect.PeerHandler, the RPCs between nodes. Lend lends a share of
+// a client account's limits to an entry; it is nil at an agent.
 type PeerHandler struct {
 	*CatalogueSync
 	Lend func(*wire.BorrowRequest) *wire.BorrowResponse
 }
 
-// Borrow implements wireconnect.PeerHandler.
+// Borrow implements wireconnect.PeerHandler with Lend. At an agent it fails with the code
+// unimplemented.
 func (p PeerHandler) Borrow(_ context.Context, request *connect.Request[wire.BorrowRequest]) (*connect.Response[wire.BorrowResponse], error) {
 	if p.Lend == nil {
-		return nil, connect.NewError(connect.CodeUnimplemented, errors.New("an agent lends nothing"))
+		return nil, connect.NewError(connect.CodeUnimplemented, errors.New("an agent has no limits to lend; ask an entry"))
 	}
 	return connect.NewResponse(p.Lend(request.Msg)), nil
 }
--- a/node/operators.go
+++ b/node/monitoring.go
@@ -16,25 +16,26 @@
 	"aspenyard.example/membership"
 )
 
-// NewLogger makes the process's log: JSON lines on standard error, each with the
-// node's name and role.
+// NewLogger returns the process's logger. It writes JSON lines to standard error, each with
+// the node's name and role, and also receives what libraries write to the standard logger. If
+// it cannot be built, the error goes to standard error and the logger discards everything.
 func NewLogger(name, role string) *zap.Logger {
 	config := zap.NewProductionConfig()
 	config.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.Sampling = nil
 	log, err := config.Build()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "log:", err)
+		fmt.Fprintln(os.Stderr, "cannot build the logger:", err)
 		return zap.NewNop()
 	}
 	log = log.With(zap.String("node", name), zap.String("role", role))
-	// Libraries that write to the standard logger are to write JSON lines too.
+	// Libraries that use the standard logger write JSON lines too.
 	zap.RedirectStdLog(log)
 	return log
 }
 
-// ServeHTTP serves plain HTTP on the listener until ctx ends, then closes all
-// connections.
+// ServeHTTP serves HTTP without TLS on listener until ctx ends, and then closes all
+// connections. It returns nil after that, and otherwise the error that ended it.
 func ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: maxHeaderBytes}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -45,10 +46,12 @@
 	return nil
 }
 
+// maxHeaderBytes bounds the header of a request.
 const maxHeaderBytes = 64 << 10
 
-// MonitoringMux serves metrics, liveness and readiness. ready returns nil once
-// the balancer may send work.
+// MonitoringMux returns a mux that serves /metrics, /healthz (liveness) and /readyz
+// (readiness). ready returns nil if the load balancer may send requests to the process, and
+// otherwise the reason why not, which is the body of the answer with status 503.
 func MonitoringMux(set *metrics.Set, ready func() error) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -68,7 +71,8 @@
 	return mux
 }
 
-// RegisterLoopMetrics exposes the control loop's traffic.
+// RegisterLoopMetrics registers the metrics of a control loop: its traffic in bytes and the
+// number of members in its view.
 func RegisterLoopMetrics(set *metrics.Set, loop *membership.Loop) {
 	set.NewGauge("aspenyard_control_sent_bytes_total", func() float64 { return float64(loop.Stats.SentBytes.Load()) })
 	set.NewGauge("aspenyard_control_received_bytes_total", func() float64 { return float64(loop.Stats.ReceivedBytes.Load()) })
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -1,5 +1,5 @@
-// Package node holds what both roles share: RPC servers and clients, the
-// catalogue's spread between nodes, the operators' port and the logs.
+// Package node holds the code that entries and agents share: RPC servers and clients, the
+// synchronization of the catalogue between nodes, the monitoring server and the logger.
 package node
 
 import (
@@ -16,26 +16,28 @@
 )
 
 const (
-	// pingAfter is the silence on a connection after which it is pinged, and
-	// pingTimeout how long the answer may take. Together they bound how long a
-	// frozen or cut-off peer holds a stream, and so whatever the stream keeps:
-	// TCP alone would wait for many minutes.
+	// pingAfter is the time without data after which a connection is pinged, and pingTimeout
+	// the time that the answer may take. Together they bound how long a suspended or
+	// unreachable peer keeps a stream open, and with it what the stream holds. TCP alone
+	// would wait for many minutes.
 	pingAfter   = time.Second
 	pingTimeout = time.Second
-	// maxMessageBytes bounds one RPC message: a prompt of a million tokens and
-	// what goes with it.
+	// maxMessageBytes bounds one RPC message. The largest holds a prompt of a million tokens
+	// and the other fields of its request.
 	maxMessageBytes = 64 << 20
 	dialTimeout     = time.Second
 )
 
+// cleartextHTTP2 returns the protocols of RPC connections: HTTP/2 without TLS only.
 func cleartextHTTP2() *http.Protocols {
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	return &p
 }
 
-// ServeRPC serves RPCs on the listener until ctx ends, then closes all
-// connections. Call it when nothing is left to drain.
+// ServeRPC serves RPCs on listener until ctx ends, and then closes all connections, also those
+// with RPCs in progress. ctx must therefore not end before a drain is complete. ServeRPC
+// returns nil after that, and otherwise the error that ended it.
 func ServeRPC(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler: handler, Protocols: cleartextHTTP2(),
@@ -50,7 +52,7 @@
 	return nil
 }
 
-// Clients makes and keeps RPC clients by address. Safe for concurrent use.
+// Clients caches RPC clients by the address of their server. It is safe for concurrent use.
 type Clients struct {
 	http   *http.Client
 	mu     sync.Mutex
@@ -58,11 +60,11 @@
 	peers  map[string]wireconnect.PeerClient
 }
 
-// maxClients bounds the cache: VMs are replaced all the time, and their
-// addresses with them.
+// maxClients bounds the cached clients of each kind. VMs are replaced all the time, and their
+// addresses with them, so a full cache is cleared.
 const maxClients = 20_000
 
-// NewClients makes an empty cache.
+// NewClients returns an empty cache. Its clients share one HTTP transport.
 func NewClients() *Clients {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Clients{
@@ -74,7 +76,7 @@
 	}
 }
 
-// Agent gives the client of the agent at addr.
+// Agent returns the client of the agent at addr, a host and port.
 func (c *Clients) Agent(addr string) wireconnect.AgentClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +91,7 @@
 	return client
 }
 
-// Peer gives the client of the node at addr.
+// Peer returns the client of the node at addr, a host and port.
 func (c *Clients) Peer(addr string) wireconnect.PeerClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +106,8 @@
 	return client
 }
 
-// HandlerOptions bound what a server accepts.
+// HandlerOptions returns the options of RPC handlers, which bound the size of a request
+// message.
 func HandlerOptions() connect.HandlerOption {
 	return connect.WithReadMaxBytes(maxMessageBytes)
 }
