--- a/power/ledger.go
+++ b/power/ledger.go
@@ -1,4 +1,4 @@
-// Package power keeps the power draw of a site below its cap. Each site has a ledger, a value
+// Package power keeps the power draw of a site within its cap. Each site has a ledger, a value
 // in the platform's store, that records how many watts each endpoint may draw. The package
 // does no I/O: the entry that is the site's power coordinator reads and writes the ledger and
 // sends the grants to the agents.
@@ -96,7 +96,8 @@
 	return max(l.CapWatts, l.CountedWatts())
 }
 
-// minChangeWatts is the smallest change of a grant that is worth a write of the ledger.
+// minChangeWatts is the smallest change of a grant that is usually worth a write of the
+// ledger. See lowerGrants and raiseGrants for the exceptions.
 const minChangeWatts = 50
 
 // Plan computes the next ledger from the current one, the cap in watts and the reports, which
@@ -258,7 +259,8 @@
 
 // raiseGrants raises grants towards their targets as far as the watts that are not counted
 // allow, and returns whether it changed any. A grant with an unconfirmed decrease is not
-// raised, because it is unknown which value its agent enforces.
+// raised, because it is unknown which value its agent enforces. An increase below
+// minChangeWatts is made only for an endpoint that has no more than its floor.
 func (l *Ledger) raiseGrants(reports []Report, targets map[string]uint64) bool {
 	counted := l.CountedWatts()
 	changed := false
--- a/power/ledger_test.go
+++ b/power/ledger_test.go
@@ -139,7 +139,7 @@
 			},
 			"work": func(t *rapid.T) {
 				_, a := agent(t)
-				a.demand = rapid.IntRange(0, simSlots).Draw(t, "want")
+				a.demand = rapid.IntRange(0, simSlots).Draw(t, "demand")
 				if a.demand < a.running || a.running < a.limit.Slots() {
 					a.running = min(a.demand, max(a.running, a.limit.Slots()))
 				}
--- a/power/limit.go
+++ b/power/limit.go
@@ -11,10 +11,10 @@
 	capped               bool
 }
 
-// NewLimit returns the limit of an agent without a grant. floor and max are the endpoint's
-// draw in watts when it is idle and with a full batch, which has slots sequences.
-func NewLimit(incarnation, floor, max uint64, slots int) *Limit {
-	return &Limit{incarnation: incarnation, floorWatts: floor, maxWatts: max, slots: slots, grantedWatts: floor}
+// NewLimit returns the limit of an agent without a grant. floorWatts and maxWatts are the
+// endpoint's draw when it is idle and with a full batch, which has slots sequences.
+func NewLimit(incarnation, floorWatts, maxWatts uint64, slots int) *Limit {
+	return &Limit{incarnation: incarnation, floorWatts: floorWatts, maxWatts: maxWatts, slots: slots, grantedWatts: floorWatts}
 }
 
 // SetCapped sets whether the site has a power cap. Without one, all slots may be used.
@@ -43,8 +43,8 @@
 	return min(l.slots, int((l.grantedWatts-l.floorWatts)*uint64(l.slots)/(l.maxWatts-l.floorWatts)))
 }
 
-// WorstCaseDraw returns the most that the endpoint draws with running sequences, in watts. It
-// is linear from the floor to the maximum draw with a full batch.
+// WorstCaseDraw returns the most that the endpoint draws in watts while running sequences run.
+// It rises linearly from the idle draw to the draw with a full batch.
 func (l *Limit) WorstCaseDraw(running int) uint64 {
 	if l.slots == 0 {
 		return l.floorWatts
