--- a/catalogue/edit.go
+++ b/catalogue/edit.go
@@ -54,7 +54,7 @@
 func Apply(ctx context.Context, store infra.Store, edit Edit, known uint64) (Result, error) {
 	key := edit.Record.Key()
 	result := Result{Number: PageOf(key)}
-	change := func(data []byte) ([]byte, bool, error) {
+	update := func(data []byte) ([]byte, bool, error) {
 		page, err := DecodePage(data)
 		if err != nil {
 			return nil, false, err
@@ -70,7 +70,7 @@
 		next, err := json.Marshal(page)
 		return next, false, errors.WithStack(err)
 	}
-	mine := func(data []byte) bool {
+	isOwnWrite := func(data []byte) bool {
 		page, err := DecodePage(data)
 		if err != nil || page.Records[key] == nil || page.Records[key].EditID != edit.ID {
 			return false
@@ -78,7 +78,7 @@
 		result.Page, result.Current = page, page.Records[key]
 		return true
 	}
-	err := infra.Update(ctx, store, PageKey(result.Number), nil, change, mine)
+	err := infra.Update(ctx, store, PageKey(result.Number), nil, update, isOwnWrite)
 	return result, err
 }
 
--- a/catalogue/history.go
+++ b/catalogue/history.go
@@ -17,7 +17,7 @@
 // AppendHistory adds an accepted edit to the record's history. The history is a help
 // to operators and not an authority: it may miss an edit whose node died.
 func AppendHistory(ctx context.Context, store infra.Store, record *Record) error {
-	change := func(data []byte) ([]byte, bool, error) {
+	update := func(data []byte) ([]byte, bool, error) {
 		records, err := decodeHistory(data)
 		if err != nil {
 			return nil, false, err
@@ -29,11 +29,11 @@
 		next, err := json.Marshal(records)
 		return next, false, errors.WithStack(err)
 	}
-	mine := func(data []byte) bool {
+	isOwnWrite := func(data []byte) bool {
 		records, err := decodeHistory(data)
 		return err == nil && len(records) > 0 && records[len(records)-1].EditID == record.EditID
 	}
-	return infra.Update(ctx, store, historyKey(record.Key()), nil, change, mine)
+	return infra.Update(ctx, store, historyKey(record.Key()), nil, update, isOwnWrite)
 }
 
 // History reads a record's former values, oldest first.
--- a/catalogue/record.go
+++ b/catalogue/record.go
@@ -158,37 +158,37 @@
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, settings.FieldErrors{{Value: "text after the record", Allowed: "one catalogue record"}}
 	}
-	if faults := record.Check(); len(faults) > 0 {
-		return nil, faults
+	if fieldErrs := record.Check(); len(fieldErrs) > 0 {
+		return nil, fieldErrs
 	}
 	return &record, nil
 }
 
 // Check returns every fault of the record.
 func (r *Record) Check() settings.FieldErrors {
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	if !slices.Contains(Types(), r.Type) {
-		faults.Add("type", r.Type, "work, account, operator, site or endpoint")
+		fieldErrs.Add("type", r.Type, "work, account, operator, site or endpoint")
 	}
-	faults.CheckName("id", r.ID)
-	faults.CheckName("owner", r.Owner)
+	fieldErrs.CheckName("id", r.ID)
+	fieldErrs.CheckName("owner", r.Owner)
 	if r.Deleted {
-		return faults
+		return fieldErrs
 	}
-	parts := []struct {
+	bodies := []struct {
 		name Type
 		set  bool
 	}{
 		{TypeWork, r.Work != nil}, {TypeAccount, r.Account != nil}, {TypeOperator, r.Operator != nil},
 		{TypeSite, r.Site != nil}, {TypeEndpoint, r.Endpoint != nil},
 	}
-	for _, part := range parts {
-		if part.set != (part.name == r.Type) {
-			faults.Add(string(part.name), part.set, "exactly the part that type names")
+	for _, body := range bodies {
+		if body.set != (body.name == r.Type) {
+			fieldErrs.Add(string(body.name), body.set, "exactly the part that type names")
 		}
 	}
-	if len(faults) > 0 {
-		return faults
+	if len(fieldErrs) > 0 {
+		return fieldErrs
 	}
 	return r.checkBody()
 }
@@ -200,9 +200,9 @@
 	case TypeAccount:
 		return r.Account.check()
 	case TypeOperator:
-		var faults settings.FieldErrors
-		checkHash(&faults, "operator.key_sha256", r.Operator.KeySHA256)
-		return faults
+		var fieldErrs settings.FieldErrors
+		checkHash(&fieldErrs, "operator.key_sha256", r.Operator.KeySHA256)
+		return fieldErrs
 	case TypeSite:
 		return r.Site.check()
 	}
@@ -210,41 +210,41 @@
 }
 
 func (w *Work) check() settings.FieldErrors {
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	if _, found := classes[w.Class]; !found {
-		faults.Add("work.class", w.Class, "urgent, normal or bulk")
+		fieldErrs.Add("work.class", w.Class, "urgent, normal or bulk")
 	}
 	if (w.Model == "") == (w.Service == "") {
-		faults.Add("work.model", w.Model, "either model or service, not both")
+		fieldErrs.Add("work.model", w.Model, "either model or service, not both")
 	}
 	if w.Model != "" {
-		faults.CheckName("work.model", w.Model)
+		fieldErrs.CheckName("work.model", w.Model)
 		if !w.Repeatable {
-			faults.Add("work.repeatable", w.Repeatable, "true for a model; only a service's calls may be not repeatable")
+			fieldErrs.Add("work.repeatable", w.Repeatable, "true for a model; only a service's calls may be not repeatable")
 		}
 	}
 	if w.Service != "" {
-		faults.CheckName("work.service", w.Service)
+		fieldErrs.CheckName("work.service", w.Service)
 	}
-	faults.CheckInt("work.max_prompt_tokens", int64(w.MaxPromptTokens), 0, 10_000_000)
-	faults.CheckInt("work.max_output_tokens", int64(w.MaxOutputTokens), 0, 1_000_000)
-	faults.CheckRange("work.deadline", w.Deadline.D(), 0, 24*time.Hour)
+	fieldErrs.CheckInt("work.max_prompt_tokens", int64(w.MaxPromptTokens), 0, 10_000_000)
+	fieldErrs.CheckInt("work.max_output_tokens", int64(w.MaxOutputTokens), 0, 1_000_000)
+	fieldErrs.CheckRange("work.deadline", w.Deadline.D(), 0, 24*time.Hour)
 	if o := w.Objective; o != nil {
-		faults.CheckRange("work.objective.first_token", o.FirstToken.D(), time.Millisecond, time.Hour)
+		fieldErrs.CheckRange("work.objective.first_token", o.FirstToken.D(), time.Millisecond, time.Hour)
 		if o.Share <= 0 || o.Share >= 1 {
-			faults.Add("work.objective.share", o.Share, "above 0 and below 1")
+			fieldErrs.Add("work.objective.share", o.Share, "above 0 and below 1")
 		}
 	}
-	return faults
+	return fieldErrs
 }
 
 func (a *Account) check() settings.FieldErrors {
-	var faults settings.FieldErrors
-	checkHash(&faults, "account.key_sha256", a.KeySHA256)
-	checkRate(&faults, "account.limits.requests_per_second", a.Limits.RequestsPerSecond)
-	checkRate(&faults, "account.limits.tokens_per_second", a.Limits.TokensPerSecond)
-	faults.CheckInt("account.limits.concurrent", int64(a.Limits.Concurrent), 0, maxConcurrent)
-	return faults
+	var fieldErrs settings.FieldErrors
+	checkHash(&fieldErrs, "account.key_sha256", a.KeySHA256)
+	checkRate(&fieldErrs, "account.limits.requests_per_second", a.Limits.RequestsPerSecond)
+	checkRate(&fieldErrs, "account.limits.tokens_per_second", a.Limits.TokensPerSecond)
+	fieldErrs.CheckInt("account.limits.concurrent", int64(a.Limits.Concurrent), 0, maxConcurrent)
+	return fieldErrs
 }
 
 // Bounds of an account's limits and a site's power: far above the largest deployment
@@ -256,26 +256,26 @@
 )
 
 // checkRate checks a limit of so many a second; 0: no limit.
-func checkRate(faults *settings.FieldErrors, field string, rate float64) {
+func checkRate(fieldErrs *settings.FieldErrors, field string, rate float64) {
 	if rate < 0 || rate > maxRate {
-		faults.Add(field, rate, "0 to 1000000000")
+		fieldErrs.Add(field, rate, "0 to 1000000000")
 	}
 }
 
 func (s *Site) check() settings.FieldErrors {
-	var faults settings.FieldErrors
-	faults.CheckInt("site.power_cap_watts", int64(s.PowerCapWatts), 1, maxWatts)
+	var fieldErrs settings.FieldErrors
+	fieldErrs.CheckInt("site.power_cap_watts", int64(s.PowerCapWatts), 1, maxWatts)
 	if len(s.DataCentres) == 0 {
-		faults.Add("site.data_centres", s.DataCentres, "at least one")
+		fieldErrs.Add("site.data_centres", s.DataCentres, "at least one")
 	}
 	for _, name := range s.DataCentres {
-		faults.CheckName("site.data_centres", name)
+		fieldErrs.CheckName("site.data_centres", name)
 	}
-	return faults
+	return fieldErrs
 }
 
-func checkHash(faults *settings.FieldErrors, field, hash string) {
+func checkHash(fieldErrs *settings.FieldErrors, field, hash string) {
 	if decoded, err := hex.DecodeString(hash); err != nil || len(decoded) != 32 {
-		faults.Add(field, hash, "64 hexadecimal digits")
+		fieldErrs.Add(field, hash, "64 hexadecimal digits")
 	}
 }
--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -87,9 +87,9 @@
 		_, err := put(store, "a", 2, first.Current.Revision)
 		is.NoErr(err)
 	}
-	lost, err := put(store, "a", 3, first.Current.Revision)
+	second, err := put(store, "a", 3, first.Current.Revision)
 	is.True(errors.Is(err, ErrConflict))
-	is.Equal(lost.Current.Work.MaxOutputTokens, 2) // the current value is shown
+	is.Equal(second.Current.Work.MaxOutputTokens, 2) // the current value is shown
 }
 
 func TestEditsOfDifferentRecordsDoNotConflict(t *testing.T) {
@@ -144,11 +144,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		store := newFakeStore()
 		nodes := []*Replica{NewReplica(), NewReplica(), NewReplica()}
-		highest := make([]map[string]uint64, len(nodes))
-		for i := range highest {
-			highest[i] = map[string]uint64{}
+		lastRevision := make([]map[string]uint64, len(nodes))
+		for i := range lastRevision {
+			lastRevision[i] = map[string]uint64{}
 		}
-		var late []Change // answers that may still arrive
+		var delayed []Change // answers that may still arrive
 		node := func(t *rapid.T) int { return rapid.IntRange(0, len(nodes)-1).Draw(t, "node") }
 		t.Repeat(map[string]func(*rapid.T){
 			"edit": func(t *rapid.T) {
@@ -178,7 +178,7 @@
 				for _, record := range page.Records {
 					change.Records = append(change.Records, record)
 				}
-				late = append(late, change)
+				delayed = append(delayed, change)
 				nodes[node(t)].Apply(change)
 			},
 			"pull": func(t *rapid.T) {
@@ -188,23 +188,23 @@
 				}
 			},
 			"old page arrives": func(t *rapid.T) {
-				if len(late) > 0 {
-					nodes[node(t)].Apply(rapid.SampledFrom(late).Draw(t, "change"))
+				if len(delayed) > 0 {
+					nodes[node(t)].Apply(rapid.SampledFrom(delayed).Draw(t, "change"))
 				}
 			},
 			"replace": func(t *rapid.T) {
 				if i := node(t); rapid.IntRange(0, 9).Draw(t, "chance") == 0 {
-					nodes[i], highest[i] = NewReplica(), map[string]uint64{}
+					nodes[i], lastRevision[i] = NewReplica(), map[string]uint64{}
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, n := range nodes {
 					for _, change := range n.View().ChangesSince(nil) {
 						for _, record := range change.Records {
-							if record.Revision < highest[i][record.ID] {
+							if record.Revision < lastRevision[i][record.ID] {
 								t.Fatalf("node %d went back on %s", i, record.ID)
 							}
-							highest[i][record.ID] = record.Revision
+							lastRevision[i][record.ID] = record.Revision
 						}
 					}
 				}
--- a/cli/bounds_test.go
+++ b/cli/bounds_test.go
@@ -50,13 +50,13 @@
 }
 
 // replaceEachValue calls try with the file as it is when one value in it is out of bounds.
-func replaceEachValue(path string, node any, try func(path string, value any)) {
-	switch v := node.(type) {
+func replaceEachValue(path string, value any, try func(path string, value any)) {
+	switch v := value.(type) {
 	case map[string]any:
 		for name, child := range v {
-			for _, wrong := range outOfBoundsValues(child) {
-				v[name] = wrong
-				try(path+"."+name, wrong)
+			for _, invalid := range outOfBoundsValues(child) {
+				v[name] = invalid
+				try(path+"."+name, invalid)
 			}
 			v[name] = child
 			replaceEachValue(path+"."+name, child, try)
@@ -101,9 +101,9 @@
 			var file any
 			is.NoErr(json.Unmarshal([]byte(text), &file))
 			is.NoErr(check(file))
-			replaceEachValue("", file, func(field string, wrong any) {
+			replaceEachValue("", file, func(field string, invalid any) {
 				if check(file) == nil {
-					t.Errorf("%s: %v is accepted", field, wrong)
+					t.Errorf("%s: %v is accepted", field, invalid)
 				}
 			})
 		})
--- a/cli/check.go
+++ b/cli/check.go
@@ -79,20 +79,20 @@
 		return nil, errors.Wrap(err, "catalogue file")
 	}
 	var records []*catalogue.Record
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	for i, raw := range file.Records {
 		record, err := catalogue.DecodeRecord(raw)
-		var found settings.FieldErrors
+		var recordErrs settings.FieldErrors
 		switch {
-		case errors.As(err, &found):
-			for _, fault := range found {
-				fault.Field = fmt.Sprintf("records[%d].%s", i, fault.Field)
-				faults = append(faults, fault)
+		case errors.As(err, &recordErrs):
+			for _, fieldErr := range recordErrs {
+				fieldErr.Field = fmt.Sprintf("records[%d].%s", i, fieldErr.Field)
+				fieldErrs = append(fieldErrs, fieldErr)
 			}
 		case err != nil:
 			return nil, err
 		}
 		records = append(records, record)
 	}
-	return records, faults.Err()
+	return records, fieldErrs.Err()
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -69,18 +69,18 @@
 		return t.failf("%v", err)
 	}
 	results := c.sendLoad(ctx, t, fleet)
-	rows, whole := tabulate(results)
-	held, leftovers := fleet.AwaitNoHeldTokens(ctx)
+	rows, complete := tabulate(results)
+	held, heldErr := fleet.AwaitNoHeldTokens(ctx)
 	if c.JSON {
-		t.json(map[string]any{"rows": rows, "whole": whole, "held_tokens": held})
+		t.json(map[string]any{"rows": rows, "whole": complete, "held_tokens": held})
 	} else {
 		printDemo(t, rows)
 	}
 	switch {
-	case !whole:
+	case !complete:
 		return t.failf("not every answer came back whole")
-	case leftovers != nil:
-		return t.failf("memory is still held: %v", leftovers)
+	case heldErr != nil:
+		return t.failf("memory is still held: %v", heldErr)
 	}
 	fmt.Fprintln(t.err, "every answer was whole, as the engines' own text has it, and no memory is held")
 	return exitOK
@@ -121,11 +121,11 @@
 	}
 	sort.Sort(sort.Reverse(sort.IntSlice(lengths)))
 	results := make([]demoResult, len(lengths))
-	var sending sync.WaitGroup
+	var senders sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
 	for i, tokens := range lengths {
-		sending.Go(func() {
+		senders.Go(func() {
 			results[i] = sendDemoRequest(ctx, fleet, i, tokens)
 			mu.Lock()
 			defer mu.Unlock()
@@ -137,7 +137,7 @@
 		})
 		time.Sleep(demoStagger)
 	}
-	sending.Wait()
+	senders.Wait()
 	fmt.Fprintln(t.err)
 	return results
 }
@@ -160,7 +160,7 @@
 }
 
 func tabulate(results []demoResult) ([]demoRow, bool) {
-	whole := true
+	complete := true
 	var rows []demoRow
 	for _, l := range demoPromptLengths {
 		histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
@@ -171,7 +171,7 @@
 			}
 			row.Requests++
 			if !r.complete {
-				whole = false
+				complete = false
 				continue
 			}
 			row.Complete++
@@ -181,7 +181,7 @@
 		row.P50MS, row.P95MS, row.MaxMS = ms(50), ms(95), histogram.Max()/1000
 		rows = append(rows, row)
 	}
-	return rows, whole
+	return rows, complete
 }
 
 func printDemo(t terminal, rows []demoRow) {
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -35,46 +35,46 @@
 	if err != nil {
 		return t.failf("%s: %v", c.File, err)
 	}
-	lines, err := c.createOutput()
+	output, err := c.createOutput()
 	if err != nil {
 		return t.failf("%v", err)
 	}
 	summary := experiment.NewSummary(file)
-	var failed error
-	played := 0
-	stopped := file.Run(ctx, func(p *experiment.RunResult, of int) {
+	var writeErr error
+	completed := 0
+	runErr := file.Run(ctx, func(p *experiment.RunResult, of int) {
 		summary.Add(p)
-		if lines != nil && failed == nil {
-			failed = json.NewEncoder(lines).Encode(p)
+		if output != nil && writeErr == nil {
+			writeErr = json.NewEncoder(output).Encode(p)
 		}
-		played++
+		completed++
 		if !c.Quiet {
-			fmt.Fprintf(t.err, "\r%d of %d plays", played, of)
+			fmt.Fprintf(t.err, "\r%d of %d plays", completed, of)
 		}
 	})
 	if !c.Quiet {
 		fmt.Fprintln(t.err)
 	}
-	if lines != nil {
-		if err := lines.Close(); failed == nil {
-			failed = err
+	if output != nil {
+		if err := output.Close(); writeErr == nil {
+			writeErr = err
 		}
 	}
-	if failed != nil {
-		return t.failf("plays not written: %v", failed)
+	if writeErr != nil {
+		return t.failf("plays not written: %v", writeErr)
 	}
-	return c.report(t, summary, stopped)
+	return c.report(t, summary, runErr)
 }
 
-func (c *experimentCommand) report(t terminal, summary *experiment.Summary, stopped error) int {
+func (c *experimentCommand) report(t terminal, summary *experiment.Summary, runErr error) int {
 	fmt.Fprint(t.out, experiment.Table(summary.Rows()))
 	if c.Out != "" {
 		if err := summary.WritePage(c.Out, c.name()); err != nil {
 			return t.failf("%v", err)
 		}
 	}
-	if stopped != nil {
-		return t.failf("stopped before the end: %v", stopped)
+	if runErr != nil {
+		return t.failf("stopped before the end: %v", runErr)
 	}
 	return exitOK
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -82,18 +82,18 @@
 	}
 	to := end.Time.Add(end.duration("gap_end_ms") - end.duration("took_ms"))
 	from := to.Add(-length)
-	var there []logLine
+	var placedNear []logLine
 	for _, l := range placed {
 		if l.prefillsAt(end.text("endpoint")) && l.Time.After(from.Add(-placedBeforePause)) && l.Time.Before(to) {
-			there = append(there, l)
+			placedNear = append(placedNear, l)
 		}
 	}
-	slices.SortStableFunc(there, func(a, b logLine) int { return cmp.Compare(b.number("prefill_ms"), a.number("prefill_ms")) })
-	told := []string{fmt.Sprintf("placed at %s from 1 s before that pause to its end, by the logs given: %d", end.text("endpoint"), len(there))}
-	for _, l := range there[:min(len(there), maxDescribedPlacements)] {
-		told = append(told, fmt.Sprintf("    request %s by %s, %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.milliseconds("prefill_ms"), l.helperCountText()))
+	slices.SortStableFunc(placedNear, func(a, b logLine) int { return cmp.Compare(b.number("prefill_ms"), a.number("prefill_ms")) })
+	output := []string{fmt.Sprintf("placed at %s from 1 s before that pause to its end, by the logs given: %d", end.text("endpoint"), len(placedNear))}
+	for _, l := range placedNear[:min(len(placedNear), maxDescribedPlacements)] {
+		output = append(output, fmt.Sprintf("    request %s by %s, %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.milliseconds("prefill_ms"), l.helperCountText()))
 	}
-	return told
+	return output
 }
 
 func (l *logLine) number(name string) float64 {
@@ -139,7 +139,7 @@
 		in = file
 	}
 	var lines []logLine
-	known := false
+	found := false
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
@@ -152,7 +152,7 @@
 		if json.Unmarshal(data, &l) != nil || l.Event == "" {
 			continue
 		}
-		known = true
+		found = true
 		if err := json.Unmarshal(data, &l.fields); err != nil {
 			return nil, errors.Wrapf(err, "%s", path)
 		}
@@ -161,7 +161,7 @@
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrapf(err, "read %s", path)
 	}
-	if !known {
+	if !found {
 		return nil, errors.Errorf("%s: no log lines of a gateway (JSON with an event)", path)
 	}
 	return lines, nil
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -55,9 +55,9 @@
 // requestTrace is what the log tells of a request before its end.
 type requestTrace struct {
 	// placed is the last plan.
-	placed           *logLine
-	waited, expected time.Duration
-	refusal          losses.RefusalReason
+	placed                        *logLine
+	queueTime, expectedFirstToken time.Duration
+	refusal                       losses.RefusalReason
 }
 
 // add takes in a line of the request.
@@ -68,9 +68,9 @@
 			c.placed = l
 		}
 	case "queue_left":
-		c.waited, c.expected = l.duration("waited_ms"), l.duration("expected_ms")
+		c.queueTime, c.expectedFirstToken = l.duration("waited_ms"), l.duration("expected_ms")
 	case "queue_refused":
-		c.expected, c.refusal = l.duration("expected_ms"), losses.RefusedTooLate
+		c.expectedFirstToken, c.refusal = l.duration("expected_ms"), losses.RefusedTooLate
 	case "capacity_refused":
 		c.refusal = losses.RefusedLongParts
 	case "memory_reserved":
@@ -84,24 +84,24 @@
 // starts of processes.
 func lossRecords(lines []logLine) *losses.Records {
 	records := &losses.Records{}
-	courses := map[string]*requestTrace{}
+	traces := map[string]*requestTrace{}
 	for i := range lines {
 		l := &lines[i]
 		if l.Event == "start" {
 			records.ProcessStarts = append(records.ProcessStarts, l.Time)
 		}
-		if courses[l.requestKey()] == nil {
-			courses[l.requestKey()] = &requestTrace{}
+		if traces[l.requestKey()] == nil {
+			traces[l.requestKey()] = &requestTrace{}
 		}
-		courses[l.requestKey()].add(l)
+		traces[l.requestKey()].add(l)
 	}
 	for i := range lines {
 		if l := &lines[i]; l.Event == "request_ended" {
-			course := courses[l.requestKey()]
-			request := lossRequest(l, course)
+			trace := traces[l.requestKey()]
+			request := lossRequest(l, trace)
 			records.Requests = append(records.Requests, request)
-			if course.placed != nil {
-				records.Parts = append(records.Parts, lossParts(course.placed, &request)...)
+			if trace.placed != nil {
+				records.Parts = append(records.Parts, prefillParts(trace.placed, &request)...)
 			}
 		}
 	}
@@ -111,25 +111,25 @@
 // requestKey names one request at one gateway: a caller that comes back may use its ID again.
 func (l *logLine) requestKey() string { return l.Node + " " + l.Request }
 
-func lossRequest(l *logLine, course *requestTrace) losses.Request {
+func lossRequest(l *logLine, trace *requestTrace) losses.Request {
 	code := result.Code(l.number("code"))
-	began := l.Time.Add(-l.duration("took_ms"))
+	arrivedAt := l.Time.Add(-l.duration("took_ms"))
 	status := result.Lookup(code).HTTPStatus
-	q := losses.Request{
-		ID: l.Request, Node: l.Node, Route: l.text("route"), ArrivedAt: began, EndedAt: l.Time, PromptTokens: int(l.number("prompt_tokens")),
-		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, Excluded: answerNotOwed(code), Late: parseLate(l.text("late")),
-		TimeToFirstEvent: l.duration("first_ms"), Endpoint: l.text("endpoint"), QueueTime: course.waited, ExpectedFirstToken: course.expected, Resumed: l.text("resumed") == "true",
+	request := losses.Request{
+		ID: l.Request, Node: l.Node, Route: l.text("route"), ArrivedAt: arrivedAt, EndedAt: l.Time, PromptTokens: int(l.number("prompt_tokens")),
+		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, Excluded: excludedFromLosses(code), Late: parseLate(l.text("late")),
+		TimeToFirstEvent: l.duration("first_ms"), Endpoint: l.text("endpoint"), QueueTime: trace.queueTime, ExpectedFirstToken: trace.expectedFirstToken, Resumed: l.text("resumed") == "true",
 	}
-	if q.Refused {
-		q.RefusalReason = course.refusal
+	if request.Refused {
+		request.RefusalReason = trace.refusal
 	}
-	q.PauseEnd = began.Add(l.duration("gap_end_ms"))
-	q.PauseStart = q.PauseEnd.Add(-l.duration("gap_ms"))
-	return q
+	request.PauseEnd = arrivedAt.Add(l.duration("gap_end_ms"))
+	request.PauseStart = request.PauseEnd.Add(-l.duration("gap_ms"))
+	return request
 }
 
-// answerNotOwed tells whether a caller had no claim to an answer, or took none.
-func answerNotOwed(code result.Code) bool {
+// excludedFromLosses tells whether a caller had no claim to an answer, or took none.
+func excludedFromLosses(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
 		return true
@@ -138,8 +138,8 @@
 }
 
 // parseLate reads a log's word; plain answers have one way of being parseLate.
-func parseLate(word string) losses.Lateness {
-	switch word {
+func parseLate(value string) losses.Lateness {
+	switch value {
 	case "answer", "first":
 		return losses.LateFirst
 	case "pause":
@@ -150,16 +150,16 @@
 	return losses.OnTime
 }
 
-// lossParts are the parts of a prompt, from when they were sent until its first token came
+// prefillParts are the parts of a prompt, from when they were sent until its first token came
 // or, where none did, its end.
-func lossParts(sent *logLine, q *losses.Request) []losses.PrefillPart {
-	to := q.EndedAt
-	if q.TimeToFirstEvent > 0 {
-		to = q.ArrivedAt.Add(q.TimeToFirstEvent)
+func prefillParts(placed *logLine, request *losses.Request) []losses.PrefillPart {
+	firstTokenAt := request.EndedAt
+	if request.TimeToFirstEvent > 0 {
+		firstTokenAt = request.ArrivedAt.Add(request.TimeToFirstEvent)
 	}
 	var parts []losses.PrefillPart
-	for _, endpoint := range sent.endpoints() {
-		parts = append(parts, losses.PrefillPart{RequestID: q.ID, Endpoint: endpoint, SentAt: sent.Time, FirstTokenAt: to, PrefillTime: sent.duration("prefill_ms"), Route: q.Route})
+	for _, endpoint := range placed.endpoints() {
+		parts = append(parts, losses.PrefillPart{RequestID: request.ID, Endpoint: endpoint, SentAt: placed.Time, FirstTokenAt: firstTokenAt, PrefillTime: placed.duration("prefill_ms"), Route: request.Route})
 	}
 	return parts
 }
--- a/cli/operators.go
+++ b/cli/operators.go
@@ -121,8 +121,8 @@
 	if err != nil {
 		return t.failf("%v", err)
 	}
-	var several catalogueFile
-	if json.Unmarshal(data, &several) == nil && several.Records != nil {
+	var file catalogueFile
+	if json.Unmarshal(data, &file) == nil && file.Records != nil {
 		return c.putAll(t, data)
 	}
 	record, err := catalogue.DecodeRecord(data)
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -47,13 +47,13 @@
 
 // Check implements settings.Checker.
 func (s *standinSettings) Check() settings.FieldErrors {
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	if !slices.Contains([]string{"platform", "engine", "service"}, s.Standin) {
-		faults.Add("standin", s.Standin, "platform, engine or service")
+		fieldErrs.Add("standin", s.Standin, "platform, engine or service")
 	}
-	faults.CheckAddr("listen", s.Listen)
-	s.checkNumbers(&faults)
-	return faults
+	fieldErrs.CheckAddr("listen", s.Listen)
+	s.checkNumbers(&fieldErrs)
+	return fieldErrs
 }
 
 // Bounds of a stand-in's numbers: what the users' largest deployments have, with room.
@@ -67,21 +67,21 @@
 )
 
 // checkNumbers bounds every number; 0 leaves the stand-in's default.
-func (s *standinSettings) checkNumbers(faults *settings.FieldErrors) {
-	faults.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
-	faults.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
-	faults.CheckRange("list_lag", s.ListLag.D(), 0, maxStandinLag)
-	faults.CheckInt("memory_tokens", int64(s.MemoryTokens), 0, maxStandinTokens)
-	faults.CheckInt("max_running", int64(s.MaxRunning), 0, maxStandinRequests)
-	faults.CheckInt("chunk_tokens", int64(s.ChunkTokens), 0, maxStandinTokens)
-	faults.CheckInt("floor_watts", int64(s.FloorWatts), 0, maxStandinWatts)
-	faults.CheckInt("max_watts", int64(s.MaxWatts), 0, maxStandinWatts)
+func (s *standinSettings) checkNumbers(fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
+	fieldErrs.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
+	fieldErrs.CheckRange("list_lag", s.ListLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckInt("memory_tokens", int64(s.MemoryTokens), 0, maxStandinTokens)
+	fieldErrs.CheckInt("max_running", int64(s.MaxRunning), 0, maxStandinRequests)
+	fieldErrs.CheckInt("chunk_tokens", int64(s.ChunkTokens), 0, maxStandinTokens)
+	fieldErrs.CheckInt("floor_watts", int64(s.FloorWatts), 0, maxStandinWatts)
+	fieldErrs.CheckInt("max_watts", int64(s.MaxWatts), 0, maxStandinWatts)
 	if s.TimeScale < 0 || s.TimeScale > maxStandinScale {
-		faults.Add("time_scale", s.TimeScale, "0 to 1000")
+		fieldErrs.Add("time_scale", s.TimeScale, "0 to 1000")
 	}
-	faults.CheckRange("load_lag", s.LoadLag.D(), 0, maxStandinLag)
-	faults.CheckRange("event_lag", s.EventLag.D(), 0, maxStandinLag)
-	faults.CheckInt("event_gap", int64(s.EventGap), 0, maxStandinRequests)
+	fieldErrs.CheckRange("load_lag", s.LoadLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckRange("event_lag", s.EventLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckInt("event_gap", int64(s.EventGap), 0, maxStandinRequests)
 }
 
 func (c *standinCommand) run(t terminal) int {
--- a/infra/consul/client.go
+++ b/infra/consul/client.go
@@ -83,12 +83,12 @@
 func (c *Client) CompareAndSwap(ctx context.Context, key string, data []byte, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	sent := false
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent = true }})
+	connected := false
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
 	query := url.Values{"cas": {strconv.FormatUint(revision, 10)}}
 	status, body, err := c.send(ctx, http.MethodPut, "/v1/kv/"+key, query, data)
 	switch {
-	case err != nil && sent:
+	case err != nil && connected:
 		return errors.Wrapf(infra.ErrOutcomeUnknown, "put %s: %v", key, err)
 	case err != nil:
 		return errors.Wrapf(infra.ErrUnavailable, "put %s: %v", key, err)
@@ -135,11 +135,11 @@
 }
 
 func (c *Client) send(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
-	target := c.base + path
+	requestURL := c.base + path
 	if len(query) > 0 {
-		target += "?" + query.Encode()
+		requestURL += "?" + query.Encode()
 	}
-	request, err := http.NewRequestWithContext(ctx, method, target, strings.NewReader(string(body)))
+	request, err := http.NewRequestWithContext(ctx, method, requestURL, strings.NewReader(string(body)))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -66,17 +66,17 @@
 // stop ends the swap without a write. mine tells whether data read back is what
 // this call wrote: without it, a lost answer followed by another try would apply
 // the change twice.
-func Update(ctx context.Context, store Store, key string, known *Value, change UpdateFunc, mine func(data []byte) bool) error {
+func Update(ctx context.Context, store Store, key string, known *Value, update UpdateFunc, isOwnWrite func(data []byte) bool) error {
 	for try := 0; try < maxUpdateTries; try++ {
 		current, err := readUnlessKnown(ctx, store, key, known)
 		if err != nil {
 			return err
 		}
 		known = nil
-		if try > 0 && mine(current.Data) {
+		if try > 0 && isOwnWrite(current.Data) {
 			return nil
 		}
-		next, stop, err := change(current.Data)
+		next, stop, err := update(current.Data)
 		if err != nil || stop {
 			return err
 		}
