--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -22,8 +22,8 @@
 type fakeStore struct {
 	values       map[string]infra.Value
 	lastRevision uint64
-	// lostAnswers counts the writes whose answer is lost after they took effect.
-	lostAnswers int
+	// lostResponses counts the writes whose answer is lost after they took effect.
+	lostResponses int
 	// beforeWrite runs once, between a read and the write that follows it.
 	beforeWrite func()
 	down        bool
@@ -48,8 +48,8 @@
 	}
 	s.lastRevision++
 	s.values[key] = infra.Value{Key: key, Data: data, Revision: s.lastRevision}
-	if s.lostAnswers > 0 {
-		s.lostAnswers--
+	if s.lostResponses > 0 {
+		s.lostResponses--
 		return infra.ErrOutcomeUnknown
 	}
 	return nil
@@ -66,10 +66,10 @@
 // Symptom: an edit made twice, or called failed though it stands. Sequence: the
 // store applies the edit and its answer is lost. Cause, were it there: trying
 // again without reading back.
-func TestLostAnswerIsResolvedByReadingBack(t *testing.T) {
+func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
-	store.lostAnswers = 1
+	store.lostResponses = 1
 	result, err := put(store, "a", 1, 0)
 	is.NoErr(err)
 	is.Equal(result.Page.Revision, uint64(1)) // applied once
@@ -163,7 +163,7 @@
 				}
 				record := workRecord(id, rapid.IntRange(1, 9).Draw(t, "value"))
 				record.Deleted = rapid.IntRange(0, 4).Draw(t, "delete") == 0
-				store.lostAnswers = rapid.IntRange(0, 1).Draw(t, "lose")
+				store.lostResponses = rapid.IntRange(0, 1).Draw(t, "lose")
 				if _, err := Apply(context.Background(), store, Edit{Record: record, Expect: expect, ID: fmt.Sprint(store.lastRevision)}, 0); err != nil {
 					t.Fatal(err)
 				}
@@ -239,7 +239,7 @@
 	}
 }
 
-const goodWork = `{"type":"work","id":"line-plan","owner":"ops","work":{"class":"urgent","model":"m","repeatable":true}}`
+const validWork = `{"type":"work","id":"line-plan","owner":"ops","work":{"class":"urgent","model":"m","repeatable":true}}`
 
 func TestRecordErrorsNameTheirField(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
@@ -258,7 +258,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := DecodeRecord([]byte(strings.Replace(goodWork, c.from, c.to, 1)))
+			_, err := DecodeRecord([]byte(strings.Replace(validWork, c.from, c.to, 1)))
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), c.want)) // the fault names its place
 		})
@@ -276,7 +276,7 @@
 }
 
 func FuzzDecodeRecord(f *testing.F) {
-	f.Add([]byte(goodWork))
+	f.Add([]byte(validWork))
 	f.Add([]byte(`{"type":"site","id":"port","owner":"ops","site":{"power_cap_watts":1,"data_centres":["d"]}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		record, err := DecodeRecord(data)
@@ -293,7 +293,7 @@
 	for _, page := range []string{
 		`{"revision":3,"records":{"work/a":null}}`,
 		`{"revision":3,"records":{"work/a":{"type":"work","id":"a","owner":"o"}}}`,
-		`{"revision":3,"records":{"work/b":` + goodWork + `}}`,
+		`{"revision":3,"records":{"work/b":` + validWork + `}}`,
 	} {
 		is := is.New(t)
 		_, err := DecodePage([]byte(page))
@@ -302,7 +302,7 @@
 }
 
 func FuzzDecodePage(f *testing.F) {
-	f.Add([]byte(`{"revision":3,"records":{"work/line-plan":` + goodWork + `}}`))
+	f.Add([]byte(`{"revision":3,"records":{"work/line-plan":` + validWork + `}}`))
 	f.Add([]byte(`{"revision":3,"records":{"work/a":null}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		page, err := DecodePage(data)
