--- a/catalogue/edit.go
+++ b/catalogue/edit.go
@@ -11,46 +11,49 @@
 	"aspenyard.example/infra"
 )
 
-// ErrConflict is returned when a record has changed since the editor read it.
+// ErrConflict is returned when the record's revision is not the one that the edit
+// expects: it has changed since the operator read it.
 var ErrConflict = errors.New("catalogue: the record has changed")
 
-// ErrStalePage is returned when the store answered with an older page than one
-// it has given before. Editing that page would undo accepted edits.
-var ErrStalePage = errors.New("catalogue: the store answered with an old page")
+// ErrStalePage is returned when the store returned an older revision of a page than
+// the node already has. An edit on top of that page would undo accepted edits.
+var ErrStalePage = errors.New("catalogue: the store returned an outdated page")
 
-// PageKey is a page's key in the store.
+// PageKey returns the key of a page in the store.
 func PageKey(page int) string {
 	return fmt.Sprintf("catalogue/page/%02d", page)
 }
 
-// Edit is one operator's change of one record.
+// Edit is an operator's change to a single record.
 type Edit struct {
-	// Record is the new value; Record.Deleted removes.
+	// Record is the new value; with Record.Deleted set, the record is removed.
 	Record *Record
-	// Expect is the revision of the record that the operator has read; 0: there
-	// was none.
+	// Expect is the revision of the record that the operator has read; 0 if the
+	// record did not exist.
 	Expect uint64
-	// ID identifies the edit and must be unique.
+	// ID identifies the edit and must be unique: after a lost response, it shows
+	// whether the store applied this edit.
 	ID string
-	// By names the operator; At is the time of the edit.
+	// By is the operator's name; At is the time of the edit.
 	By string
 	At time.Time
 }
 
-// Result of an edit.
+// Result is the outcome of an edit.
 type Result struct {
-	// Number and Page are the page after the edit.
+	// Number is the number of the edited page, Page its content after the edit.
 	Number int
 	Page   Page
-	// Current is the record as it stands: the new one, or after ErrConflict the
-	// one that was in the way (nil: none).
+	// Current is the record as the store holds it: the new one, or after ErrConflict
+	// the one that the edit conflicts with (nil if there is none).
 	Current *Record
 }
 
 // Apply writes an edit to the store. known is the revision of the page that the
-// editing node already has. Errors: ErrConflict with Result.Current, ErrOldStore,
-// infra.ErrUnavailable, infra.ErrUnclear when the store was lost before the
-// outcome could be read back.
+// editing node already has. Errors: ErrConflict with Result.Current set,
+// ErrStalePage, infra.ErrUnavailable if the store could not be reached, also where
+// a write with an unknown outcome could not be read back, and infra.ErrConflict if
+// the page kept changing.
 func Apply(ctx context.Context, store infra.Store, edit Edit, known uint64) (Result, error) {
 	key := edit.Record.Key()
 	result := Result{Number: PageOf(key)}
@@ -60,7 +63,7 @@
 			return nil, false, err
 		}
 		if page.Revision < known {
-			return nil, false, errors.Wrapf(ErrStalePage, "page %d: revision %d, known %d", result.Number, page.Revision, known)
+			return nil, false, errors.Wrapf(ErrStalePage, "page %d: store has revision %d, node has %d", result.Number, page.Revision, known)
 		}
 		if err := page.apply(edit); err != nil {
 			result.Current = page.Records[key]
@@ -82,7 +85,8 @@
 	return result, err
 }
 
-// apply changes the page in memory.
+// apply makes the edit on the page in memory. The page's revision rises by one and
+// becomes the record's.
 func (p *Page) apply(edit Edit) error {
 	key := edit.Record.Key()
 	current := uint64(0)
@@ -90,7 +94,7 @@
 		current = old.Revision
 	}
 	if current != edit.Expect {
-		return errors.Wrapf(ErrConflict, "%s is at revision %d, not %d", key, current, edit.Expect)
+		return errors.Wrapf(ErrConflict, "%s is at revision %d, edit expects %d", key, current, edit.Expect)
 	}
 	record := *edit.Record
 	p.Revision++
--- a/catalogue/history.go
+++ b/catalogue/history.go
@@ -9,13 +9,13 @@
 	"aspenyard.example/infra"
 )
 
-// historyLength is how many values of a record are kept.
+// historyLength is the number of past values that are kept of a record.
 const historyLength = 20
 
 func historyKey(key string) string { return "catalogue/history/" + key }
 
-// AppendHistory adds an accepted edit to the record's history. The history is a help
-// to operators and not an authority: it may miss an edit whose node died.
+// AppendHistory adds an accepted edit to the record's history. The history is
+// informational: it lacks an edit whose node stopped between the edit and this call.
 func AppendHistory(ctx context.Context, store infra.Store, record *Record) error {
 	update := func(data []byte) ([]byte, bool, error) {
 		records, err := decodeHistory(data)
@@ -36,7 +36,8 @@
 	return infra.Update(ctx, store, historyKey(record.Key()), nil, update, isOwnWrite)
 }
 
-// History reads a record's former values, oldest first.
+// History returns the last values of a record, oldest first; none if it was never
+// edited. Errors: those of the store, and a value that is not valid JSON.
 func History(ctx context.Context, store infra.Store, t Type, id string) ([]*Record, error) {
 	value, err := store.Get(ctx, historyKey(Key(t, id)))
 	if err != nil {
@@ -45,6 +46,7 @@
 	return decodeHistory(value.Data)
 }
 
+// decodeHistory decodes a record's history; empty data is an empty history.
 func decodeHistory(data []byte) ([]*Record, error) {
 	var records []*Record
 	if len(data) == 0 {
--- a/catalogue/record.go
+++ b/catalogue/record.go
@@ -1,12 +1,13 @@
-// Package catalogue is what operators edit: kinds of work, client accounts,
-// operators, sites and facts about endpoints. It holds the records, the edits,
-// and a replica that only moves forward.
+// Package catalogue holds the configuration that operators edit: kinds of work,
+// client accounts, operators, sites and properties of endpoints. It defines the
+// records, applies edits to the store, and keeps a node's replica, which accepts
+// newer revisions only.
 //
-// The platform's store is the authority. Records are spread over a fixed number
-// of pages, each one value in the store, edited by compare-and-swap. A page's
-// revision rises by one with each edit and stands inside the page, so that an
-// old copy is known as old wherever it comes from: a peer, a lagging reader or
-// the store itself.
+// The platform's store is authoritative. Records are spread over a fixed number
+// of pages; each page is one value in the store and is edited by compare-and-swap.
+// A page's revision rises by one with each edit and is stored in the page itself,
+// so that an outdated copy is recognised whatever its source: a peer, a lagging
+// read replica or the store itself.
 package catalogue
 
 import (
@@ -23,7 +24,7 @@
 	"aspenyard.example/settings"
 )
 
-// Type says what a record describes.
+// Type is the type of a record.
 type Type string
 
 // The types of records.
@@ -35,12 +36,13 @@
 	TypeEndpoint Type = "endpoint"
 )
 
-// Types lists all types.
+// Types returns all record types.
 func Types() []Type {
 	return []Type{TypeWork, TypeAccount, TypeOperator, TypeSite, TypeEndpoint}
 }
 
-// Record is one entry of the catalogue. Exactly the part that its Type names is set.
+// Record is one record of the catalogue. Of Work, Account, Operator, Site and
+// Endpoint, exactly the one that Type names is set, and none in a deleted record.
 type Record struct {
 	Type  Type   `json:"type"`
 	ID    string `json:"id"`
@@ -52,102 +54,108 @@
 	Site     *Site     `json:"site,omitempty"`
 	Endpoint *Endpoint `json:"endpoint,omitempty"`
 
-	// Revision is the page's revision of the last edit; 0 in a new record.
+	// Revision is the revision that the page got with the record's last edit; 0 in a
+	// record that is not stored yet.
 	Revision uint64 `json:"revision,omitempty"`
-	// EditID identifies the edit, so that a lost answer is settled by reading back.
+	// EditID identifies the last edit. If the store's response to a write is lost, the
+	// editing node reads the record back and compares the ID.
 	EditID string `json:"edit_id,omitempty"`
-	// EditedBy and EditedAt say who made the edit and when.
+	// EditedBy is the operator who made the last edit, EditedAt its time.
 	EditedBy string    `json:"edited_by,omitempty"`
 	EditedAt time.Time `json:"edited_at,omitzero"`
-	// Deleted marks a record that was removed. It stays, so that a peer's older
-	// copy cannot bring the record back.
+	// Deleted marks a removed record. The record is kept as a tombstone, so that an
+	// older copy from a peer cannot restore it.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Work is a kind of work.
+// Work describes a kind of work: which model or service handles its requests, and
+// within which limits.
 type Work struct {
 	// Class is "urgent", "normal" or "bulk".
 	Class string `json:"class"`
-	// Model or Service names what serves it.
+	// Model is the model, or Service the plain service, that handles the requests.
 	Model   string `json:"model,omitempty"`
 	Service string `json:"service,omitempty"`
-	// Repeatable is false for calls that may run at most once.
+	// Repeatable is false for requests that may run at most once.
 	Repeatable bool `json:"repeatable"`
-	// MaxPromptTokens and MaxOutputTokens bound one request; 0: no bound.
+	// MaxPromptTokens and MaxOutputTokens bound a single request; 0 means no bound.
 	MaxPromptTokens int `json:"max_prompt_tokens,omitempty"`
 	MaxOutputTokens int `json:"max_output_tokens,omitempty"`
-	// Deadline is used when the caller sends none; 0: the entry's default.
+	// Deadline applies if the caller sends none; 0 means the entry's default.
 	Deadline settings.Duration `json:"deadline,omitempty"`
-	// Objective is what the service-level report measures against.
+	// Objective is the service-level objective that reports measure against; nil if
+	// there is none.
 	Objective *Objective `json:"objective,omitempty"`
 }
 
 // Objective is a service-level objective for the time to first token.
 type Objective struct {
-	// FirstToken is the time within which a request counts as good.
+	// FirstToken is the longest time to first token of a request that counts as good.
 	FirstToken settings.Duration `json:"first_token"`
-	// Share is the part of requests that should be good, between 0 and 1.
+	// Share is the fraction of requests that should be good, between 0 and 1.
 	Share float64 `json:"share"`
 }
 
-// Account is a client account.
+// Account is a client account: its credentials and limits.
 type Account struct {
-	// KeySHA256 is the hex hash of the account's key.
+	// KeySHA256 is the SHA-256 hash of the account's key, in hex.
 	KeySHA256 string `json:"key_sha256"`
 	Limits    Limits `json:"limits"`
 }
 
-// Limits bound an account over all entries; 0: no bound.
+// Limits bound an account's requests over all entries together; 0 means no bound.
 type Limits struct {
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 	TokensPerSecond   float64 `json:"tokens_per_second,omitempty"`
 	Concurrent        int     `json:"concurrent,omitempty"`
 }
 
-// Operator is somebody who may edit the catalogue.
+// Operator is a person or program that may edit the catalogue.
 type Operator struct {
+	// KeySHA256 is the SHA-256 hash of the operator's key, in hex.
 	KeySHA256 string `json:"key_sha256"`
 }
 
-// Site is what shares one power cap.
+// Site is a group of data centres that share one power cap.
 type Site struct {
-	// PowerCapWatts is the most that the site's endpoints may draw together.
+	// PowerCapWatts is the most power that the site's endpoints may draw together.
 	PowerCapWatts uint64 `json:"power_cap_watts"`
 	// DataCentres lists the data centres of the site.
 	DataCentres []string `json:"data_centres"`
 }
 
-// Endpoint holds what operators know of an endpoint.
+// Endpoint holds properties of an endpoint that only operators know.
 type Endpoint struct {
-	// ChecksFencing says that the endpoint refuses orders with an old fencing number.
+	// ChecksFencing tells whether the endpoint refuses requests with an outdated
+	// fencing number.
 	ChecksFencing bool `json:"checks_fencing"`
 }
 
-// Key identifies the record in the catalogue.
+// Key returns the key that identifies the record in the catalogue.
 func (r *Record) Key() string { return Key(r.Type, r.ID) }
 
-// Key joins a type and an id.
+// Key returns the key of the record with a type and an ID.
 func Key(t Type, id string) string { return string(t) + "/" + id }
 
-// PageCount is the number of pages: at 48,000 accounts a page holds 1,500
-// records, well under the store's megabyte.
+// PageCount is the number of pages. With 48,000 accounts, a page holds 1,500
+// records and stays well below the store's limit of one megabyte for a value.
 const PageCount = 32
 
-// PageOf gives the page of a key.
+// PageOf returns the number of the page that holds a key.
 func PageOf(key string) int {
 	return int(xxhash.Sum64String(key) % PageCount)
 }
 
-// classes maps the names of the classes.
+// classes maps the values of Work.Class to admission classes.
 var classes = map[string]admission.Class{
 	"urgent": admission.Urgent, "normal": admission.Normal, "bulk": admission.Bulk,
 }
 
-// AdmissionClass gives the class that a kind of work names.
+// AdmissionClass returns the admission class of the kind of work.
 func (w *Work) AdmissionClass() admission.Class { return classes[w.Class] }
 
-// DecodeRecord reads a record as operators write it, refusing unknown fields,
-// and checks it.
+// DecodeRecord decodes and validates a record as operators write it. Unknown fields
+// are errors. The error is always of type settings.FieldErrors.
 func DecodeRecord(data []byte) (*Record, error) {
 	var record Record
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -164,7 +172,7 @@
 	return &record, nil
 }
 
-// Check returns every fault of the record.
+// Check validates the record and returns all errors found.
 func (r *Record) Check() settings.FieldErrors {
 	var fieldErrs settings.FieldErrors
 	if !slices.Contains(Types(), r.Type) {
@@ -184,7 +192,7 @@
 	}
 	for _, body := range bodies {
 		if body.set != (body.name == r.Type) {
-			fieldErrs.Add(string(body.name), body.set, "exactly the part that type names")
+			fieldErrs.Add(string(body.name), body.set, "exactly the field that type names")
 		}
 	}
 	if len(fieldErrs) > 0 {
@@ -193,6 +201,7 @@
 	return r.checkBody()
 }
 
+// checkBody validates the field that the record's type names.
 func (r *Record) checkBody() settings.FieldErrors {
 	switch r.Type {
 	case TypeWork:
@@ -220,7 +229,7 @@
 	if w.Model != "" {
 		fieldErrs.CheckName("work.model", w.Model)
 		if !w.Repeatable {
-			fieldErrs.Add("work.repeatable", w.Repeatable, "true for a model; only a service's calls may be not repeatable")
+			fieldErrs.Add("work.repeatable", w.Repeatable, "true for a model; only calls of a plain service may be not repeatable")
 		}
 	}
 	if w.Service != "" {
@@ -247,15 +256,15 @@
 	return fieldErrs
 }
 
-// Bounds of an account's limits and a site's power: far above the largest deployment
-// that is planned for, so that only a slip of the hand is refused.
+// Upper bounds of an account's limits and of a site's power cap. They are far above
+// the largest planned deployment, so that only typing errors are rejected.
 const (
 	maxRate       = 1_000_000_000
 	maxConcurrent = 10_000_000
 	maxWatts      = 1_000_000_000
 )
 
-// checkRate checks a limit of so many a second; 0: no limit.
+// checkRate validates a limit per second; 0 means no limit.
 func checkRate(fieldErrs *settings.FieldErrors, field string, rate float64) {
 	if rate < 0 || rate > maxRate {
 		fieldErrs.Add(field, rate, "0 to 1000000000")
@@ -274,6 +283,7 @@
 	return fieldErrs
 }
 
+// checkHash validates a SHA-256 hash in hex.
 func checkHash(fieldErrs *settings.FieldErrors, field, hash string) {
 	if decoded, err := hex.DecodeString(hash); err != nil || len(decoded) != 32 {
 		fieldErrs.Add(field, hash, "64 hexadecimal digits")
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -13,15 +13,16 @@
 	"github.com/pkg/errors"
 )
 
-// Page is one value in the store.
+// Page is a group of records that is stored as one value.
 type Page struct {
-	// Revision counts the edits of this page.
+	// Revision is the number of edits of this page.
 	Revision uint64 `json:"revision"`
-	// Records holds the page's records by key, removed ones included.
+	// Records holds the page's records by key, deleted ones included.
 	Records map[string]*Record `json:"records"`
 }
 
-// DecodePage reads a page; no data is an empty page.
+// DecodePage decodes and validates a page; empty data is an empty page. A single
+// invalid record makes the whole page an error.
 func DecodePage(data []byte) (Page, error) {
 	page := Page{Records: map[string]*Record{}}
 	if len(data) == 0 {
@@ -41,19 +42,19 @@
 	return page, nil
 }
 
-// Change carries the records of one page that are newer than a revision.
+// Change holds the records of one page that are newer than some revision.
 type Change struct {
 	Page     int
 	Revision uint64
 	Records  []*Record
 }
 
-// View is an immutable state of the whole catalogue, for readers on any thread.
+// View is an immutable state of the whole catalogue. Any goroutine may read it.
 type View struct {
 	pages [PageCount]Page
 }
 
-// Revisions gives each page's revision.
+// Revisions returns the revision of each page.
 func (v *View) Revisions() []uint64 {
 	revisions := make([]uint64, PageCount)
 	for i := range v.pages {
@@ -62,7 +63,8 @@
 	return revisions
 }
 
-// Digest sums up the revisions: two views with equal sum and hash are the same.
+// Digest returns the sum and a hash of all page revisions. Views in which both are
+// equal hold the same records.
 func (v *View) Digest() (sum, hash uint64) {
 	var buffer [PageCount * 8]byte
 	for i := range v.pages {
@@ -72,8 +74,8 @@
 	return sum, xxhash.Sum64(buffer[:])
 }
 
-// ChangesSince lists what is newer than the given page revisions. A missing
-// revision counts as 0.
+// ChangesSince returns the records that are newer than the given page revisions, in
+// one Change per page. A missing revision counts as 0.
 func (v *View) ChangesSince(revisions []uint64) []Change {
 	var changes []Change
 	for i := range v.pages {
@@ -95,7 +97,7 @@
 	return changes
 }
 
-// Get finds a record that is not removed, or nil.
+// Get returns a record, or nil if it does not exist or is deleted.
 func (v *View) Get(t Type, id string) *Record {
 	key := Key(t, id)
 	record := v.pages[PageOf(key)].Records[key]
@@ -105,7 +107,7 @@
 	return record
 }
 
-// List gives all records of a type that are not removed, in no order.
+// List returns all records of a type that are not deleted, in no particular order.
 func (v *View) List(t Type) []*Record {
 	var records []*Record
 	for i := range v.pages {
@@ -118,11 +120,12 @@
 	return records
 }
 
-// keySeparator stands in a key between the id of its holder and the secret.
+// keySeparator separates the ID of a key's owner from the secret.
 const keySeparator = "."
 
-// AccountByKey finds the client account that a key belongs to, or nil. A key is
-// "ACCOUNT.SECRET"; its hash is compared in constant time.
+// AccountByKey returns the client account that a key belongs to, or nil if the key
+// is not valid. A key has the form "ACCOUNT.SECRET"; its hash is compared in
+// constant time.
 func (v *View) AccountByKey(key string) *Record {
 	record := v.Get(TypeAccount, keyOwner(key))
 	if record == nil || !HashMatches(record.Account.KeySHA256, key) {
@@ -131,7 +134,8 @@
 	return record
 }
 
-// OperatorByKey finds the operator that a key belongs to, or nil.
+// OperatorByKey returns the operator that a key belongs to, or nil if the key is not
+// valid. A key has the form "OPERATOR.SECRET".
 func (v *View) OperatorByKey(key string) *Record {
 	record := v.Get(TypeOperator, keyOwner(key))
 	if record == nil || !HashMatches(record.Operator.KeySHA256, key) {
@@ -140,41 +144,43 @@
 	return record
 }
 
+// keyOwner returns the ID of the account or operator that a key names.
 func keyOwner(key string) string {
 	id, _, _ := strings.Cut(key, keySeparator)
 	return id
 }
 
-// HashKey gives the hex SHA-256 of a key, as records hold it.
+// HashKey returns the SHA-256 hash of a key in hex, as records hold it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// HashMatches compares a key with a hex hash in constant time.
+// HashMatches tells whether hash is the hex hash of key. It takes constant time.
 func HashMatches(hash, key string) bool {
 	return subtle.ConstantTimeCompare([]byte(hash), []byte(HashKey(key))) == 1
 }
 
-// Replica is one node's copy. It belongs to the control loop; others read View.
+// Replica is a node's copy of the catalogue. Only the node's control loop may use it;
+// other goroutines read a View.
 type Replica struct {
 	view *View
-	// StaleChanges counts pages and records older than what the replica had: a store
-	// or peer that answers with old values shows here.
+	// StaleChanges counts the changes to a page that were older than the replica's
+	// own page: it rises if a store or peer returns outdated values.
 	StaleChanges uint64
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{view: &View{}} }
 
-// View is the present state.
+// View returns the current state.
 func (c *Replica) View() *View { return c.view }
 
-// Apply merges a change and tells whether anything is new. Records only move
-// forward: one that is not newer than the replica's own is left out.
+// Apply merges a change and reports whether it was newer than the replica's page.
+// Of a newer change, records that are not newer than the replica's own are skipped.
 //
-// The change must hold all records newer than some revision that the replica
-// has had; the answer to a pull with the replica's own revisions does.
+// The change must hold all records that are newer than some revision that the
+// replica has had. The response to a pull with the replica's own revisions does.
 func (c *Replica) Apply(change Change) bool {
 	if change.Page < 0 || change.Page >= PageCount {
 		return false
@@ -201,7 +207,8 @@
 	return true
 }
 
-// ApplyPage merges a whole page as the store holds it.
+// ApplyPage merges a whole page that was read from the store and reports whether it
+// was newer than the replica's.
 func (c *Replica) ApplyPage(number int, page Page) bool {
 	change := Change{Page: number, Revision: page.Revision}
 	for _, record := range page.Records {
@@ -210,7 +217,7 @@
 	return c.Apply(change)
 }
 
-// SiteOf finds the site that a data centre belongs to, or nil.
+// SiteOf returns the site that a data centre belongs to, or nil.
 func (v *View) SiteOf(dataCentre string) *Record {
 	for _, record := range v.List(TypeSite) {
 		if slices.Contains(record.Site.DataCentres, dataCentre) {
--- a/catalogue/replica_test.go
+++ b/catalogue/replica_test.go
@@ -14,19 +14,23 @@
 	"aspenyard.example/infra"
 )
 
+// workRecord returns a valid record of a kind of work.
 func workRecord(id string, tokens int) *Record {
 	return &Record{Type: TypeWork, ID: id, Owner: "ops", Work: &Work{Class: "bulk", Model: "m", Repeatable: true, MaxOutputTokens: tokens}}
 }
 
-// fakeStore is the platform's store with the faults that matter to an edit.
+// fakeStore is an in-memory store with the failures that matter to an edit.
 type fakeStore struct {
 	values       map[string]infra.Value
 	lastRevision uint64
-	// lostResponses counts the writes whose answer is lost after they took effect.
+	// lostResponses is the number of writes, from now on, that take effect but whose
+	// response is lost.
 	lostResponses int
-	// beforeWrite runs once, between a read and the write that follows it.
+	// beforeWrite runs once, before the next write and so after the read that it is
+	// based on.
 	beforeWrite func()
-	down        bool
+	// down makes all reads fail.
+	down bool
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{values: map[string]infra.Value{}} }
@@ -59,25 +63,27 @@
 	return s.Get(ctx, key)
 }
 
+// put applies an edit that sets the limit of output tokens of a kind of work.
 func put(store *fakeStore, id string, tokens int, expect uint64) (Result, error) {
 	return Apply(context.Background(), store, Edit{Record: workRecord(id, tokens), Expect: expect, ID: fmt.Sprint(id, tokens), By: "ops"}, 0)
 }
 
-// Symptom: an edit made twice, or called failed though it stands. Sequence: the
-// store applies the edit and its answer is lost. Cause, were it there: trying
-// again without reading back.
+// Guards against an edit that is applied twice, or reported as failed though it was
+// applied: the store applies the edit, its response is lost, and the edit is retried
+// without reading the record back.
 func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.lostResponses = 1
 	result, err := put(store, "a", 1, 0)
 	is.NoErr(err)
-	is.Equal(result.Page.Revision, uint64(1)) // applied once
+	is.Equal(result.Page.Revision, uint64(1)) // the edit was applied once
 	is.Equal(result.Current.Work.MaxOutputTokens, 1)
 }
 
-// Symptom: one operator's edit overwrites another's unseen. Sequence: both read a
-// record, both write. Cause, were it there: comparing only the page.
+// Guards against an edit that silently overwrites another operator's: both read the
+// same record, both write, and only the revision of the page is compared, not that of
+// the record.
 func TestRacingEditsOfOneRecordConflict(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
@@ -89,7 +95,7 @@
 	}
 	second, err := put(store, "a", 3, first.Current.Revision)
 	is.True(errors.Is(err, ErrConflict))
-	is.Equal(second.Current.Work.MaxOutputTokens, 2) // the current value is shown
+	is.Equal(second.Current.Work.MaxOutputTokens, 2) // the result holds the current value
 }
 
 func TestEditsOfDifferentRecordsDoNotConflict(t *testing.T) {
@@ -107,12 +113,11 @@
 	}
 	result, err := put(store, "a", 1, 0)
 	is.NoErr(err)
-	is.Equal(len(result.Page.Records), 2) // both stand
+	is.Equal(len(result.Page.Records), 2) // the page holds both records
 }
 
-// Symptom: accepted edits vanish. Sequence: the store answers with an old page and
-// an edit is made on top of it. Cause, were it there: trusting the store's word
-// over one's own.
+// Guards against the loss of accepted edits: the store returns an outdated page, and
+// an edit is applied on top of it though the node has a newer revision.
 func TestStalePageIsNotEdited(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
@@ -136,9 +141,10 @@
 	is.Equal(replica.StaleChanges, uint64(1))
 }
 
-// TestReplicasAgainstModel has operators edit one store and nodes exchange what
-// they have in any order, with old and doubled answers and replaced nodes. No
-// record on a node ever goes back, and after a last round all nodes are the same.
+// TestReplicasAgainstModel edits records in a store while nodes exchange changes in
+// any order, with outdated and duplicate changes and with nodes that are replaced. The
+// revision of a record must never decrease on a node, and after a full exchange all
+// nodes must hold the same revisions.
 func TestReplicasAgainstModel(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -148,7 +154,7 @@
 		for i := range lastRevision {
 			lastRevision[i] = map[string]uint64{}
 		}
-		var delayed []Change // answers that may still arrive
+		var delayed []Change // changes that may be applied later or again
 		node := func(t *rapid.T) int { return rapid.IntRange(0, len(nodes)-1).Draw(t, "node") }
 		t.Repeat(map[string]func(*rapid.T){
 			"edit": func(t *rapid.T) {
@@ -187,7 +193,7 @@
 					to.Apply(change)
 				}
 			},
-			"old page arrives": func(t *rapid.T) {
+			"outdated page arrives": func(t *rapid.T) {
 				if len(delayed) > 0 {
 					nodes[node(t)].Apply(rapid.SampledFrom(delayed).Draw(t, "change"))
 				}
@@ -202,7 +208,7 @@
 					for _, change := range n.View().ChangesSince(nil) {
 						for _, record := range change.Records {
 							if record.Revision < lastRevision[i][record.ID] {
-								t.Fatalf("node %d went back on %s", i, record.ID)
+								t.Fatalf("node %d: revision of %s decreased", i, record.ID)
 							}
 							lastRevision[i][record.ID] = record.Revision
 						}
@@ -246,13 +252,13 @@
 		{"type", `"type":"work"`, `"type":"task"`, `"type"`},
 		{"id", "line-plan", "Line Plan", `"id"`},
 		{"class", `"urgent"`, `"now"`, `"work.class"`},
-		{"no target", `"model":"m",`, ``, `"work.model"`},
-		{"both targets", `"model":"m"`, `"model":"m","service":"s"`, `"work.model"`},
+		{"neither model nor service", `"model":"m",`, ``, `"work.model"`},
+		{"model and service", `"model":"m"`, `"model":"m","service":"s"`, `"work.model"`},
 		{"model not repeatable", `true`, `false`, `"work.repeatable"`},
 		{"negative bound", `"model":"m"`, `"model":"m","max_output_tokens":-1`, `"work.max_output_tokens"`},
 		{"objective", `"model":"m"`, `"model":"m","objective":{"first_token":"1s","share":1.5}`, `"work.objective.share"`},
 		{"unknown field", `"model":"m"`, `"model":"m","colour":1`, `colour`},
-		{"wrong part", `"work":{`, `"site":{"power_cap_watts":1,"data_centres":["d"]},"work":{`, `"site"`},
+		{"field of another type", `"work":{`, `"site":{"power_cap_watts":1,"data_centres":["d"]},"work":{`, `"site"`},
 		{"trailing", `}}`, `}} x`, `after the record`},
 	}
 	for _, c := range cases {
@@ -260,7 +266,7 @@
 			is := is.New(t)
 			_, err := DecodeRecord([]byte(strings.Replace(validWork, c.from, c.to, 1)))
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.want)) // the fault names its place
+			is.True(strings.Contains(err.Error(), c.want)) // the error names the field
 		})
 	}
 }
@@ -281,14 +287,14 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		record, err := DecodeRecord(data)
 		if err == nil && len(record.Check()) != 0 {
-			t.Fatal("an accepted record does not pass its own check")
+			t.Fatal("a decoded record does not pass Check")
 		}
 	})
 }
 
-// Symptom: every node dies at once. Sequence: a page of the store holds a record
-// without its part, or none at all. Cause: readers use the part that the type
-// names. Found by reading what the fuzz target below allows.
+// Guards against a crash of all nodes at once: a page in the store holds a null record
+// or one without the field that its type names, and readers dereference that field.
+// Found by review of the inputs that FuzzDecodePage allows.
 func TestPageWithInvalidRecordIsRejected(t *testing.T) {
 	for _, page := range []string{
 		`{"revision":3,"records":{"work/a":null}}`,
