--- a/infra/consul/client.go
+++ b/infra/consul/client.go
@@ -1,5 +1,5 @@
-// Package consul is a client of a platform whose key-value and catalog paths have
-// the shape of Consul's published v1 API. It implements infra.Store and infra.VMList.
+// Package consul is a client for a platform whose key-value and catalog interfaces
+// follow Consul's published v1 HTTP API. It implements infra.Store and infra.VMList.
 package consul
 
 import (
@@ -19,16 +19,16 @@
 	"aspenyard.example/infra"
 )
 
-// Client speaks the platform's HTTP interface, whose key-value and catalog
-// paths have the shape of Consul's published v1 API.
+// Client calls the key-value and catalog interfaces of the platform. It is safe for
+// concurrent use.
 type Client struct {
 	base    string
 	timeout time.Duration
 	http    *http.Client
 }
 
-// NewClient makes a client for the platform at addr (IP number and port).
-// timeout bounds each call; a watch is given its wait on top.
+// NewClient returns a client for the platform at addr, an IP address and port. timeout
+// bounds each call; a watch may take its wait in addition.
 func NewClient(addr string, timeout time.Duration) *Client {
 	return &Client{
 		base:    "http://" + addr,
@@ -37,21 +37,24 @@
 	}
 }
 
-// maxValueBytes is the largest value that the store holds, plus room for base64.
+// maxValueBytes bounds the body of a response: the largest value that the store holds,
+// with room for its base64 encoding.
 const maxValueBytes = 2 << 20
 
+// kvPair is a key in a response of the key-value interface. encoding/json decodes the
+// base64 of Value.
 type kvPair struct {
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
 }
 
-// Get implements Store.
+// Get implements infra.Store.
 func (c *Client) Get(ctx context.Context, key string) (infra.Value, error) {
 	return c.read(ctx, key, nil, c.timeout)
 }
 
-// Watch implements Store by a blocking query.
+// Watch implements infra.Store with a blocking query.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (infra.Value, error) {
 	query := url.Values{"index": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
 	return c.read(ctx, key, query, c.timeout+wait)
@@ -77,9 +80,10 @@
 	return infra.Value{Key: key, Data: pairs[0].Value, Revision: pairs[0].ModifyIndex}, nil
 }
 
-// CompareAndSwap implements Store. Once a connection was obtained, some byte of
-// the call may have left this process, and a failure is reported as infra.ErrUnclear:
-// the store may have applied the change before its answer was lost.
+// CompareAndSwap implements infra.Store. Once there is a connection, part of the
+// request may have been sent, and a failure is reported as infra.ErrOutcomeUnknown:
+// the store may have applied the change before its response was lost.
+// The statuses 429 and 503 mean that the store did not apply it.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, data []byte, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -102,6 +106,7 @@
 	return nil
 }
 
+// catalogNode is one item of the catalog's list of nodes.
 type catalogNode struct {
 	Node       string
 	Address    string
@@ -109,7 +114,7 @@
 	Meta       map[string]string
 }
 
-// VMs implements VMList.
+// VMs implements infra.VMList.
 func (c *Client) VMs(ctx context.Context) ([]infra.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -134,6 +139,7 @@
 	return vms, nil
 }
 
+// send sends a request and returns the status and body of the response.
 func (c *Client) send(ctx context.Context, method, path string, query url.Values, body []byte) (int, []byte, error) {
 	requestURL := c.base + path
 	if len(query) > 0 {
@@ -143,7 +149,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	// Without GetBody the transport cannot send a write a second time by itself.
+	// Without GetBody, the transport cannot retry a write on its own.
 	request.GetBody = nil
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -152,7 +158,7 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxValueBytes))
 	if err != nil {
-		return 0, nil, fmt.Errorf("read answer: %w", err)
+		return 0, nil, fmt.Errorf("read response body: %w", err)
 	}
 	return response.StatusCode, data, nil
 }
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,9 +1,10 @@
-// Package infra is the system's view of what the platform provides: a small
-// key-value store with compare-and-swap and watches, and a lagging list of VMs.
+// Package infra defines the interfaces to the platform's services: a small
+// key-value store with compare-and-swap and watches, and a list of VMs that lags
+// behind.
 //
-// The store is the only authority for what must last. It can be down, slow, or
-// lose an answer after the change took effect, so every write that can not be
-// confirmed is reported as unclear and never as failed.
+// The store is the only authority for state that must persist. It can be down, be
+// slow, or lose a response after the change took effect. A write that cannot be
+// confirmed is therefore reported as ErrOutcomeUnknown and never as failed.
 package infra
 
 import (
@@ -13,17 +14,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrConflict is returned when a compare-and-swap found another revision.
+// ErrConflict is returned when a compare-and-swap found a different revision of the
+// key than the one it expects.
 var ErrConflict = errors.New("infra: revision conflict")
 
-// ErrUnavailable is returned when the store certainly did not apply the call.
+// ErrUnavailable is returned when a read failed, or when the store certainly did not
+// apply a write.
 var ErrUnavailable = errors.New("infra: store unavailable")
 
 // ErrOutcomeUnknown is returned when a write may or may not have taken effect. The
-// caller settles it by reading the key back.
-var ErrOutcomeUnknown = errors.New("infra: outcome of write unclear")
+// caller finds out by reading the key back.
+var ErrOutcomeUnknown = errors.New("infra: outcome of write unknown")
 
-// Value is a stored value and its revision. Revision 0 means: no such key.
+// Value is a stored value and its revision. Revision 0 means that the key does not
+// exist.
 type Value struct {
 	Key      string
 	Data     []byte
@@ -32,40 +36,40 @@
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Get reads a key; a missing one has Revision 0 and no error.
+	// Get reads a key. A key that does not exist has Revision 0 and is no error.
 	Get(ctx context.Context, key string) (Value, error)
-	// CompareAndSwap writes data if the key still has the revision; 0 creates.
-	// Errors: ErrConflict, ErrUnavailable, ErrUnclear.
+	// CompareAndSwap writes data if the key still has the given revision; revision 0
+	// creates the key. Errors: ErrConflict, ErrUnavailable, ErrOutcomeUnknown.
 	CompareAndSwap(ctx context.Context, key string, data []byte, revision uint64) error
-	// Watch returns when the key's revision differs from after, or after wait.
-	// The store counts it as one call.
+	// Watch returns the value once the key's revision differs from after, or when
+	// wait has passed. For the store's rate limit it counts as one call.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error)
 }
 
-// VM is one line of the platform's list.
+// VM is one item of the platform's list of VMs.
 type VM struct {
-	// Name, Role ("entry" or "agent") and DataCentre identify the VM's process.
+	// Name, Role ("entry" or "agent") and DataCentre identify the process on the VM.
 	Name, Role, DataCentre string
-	// Addr is the IP number and port of the process.
+	// Addr is the IP address and port of the process.
 	Addr string
-	// Leaving is set once the platform has decided to take the VM away.
+	// Leaving is set once the platform has decided to remove the VM.
 	Leaving bool
 }
 
-// VMList is the platform's list of live and leaving VMs; it lags.
+// VMList is the platform's list of running and leaving VMs. It lags behind.
 type VMList interface {
-	// VMs reads the whole list.
+	// VMs reads the whole list. Error: ErrUnavailable.
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// Update changes a key by compare-and-swap, settling unclear writes by reading
-// back, and repeats after a conflict, at most maxSwapTries times.
+// Update changes a key by compare-and-swap. It tries again after a conflict and after
+// a write with an unknown outcome, at most maxUpdateTries times in all.
 //
-// known is the value that the caller has just read, to save a read; nil to read
-// first. change gets the current data (nil when missing) and returns the new;
-// stop ends the swap without a write. mine tells whether data read back is what
-// this call wrote: without it, a lost answer followed by another try would apply
-// the change twice.
+// known is the value that the caller has just read, which saves a read; nil makes
+// Update read it. update computes the new data. isOwnWrite tells whether data that was
+// read back is what this call wrote: without it, a lost response followed by another try
+// would apply the change twice. Errors: those of update, ErrUnavailable, and
+// ErrConflict if no try succeeded.
 func Update(ctx context.Context, store Store, key string, known *Value, update UpdateFunc, isOwnWrite func(data []byte) bool) error {
 	for try := 0; try < maxUpdateTries; try++ {
 		current, err := readUnlessKnown(ctx, store, key, known)
@@ -91,9 +95,11 @@
 	return errors.Wrapf(ErrConflict, "key %s kept changing", key)
 }
 
-// UpdateFunc makes a key's next data out of its current data.
+// UpdateFunc computes the next data of a key from its current data, which is nil if the
+// key does not exist. With stop set, nothing is written.
 type UpdateFunc func(current []byte) (next []byte, stop bool, err error)
 
+// readUnlessKnown returns known, or the value in the store if known is nil.
 func readUnlessKnown(ctx context.Context, store Store, key string, known *Value) (Value, error) {
 	if known != nil {
 		return *known, nil
@@ -101,4 +107,5 @@
 	return store.Get(ctx, key)
 }
 
+// maxUpdateTries bounds the compare-and-swap calls of one Update.
 const maxUpdateTries = 16
