--- a/burn/burn.go
+++ b/burn/burn.go
@@ -1,9 +1,9 @@
-// Package burn reports how fast the kinds of work use up the error budgets of
-// their service-level objectives, from the entries' metrics.
+// Package burn computes the burn rates of service-level objectives from the metrics of
+// entries and gateways: how fast each kind of work uses up its error budget.
 //
-// An objective says which share of requests has its first token in time; the rest
-// is the error budget. A burn of 1 uses the budget exactly; a burn of 6 over a
-// short window means that something is wrong now.
+// An objective is the share of requests that should get their first token in time; the
+// remaining share is the error budget. At a burn rate of 1, the budget is used up
+// exactly; a burn rate of 6 over a short window means that something is wrong now.
 package burn
 
 import (
@@ -18,67 +18,71 @@
 	"github.com/prometheus/common/model"
 )
 
-// The windows of a report, as the entries' metrics name them.
+// The windows of a report, as the label "window" of the metrics has them.
 const (
 	ShortWindow = "5m"
 	LongWindow  = "60m"
 )
 
-// Names of the entries' metrics.
+// Names of the metrics that a report is made from.
 const (
 	eventsMetric     = "aspenyard_entry_objective_events"
 	firstTokenMetric = "aspenyard_entry_first_token_seconds"
-	// Gateways name the class of request where entries name the kind of work.
+	// In a gateway's metrics, the label "kind" is the request's class; in an entry's,
+	// it is the kind of work.
 	gatewayEventsMetric     = "aspenyard_gateway_objective_events"
 	gatewayFirstEventMetric = "aspenyard_gateway_first_event_seconds"
 )
 
-// Objective of one kind of work, as the catalogue has it.
+// Objective is the service-level objective of one kind of work, from the catalogue.
 type Objective struct {
 	Kind string
-	// FirstTokenSeconds is the limit and Share the part that should keep to it.
+	// FirstTokenSeconds is the longest time to first token of a good request, and Share
+	// the fraction of requests that should be good.
 	FirstTokenSeconds, Share float64
 }
 
-// Row is one kind of work, class and band of prompt lengths.
+// Row holds the figures of one kind of work, class and band of prompt lengths.
 type Row struct {
 	Kind  string `json:"kind"`
 	Class string `json:"class"`
 	Band  string `json:"band"`
-	// Good and Bad count events in the short and the long window.
+	// ShortGood to LongBad are the numbers of good and bad requests in the short and
+	// the long window.
 	ShortGood float64 `json:"short_good"`
 	ShortBad  float64 `json:"short_bad"`
 	LongGood  float64 `json:"long_good"`
 	LongBad   float64 `json:"long_bad"`
-	// ShortBurn and LongBurn are the error budget's burn in each window.
+	// ShortBurn and LongBurn are the burn rates of the error budget in each window.
 	ShortBurn float64 `json:"short_burn"`
 	LongBurn  float64 `json:"long_burn"`
-	// P95Seconds is the p95 time to first token since the nodes' starts, as their
-	// merged histograms have it: the upper bound of its bucket.
+	// P95Seconds is the 95th percentile of the time to first token since the nodes
+	// started: the upper bound of its bucket in their merged histograms.
 	P95Seconds float64 `json:"p95_first_token_seconds"`
 }
 
-// Report on the whole system.
+// Report holds the burn rates over all nodes that were read.
 type Report struct {
 	Rows []Row `json:"rows"`
-	// Nodes that were read, and Unreachable ones, whose events are missing here.
+	// Nodes are the nodes whose metrics were read. The events of the Unreachable ones
+	// are missing from Rows.
 	Nodes       []string `json:"nodes"`
 	Unreachable []string `json:"unreachable"`
 }
 
-// seriesKey identifies a row.
+// seriesKey identifies a row by its labels.
 type seriesKey struct{ kind, class, band string }
 
-// Collector merges the metrics of many nodes.
+// Collector merges the metrics of several nodes into a report.
 type Collector struct {
 	objectives   map[string]Objective
-	defaultShare float64 // 0: kinds without an objective are left out
+	defaultShare float64 // 0: kinds without an objective are not reported
 	rows         map[seriesKey]*Row
-	buckets      map[seriesKey]map[float64]float64 // events up to a bound
+	buckets      map[seriesKey]map[float64]float64 // cumulative counts by upper bound
 	report       Report
 }
 
-// NewCollector makes an empty collector for these objectives.
+// NewCollector returns an empty collector for the given objectives.
 func NewCollector(objectives []Objective) *Collector {
 	c := &Collector{objectives: map[string]Objective{}, rows: map[seriesKey]*Row{}, buckets: map[seriesKey]map[float64]float64{}}
 	for _, o := range objectives {
@@ -87,15 +91,16 @@
 	return c
 }
 
-// SetDefaultShare gives every kind without an objective of its own one with this share.
+// SetDefaultShare sets the share of requests that should be good for kinds without an
+// objective of their own.
 func (c *Collector) SetDefaultShare(share float64) { c.defaultShare = share }
 
-// AddUnreachable notes a node that could not be reached.
+// AddUnreachable records a node that could not be read.
 func (c *Collector) AddUnreachable(node string) {
 	c.report.Unreachable = append(c.report.Unreachable, node)
 }
 
-// Add takes in one node's metrics in the text format.
+// Add adds the metrics of one node, in Prometheus' text format.
 func (c *Collector) Add(node string, text io.Reader) error {
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(text)
@@ -124,11 +129,12 @@
 	return labels
 }
 
-// MetricValue is the number of a metric of any simple kind.
+// MetricValue returns the value of a counter, gauge or untyped metric.
 func MetricValue(metric *dto.Metric) float64 {
 	return metric.GetUntyped().GetValue() + metric.GetGauge().GetValue() + metric.GetCounter().GetValue()
 }
 
+// row returns the row of a series, which it adds if it is new.
 func (c *Collector) row(labels map[string]string) *Row {
 	key := seriesKey{labels["kind"], labels["class"], labels["band"]}
 	row := c.rows[key]
@@ -167,7 +173,8 @@
 	c.buckets[key][limit] += MetricValue(metric)
 }
 
-// Report gives the rows of kinds with an objective, the fastest burn first.
+// Report returns the rows of kinds with an objective, highest burn rate in the short
+// window first.
 func (c *Collector) Report() Report {
 	report := c.report
 	for key, row := range c.rows {
@@ -195,7 +202,8 @@
 	return report
 }
 
-// burnRate is the bad share over the share that the objective allows.
+// burnRate returns the fraction of bad events divided by the fraction that the
+// objective allows; 0 without events.
 func burnRate(good, bad, share float64) float64 {
 	if good+bad == 0 {
 		return 0
@@ -203,7 +211,8 @@
 	return bad / (good + bad) / (1 - share)
 }
 
-// quantile gives the bound of the first bucket that holds the quantile.
+// quantile returns the upper bound of the bucket that holds the q-quantile; 0 without
+// events.
 func quantile(buckets map[float64]float64, q float64) float64 {
 	bounds := make([]float64, 0, len(buckets))
 	total := 0.0
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -17,6 +17,8 @@
 aspenyard_entry_first_token_seconds_bucket{kind="line-plan",class="urgent",band="up_to_4k",le="+Inf"} 1000
 `
 
+// mergedReport returns the report on two nodes with the same metrics and a third one
+// that is unreachable.
 func mergedReport(t *testing.T) Report {
 	t.Helper()
 	is := is.New(t)
@@ -30,11 +32,11 @@
 func TestReportMergesNodes(t *testing.T) {
 	is := is.New(t)
 	report := mergedReport(t)
-	is.Equal(len(report.Rows), 1) // a kind without an objective has no budget
+	is.Equal(len(report.Rows), 1) // a kind without an objective is not reported
 	row := report.Rows[0]
 	is.Equal(row.ShortGood, 180.0)
 	is.Equal(row.LongBad, 20.0)
-	is.True(row.ShortBurn > 1.99 && row.ShortBurn < 2.01) // 10% bad of 5% allowed
+	is.True(row.ShortBurn > 1.99 && row.ShortBurn < 2.01) // 10% were bad, 5% are allowed
 	is.True(row.LongBurn > 0.19 && row.LongBurn < 0.21)
 	is.Equal(row.P95Seconds, 0.5)
 }
@@ -51,7 +53,8 @@
 	is.True(strings.Contains(string(page), "n3"))
 }
 
-// Gateways have no catalogue: one share stands for all their classes.
+// Gateways have no catalogue of objectives: the default share applies to all their
+// classes.
 func TestGatewaysUseDefaultShare(t *testing.T) {
 	is := is.New(t)
 	c := NewCollector(nil)
--- a/burn/render.go
+++ b/burn/render.go
@@ -15,32 +15,32 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Burns above which an operator should act: at fastBurn a month's budget is gone
-// in two days.
+// Burn rates above which an operator should act. At fastBurn, the budget of a month is
+// used up in two days.
 const (
 	fastBurn = 14.0
 	slowBurn = 1.0
 )
 
-// Advice says in words what a row asks of an operator.
+// Advice returns a sentence that tells an operator how urgent a row is.
 func (r Row) Advice() string {
 	name := fmt.Sprintf("%s (%s, prompts %s)", r.Kind, r.Class, strings.ReplaceAll(r.Band, "_", " "))
 	switch {
 	case r.ShortBurn >= fastBurn:
 		return name + ": act now; the error budget burns " + formatBurn(r.ShortBurn) + " too fast over " + ShortWindow
 	case r.ShortBurn > slowBurn && r.LongBurn > slowBurn:
-		return name + ": look today; it burns " + formatBurn(r.ShortBurn) + " over " + ShortWindow + " and " + formatBurn(r.LongBurn) + " over " + LongWindow
+		return name + ": look into it today; the error budget burns " + formatBurn(r.ShortBurn) + " too fast over " + ShortWindow + " and " + formatBurn(r.LongBurn) + " over " + LongWindow
 	case r.ShortBurn > slowBurn:
-		return name + ": a recent rise, " + formatBurn(r.ShortBurn) + " over " + ShortWindow + "; watch it"
+		return name + ": a recent rise, the error budget burns " + formatBurn(r.ShortBurn) + " too fast over " + ShortWindow + "; keep watching it"
 	case r.LongBurn > slowBurn:
-		return name + ": over, but " + formatBurn(r.LongBurn) + " over " + LongWindow
+		return name + ": recovered, but the error budget burned " + formatBurn(r.LongBurn) + " too fast over " + LongWindow
 	}
 	return name + ": within its objective"
 }
 
 func formatBurn(burn float64) string { return fmt.Sprintf("%.1f times", burn) }
 
-// Text prints the report as a table with advice, the worst offenders first.
+// Text formats the report as a table, followed by advice on each row.
 func (r Report) Text() string {
 	var b strings.Builder
 	if len(r.Rows) == 0 {
@@ -59,6 +59,7 @@
 	return b.String()
 }
 
+// coverage tells which nodes the report is made from and which ones are missing.
 func (r Report) coverage() string {
 	if len(r.Unreachable) == 0 {
 		return fmt.Sprintf("read %d nodes: %s", len(r.Nodes), strings.Join(r.Nodes, ", "))
@@ -77,7 +78,7 @@
 {{end}}</table>{{.Plot}}</body></html>
 `))
 
-// HTML makes a self-contained page with a plot.
+// HTML returns the report as a self-contained page with a plot.
 func (r Report) HTML() ([]byte, error) {
 	svg, err := r.plot()
 	if err != nil {
@@ -98,13 +99,13 @@
 	barWidth   = 8 * vg.Millimeter
 )
 
-// plot draws the burns of each row as bars, as SVG.
+// plot returns a bar chart of the burn rates of each row, as SVG.
 func (r Report) plot() (string, error) {
 	if len(r.Rows) == 0 {
 		return "", nil
 	}
 	p := plot.New()
-	p.Y.Label.Text = "burn of the error budget"
+	p.Y.Label.Text = "burn rate of the error budget"
 	short, long := make(plotter.Values, len(r.Rows)), make(plotter.Values, len(r.Rows))
 	names := make([]string, len(r.Rows))
 	for i, row := range r.Rows {
@@ -129,7 +130,7 @@
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", errors.WithStack(err)
 	}
-	// The page holds the drawing alone, without the XML declaration before it.
+	// An SVG element in an HTML page must not have an XML declaration before it.
 	_, svg, _ := strings.Cut(b.String(), "<svg")
 	return "<svg" + svg, nil
 }
--- a/burn/window/window.go
+++ b/burn/window/window.go
@@ -1,6 +1,6 @@
-// Package window counts the good and bad events of objectives by minute, so that metrics
-// can tell what has happened lately. A counter alone only tells what has happened since
-// the start.
+// Package window counts the good and bad events of service-level objectives by minute, so
+// that a node's metrics can report them over recent windows. A plain counter only gives the
+// number of events since the process started.
 package window
 
 import (
@@ -11,27 +11,29 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// The windows over which objectives are counted, in minutes.
+// The windows over which events are reported, in minutes.
 const (
 	ShortMinutes = 5
 	LongMinutes  = 60
 )
 
-// Counter counts events by their labels. Safe for concurrent use.
+// Counter counts events by their labels, over the last LongMinutes. It is safe for
+// concurrent use.
 type Counter struct {
 	mu     sync.Mutex
 	series map[string]*minuteCounts
 }
 
+// minuteCounts is a ring buffer with a slot for each minute.
 type minuteCounts struct {
-	counts  [LongMinutes][2]uint64 // by minute, bad and good
-	minutes [LongMinutes]int64     // the minute that a slot holds
+	counts  [LongMinutes][2]uint64 // by slot and outcomeIndex
+	minutes [LongMinutes]int64     // the minute that a slot counts, since the Unix epoch
 }
 
-// New makes an empty counter.
+// New returns an empty counter.
 func New() *Counter { return &Counter{series: map[string]*minuteCounts{}} }
 
-// Add counts one event; it tells whether the labels are new.
+// Add counts one event and reports whether it is the first with these labels.
 func (w *Counter) Add(now time.Time, labels string, good bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,6 +52,7 @@
 	return isNew
 }
 
+// outcomeIndex returns the index in minuteCounts.counts of an outcome.
 func outcomeIndex(good bool) int {
 	if good {
 		return 1
@@ -57,7 +60,8 @@
 	return 0
 }
 
-// Count sums the events of the last span minutes, the present one included.
+// Count returns the number of good or bad events in the last span minutes, including
+// the current one.
 func (w *Counter) Count(now time.Time, labels string, good bool, span int64) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,8 +78,8 @@
 	return float64(sum)
 }
 
-// Record counts an event and exposes its series in a set of metrics under a name, once
-// for each outcome and span.
+// Record counts an event. With the first event of its labels, it adds gauges named name
+// to the set of metrics, one for each outcome and window.
 func (w *Counter) Record(set *metrics.Set, name, labels string, good bool) {
 	if !w.Add(time.Now(), labels, good) {
 		return
