--- a/cli/bench.go
+++ b/cli/bench.go
@@ -18,26 +18,26 @@
 
 type benchPolicy struct {
 	Seed      uint64        `arg:"--seed" default:"1" help:"first seed"`
-	Seeds     int           `arg:"--seeds" default:"5" help:"how many seeds, counted up from the first"`
-	Engines   int           `arg:"--engines" default:"12" help:"engines"`
-	Entries   int           `arg:"--entries" default:"3" help:"entries, each with its own view"`
-	Load      []float64     `arg:"--load" help:"offered work over capacity; several allowed [default: 0.5 0.8 0.95 1.3]"`
-	LongShare float64       `arg:"--long-share" default:"0.02" help:"part of prompts above 100,000 tokens"`
+	Seeds     int           `arg:"--seeds" default:"5" help:"number of seeds, counting up from the first"`
+	Engines   int           `arg:"--engines" default:"12" help:"number of engines"`
+	Entries   int           `arg:"--entries" default:"3" help:"number of entries, each with its own view of the engines"`
+	Load      []float64     `arg:"--load" help:"offered load as a fraction of capacity; several allowed [default: 0.5 0.8 0.95 1.3]"`
+	LongShare float64       `arg:"--long-share" default:"0.02" help:"fraction of prompts above 100,000 tokens"`
 	Longest   int           `arg:"--longest" default:"300000" help:"longest prompt in tokens; the engines are sized to hold it"`
-	Burst     float64       `arg:"--burst" default:"2" help:"rate in a burst over the mean; 1 for none"`
+	Burst     float64       `arg:"--burst" default:"2" help:"request rate in a burst as a multiple of the mean; 1 for no bursts"`
 	Policy    string        `arg:"--policy" default:"all" help:"name of a policy, or all"`
 	Profile   string        `arg:"--profile" help:"citara (25 engines) or keelung (15 engines)"`
 	Lag       time.Duration `arg:"--lag" default:"2s" help:"age of the load reports"`
-	Length    time.Duration `arg:"--length" default:"5m" help:"virtual time of arrivals"`
-	Kill      float64       `arg:"--kill" help:"share of the engines that die half way"`
-	Obey      float64       `arg:"--obey" default:"0.2" help:"share of the refused that come back as told"`
+	Length    time.Duration `arg:"--length" default:"5m" help:"virtual time during which requests arrive"`
+	Kill      float64       `arg:"--kill" help:"fraction of the engines that fail half way through"`
+	Obey      float64       `arg:"--obey" default:"0.2" help:"fraction of the refused callers that retry after the advised time"`
 	JSON      bool          `arg:"--json" help:"print JSON"`
 	Plot      string        `arg:"--plot" placeholder:"FILE" help:"write an SVG or PNG plot"`
 }
 
 type benchLimits struct {
 	Seed    uint64 `arg:"--seed" default:"1" help:"seed of the arrivals"`
-	Entries []int  `arg:"--entries" help:"numbers of entries [default: 2 8 32]"`
+	Entries []int  `arg:"--entries" help:"numbers of entries to measure [default: 2 8 32]"`
 	JSON    bool   `arg:"--json" help:"print JSON"`
 }
 
@@ -47,14 +47,14 @@
 }
 
 type benchPath struct {
-	Pairs int           `arg:"--pairs" default:"300" help:"pairs of calls, direct and through entry and agent"`
-	Rate  time.Duration `arg:"--rate" default:"4s" help:"time over which each rate is taken"`
+	Pairs int           `arg:"--pairs" default:"300" help:"number of pairs of calls, one direct and one through entry and agent"`
+	Rate  time.Duration `arg:"--rate" default:"4s" help:"time over which each rate is measured"`
 	JSON  bool          `arg:"--json" help:"print JSON"`
 }
 
 type benchRefusals struct {
-	Count  int   `arg:"--count" default:"200" help:"refused calls of each length"`
-	Tokens []int `arg:"--tokens" help:"prompt lengths [default: 1000 100000]"`
+	Count  int   `arg:"--count" default:"200" help:"number of refused calls of each length"`
+	Tokens []int `arg:"--tokens" help:"prompt lengths in tokens [default: 1000 100000]"`
 	JSON   bool  `arg:"--json" help:"print JSON"`
 }
 
@@ -65,13 +65,13 @@
 }
 
 type benchCommand struct {
-	Idle     *benchIdle     `arg:"subcommand:idle" help:"processor time, memory and control bytes of running processes"`
-	Path     *benchPath     `arg:"subcommand:path" help:"measure what the way through entry and agent, and through a gateway, costs"`
+	Idle     *benchIdle     `arg:"subcommand:idle" help:"measure CPU time, memory and control traffic of running processes"`
+	Path     *benchPath     `arg:"subcommand:path" help:"measure the latency that entry and agent, or a gateway, add"`
 	Refusals *benchRefusals `arg:"subcommand:refusals" help:"measure how quickly callers are refused"`
-	Power    *benchPower    `arg:"subcommand:power" help:"measure how much of a site's cap the ledger lets work use"`
-	Limits   *benchLimits   `arg:"subcommand:limits" help:"measure client accounts' limits over several entries"`
+	Power    *benchPower    `arg:"subcommand:power" help:"measure how much of a site's power cap stays unused"`
+	Limits   *benchLimits   `arg:"subcommand:limits" help:"measure how well several entries keep client accounts' limits"`
 	Policy   *benchPolicy   `arg:"subcommand:policy" help:"measure routing and admission under load, in virtual time"`
-	Capacity *benchCapacity `arg:"subcommand:capacity" help:"measure the slopes that docs/CAPACITY.md is made of"`
+	Capacity *benchCapacity `arg:"subcommand:capacity" help:"measure the cost figures of docs/CAPACITY.md"`
 }
 
 func (c *benchCommand) run(t terminal) int {
@@ -91,7 +91,7 @@
 	case c.Idle != nil:
 		return c.Idle.run(t)
 	}
-	return t.failf("bench: one of policy, limits, power, path, refusals, idle, capacity")
+	return t.failf("bench: missing subcommand: policy, limits, power, path, refusals, idle or capacity")
 }
 
 func (c *benchIdle) run(t terminal) int {
@@ -102,7 +102,7 @@
 	if c.JSON {
 		return t.json(results)
 	}
-	fmt.Fprintf(t.out, "%-22s %9s %12s %12s %12s %14s\n", "process", "% core", "resident MB", "of it anon", "sent B/s", "received B/s")
+	fmt.Fprintf(t.out, "%-22s %9s %12s %12s %12s %14s\n", "process", "% core", "resident MB", "anonymous MB", "sent B/s", "received B/s")
 	for _, r := range results {
 		fmt.Fprintf(t.out, "%-22s %9.2f %12.1f %12.1f %12.0f %14.0f\n", r.Addr, r.CorePercent, r.ResidentBytes/1e6, r.AnonymousBytes/1e6, r.SentPerSecond, r.ReceivedPerSecond)
 	}
@@ -121,11 +121,11 @@
 	if c.JSON {
 		return t.json(map[string]any{"entry_and_agent": result, "gateway": direct})
 	}
-	fmt.Fprintf(t.out, "%d pairs: first token p50 %d µs direct, %d µs through entry and agent; added p50 %d µs, p95 %d µs\n",
+	fmt.Fprintf(t.out, "entry and agent, %d pairs: first token p50 %d µs direct, %d µs through them; added p50 %d µs, p95 %d µs\n",
 		result.Pairs, result.DirectP50, result.ThroughP50, result.AddedP50, result.AddedP95)
 	fmt.Fprintf(t.out, "gateway, %d pairs: first event p50 %d µs direct, %d µs through it; added p50 %d µs, p95 %d µs\n",
 		direct.Pairs, direct.DirectP50, direct.ThroughP50, direct.AddedP50, direct.AddedP95)
-	fmt.Fprintf(t.out, "whole path on one processor, engine stand-in and caller included: %.0f requests/s of 8 tokens, %.0f tokens/s\n",
+	fmt.Fprintf(t.out, "throughput on one processor, including the stand-in engine and the caller: %.0f requests/s of 8 tokens, %.0f tokens/s\n",
 		result.RequestsPerSecond, result.TokensPerSecond)
 	return exitOK
 }
@@ -155,7 +155,7 @@
 	if c.JSON {
 		return t.json(results)
 	}
-	fmt.Fprintf(t.out, "%-18s %8s %20s %15s %9s\n", "demand", "idle", "idle by equal split", "writes a round", "exceeded")
+	fmt.Fprintf(t.out, "%-18s %8s %20s %15s %9s\n", "demand", "idle", "idle by equal split", "writes per round", "exceeded")
 	for _, r := range results {
 		fmt.Fprintf(t.out, "%-18s %8.3f %20.3f %15.3f %9d\n", r.Case, r.Unused, r.EqualUnused, r.Writes, r.Exceeded)
 	}
@@ -170,7 +170,7 @@
 	if c.JSON {
 		return t.json(results)
 	}
-	fmt.Fprintf(t.out, "%8s  %-10s %10s %8s %22s\n", "entries", "traffic", "overshoot", "unused", "unused by equal parts")
+	fmt.Fprintf(t.out, "%8s  %-10s %10s %8s %22s\n", "entries", "traffic", "overshoot", "unused", "unused by equal split")
 	for _, r := range results {
 		fmt.Fprintf(t.out, "%8d  %-10s %10.3f %8.3f %22.3f\n", r.Entries, r.Case, r.Overshoot, r.Unused, r.EqualUnused)
 	}
@@ -185,10 +185,10 @@
 	case "keelung":
 		c.Engines, c.Entries = 15, 3
 	default:
-		return t.failf("bench policy: no profile %q; there are citara and keelung", c.Profile)
+		return t.failf("bench policy: unknown profile %q; profiles are citara and keelung", c.Profile)
 	}
 	if c.Longest < bench.MinLongestPrompt || c.Longest > bench.MaxLongestPrompt {
-		return t.failf("bench policy: --longest %d is not from %d to %d", c.Longest, bench.MinLongestPrompt, bench.MaxLongestPrompt)
+		return t.failf("bench policy: --longest is %d, must be from %d to %d", c.Longest, bench.MinLongestPrompt, bench.MaxLongestPrompt)
 	}
 	if len(c.Load) == 0 {
 		c.Load = []float64{0.5, 0.8, 0.95, 1.3}
@@ -209,13 +209,14 @@
 	if c.JSON {
 		return t.json(results)
 	}
-	fmt.Fprintf(t.out, "%d engines, %d entries, seeds %d to %d, reports %s old, %.0f%% long, burst %g, %s of arrivals; means over seeds\n",
+	fmt.Fprintf(t.out, "%d engines, %d entries, seeds %d to %d, load reports %s old, %.0f%% long prompts, burst %g, %s of arrivals; means over seeds\n",
 		c.Engines, c.Entries, c.Seed, c.Seed+uint64(c.Seeds)-1, c.Lag, 100*c.LongShare, c.Burst, c.Length)
 	fmt.Fprint(t.out, bench.PolicyTable(results))
 	return exitOK
 }
 
-// measure runs every policy at every load, the seeds of each in parallel.
+// measure runs each policy at each load, with its seeds in parallel, and returns the
+// means over the seeds.
 func (c *benchPolicy) measure(names []string) ([]bench.PolicyResult, error) {
 	var means []bench.PolicyResult
 	for _, load := range c.Load {
--- a/cli/bounds_test.go
+++ b/cli/bounds_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// completeFiles are files of each kind with all fields that hold a number, a duration or a
-// size, whether or not they may be left out.
+// completeFiles holds a valid file of each kind, with all fields that hold a number, a
+// duration or a size, optional ones included.
 var completeFiles = map[string]string{
 	"gateway": `{"name":"g","data_centre":"dc","callers_listen":"127.0.0.1:1","readiness_listen":"127.0.0.1:2","metrics_listen":"127.0.0.1:3","peers_listen":"127.0.0.1:4","store":"127.0.0.1:5",
 "store_timeout":"700ms","config_within":"2s","leaving_within":"2s","drain_timeout":"10s","retry_ratio":0.1,"retry_allowance":10,"retry_window":"10s","memory_free_within":"4s","memory_idle_within":"9s","memory_limit":"256MB"}`,
@@ -33,7 +33,8 @@
 	isSize     = regexp.MustCompile(`^[0-9]+[KMG]?i?B$`)
 )
 
-// outOfBoundsValues are values that no number, duration or size may have.
+// outOfBoundsValues returns values that no field with a number, duration or size accepts,
+// by the form of the field's valid value.
 func outOfBoundsValues(value any) []any {
 	switch v := value.(type) {
 	case float64:
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// replaceEachValue calls try with the file as it is when one value in it is out of bounds.
+// replaceEachValue replaces the values in a file one at a time by each of its
+// outOfBoundsValues, and calls try with the field's path and the value.
 func replaceEachValue(path string, value any, try func(path string, value any)) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -68,9 +70,9 @@
 	}
 }
 
-// Symptom: a process starts with a setting that makes no sense, and fails later or
-// silently does nothing. Sequence: an operator's slip puts a minus before a number, or a
-// digit too many. Every number of every file has its bounds.
+// Guards against a process that starts with an absurd setting and fails later, or silently
+// does nothing: an operator types a minus sign or a digit too many. Each number in each
+// kind of file, examples included, must have bounds.
 func TestNumbersOutOfBoundsAreRejected(t *testing.T) {
 	files := map[string]string{}
 	for name, text := range completeFiles {
--- a/cli/check.go
+++ b/cli/check.go
@@ -13,7 +13,7 @@
 )
 
 type checkCommand struct {
-	Files []string `arg:"positional,required" placeholder:"FILE" help:"settings of an entry, an agent or a stand-in, or a catalogue file"`
+	Files []string `arg:"positional,required" placeholder:"FILE" help:"settings of a process or a stand-in, a catalogue file or record, or an experiment"`
 }
 
 func (c *checkCommand) run(t terminal) int {
@@ -30,15 +30,17 @@
 	return code
 }
 
-// catalogueFile is several records in one file.
+// catalogueFile is a file with several catalogue records.
 type catalogueFile struct {
 	Records []json.RawMessage `json:"records"`
 }
 
-// Check implements settings.Checker; the records are checked one by one.
+// Check implements settings.Checker. It checks nothing: decodeRecords validates the
+// records one by one.
 func (*catalogueFile) Check() settings.FieldErrors { return nil }
 
-// checkFile tells what a file is by a field that only its kind has, and checks it.
+// checkFile recognises a file's kind by a field that only this kind has, and validates it.
+// It returns the kind also with an error, once it is known.
 func checkFile(path string) (string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -65,7 +67,7 @@
 		_, err := catalogue.DecodeRecord(data)
 		return "catalogue record", err
 	}
-	return "", errors.New("neither settings (callers_listen, endpoint or standin) nor a catalogue (records or type)")
+	return "", errors.New("unknown kind of file: neither settings (callers_listen, endpoint or standin), nor a catalogue (records or type), nor an experiment (policies)")
 }
 
 func checkRecords(data []byte) error {
@@ -73,6 +75,8 @@
 	return err
 }
 
+// decodeRecords decodes and validates a catalogue file. The field names in its errors
+// include the position of the record.
 func decodeRecords(data []byte) ([]*catalogue.Record, error) {
 	var file catalogueFile
 	if err := settings.Decode(data, &file); err != nil {
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the one binary.
+// Package cli implements the command line of the aspenyard binary.
 package cli
 
 import (
@@ -18,7 +18,7 @@
 	"aspenyard.example/result"
 )
 
-// Exit codes of every command.
+// Exit codes of all commands.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -26,7 +26,7 @@
 	exitConflict = 3
 )
 
-// version is set by the release build's -ldflags.
+// version is set by -ldflags in release builds.
 var version = "0.1.0-dev"
 
 type nodeCommand struct {
@@ -35,46 +35,47 @@
 
 type versionCommand struct {
 	Codes bool `arg:"--codes" help:"print the table of result codes as docs/RESULT-CODES.md has it"`
-	Logs  bool `arg:"--logs" help:"print the table of log lines as docs/LOGS.md has it"`
+	Logs  bool `arg:"--logs" help:"print the table of log events as docs/LOGS.md has it"`
 }
 
 type arguments struct {
-	Entry      *nodeCommand       `arg:"subcommand:entry" help:"serve callers behind the platform's balancer"`
-	Gateway    *nodeCommand       `arg:"subcommand:gateway" help:"serve callers by calling the endpoints directly"`
-	Agent      *nodeCommand       `arg:"subcommand:agent" help:"stand beside one endpoint"`
-	Check      *checkCommand      `arg:"subcommand:check" help:"check settings and catalogue files"`
+	Entry      *nodeCommand       `arg:"subcommand:entry" help:"run an entry: serve callers behind the platform's load balancer"`
+	Gateway    *nodeCommand       `arg:"subcommand:gateway" help:"run a gateway: serve callers by calling the endpoints directly"`
+	Agent      *nodeCommand       `arg:"subcommand:agent" help:"run the agent of one endpoint"`
+	Check      *checkCommand      `arg:"subcommand:check" help:"validate settings, catalogue and experiment files"`
 	Catalogue  *catalogueCommand  `arg:"subcommand:catalogue" help:"read and edit the catalogue through any entry"`
 	Status     *statusCommand     `arg:"subcommand:status" help:"show what an entry knows of the system"`
-	Explain    *explainCommand    `arg:"subcommand:explain" help:"tell a request's story from the gateways' logs"`
-	Report     *reportCommand     `arg:"subcommand:report" help:"reports from the nodes' metrics"`
-	Experiment *experimentCommand `arg:"subcommand:experiment" help:"play sites, loads and policies in virtual time and compare them"`
+	Explain    *explainCommand    `arg:"subcommand:explain" help:"show what happened to a request, from the gateways' logs"`
+	Report     *reportCommand     `arg:"subcommand:report" help:"make reports from metrics, logs and played days"`
+	Experiment *experimentCommand `arg:"subcommand:experiment" help:"simulate sites, loads and policies in virtual time and compare them"`
 	Bench      *benchCommand      `arg:"subcommand:bench" help:"measure policies, limits and the control plane"`
-	Standin    *standinCommand    `arg:"subcommand:standin" help:"run a stand-in of an outside system"`
-	Demo       *demoCommand       `arg:"subcommand:demo" help:"run everything in one process with a small load"`
+	Standin    *standinCommand    `arg:"subcommand:standin" help:"run a stand-in for an external system"`
+	Demo       *demoCommand       `arg:"subcommand:demo" help:"run all parts in one process under a small load"`
 	Version    *versionCommand    `arg:"subcommand:version" help:"print the version"`
 }
 
 // Description implements arg.Described.
 func (arguments) Description() string {
-	return "aspenyard serves language-model prompts of very unlike lengths under a hard cap on power."
+	return "aspenyard serves language-model prompts of widely varying lengths under a hard power cap."
 }
 
 // Epilogue implements arg.Epilogued.
 func (arguments) Epilogue() string {
-	return "Exit codes: 0 done; 1 failed; 2 wrong usage; 3 a lost race between two edits."
+	return "Exit codes: 0 success; 1 failure; 2 wrong usage; 3 conflict with another edit."
 }
 
-// terminal is where a command writes.
+// terminal holds a command's standard output and standard error.
 type terminal struct {
 	out, err io.Writer
 }
 
+// failf prints an error message and returns the exit code of a failure.
 func (t terminal) failf(format string, args ...any) int {
 	fmt.Fprintf(t.err, "aspenyard: "+format+"\n", args...)
 	return exitFailed
 }
 
-// json prints a command's result for programs.
+// json prints a command's result as JSON, on one line.
 func (t terminal) json(value any) int {
 	_ = json.NewEncoder(t.out).Encode(value)
 	return exitOK
@@ -85,6 +86,7 @@
 	return run(os.Args[1:], terminal{out: os.Stdout, err: os.Stderr})
 }
 
+// run parses the arguments and runs the subcommand that they name.
 func run(args []string, t terminal) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "aspenyard"}, &parsed)
@@ -158,8 +160,8 @@
 	return exitOK
 }
 
-// notifySignals delivers interrupts and terminations; the context is for commands that
-// simply stop.
+// notifySignals returns a channel that receives SIGINT and SIGTERM, and a context with
+// its cancel function. The caller decides whether a signal cancels the context.
 func notifySignals() (context.Context, chan os.Signal, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -17,23 +17,23 @@
 
 type demoCommand struct {
 	JSON     bool    `arg:"--json" help:"print the table as JSON"`
-	Requests int     `arg:"--requests" default:"60" help:"short and middling requests to send"`
-	Scale    float64 `arg:"--time-scale" default:"10" help:"how much faster than real the engines run"`
-	Gateway  bool    `arg:"--gateway" help:"run a gateway before the stand-in of the users' platform"`
+	Requests int     `arg:"--requests" default:"60" help:"number of requests to send, besides one of a million tokens"`
+	Scale    float64 `arg:"--time-scale" default:"10" help:"factor by which the engines run faster than real time"`
+	Gateway  bool    `arg:"--gateway" help:"run a gateway in front of a stand-in for the users' platform"`
 	Verbose  bool    `arg:"--verbose" help:"show the nodes' logs"`
 }
 
-// demoPromptLength is one row of the demo's load.
+// demoPromptLength is a prompt length in the demo's load.
 type demoPromptLength struct {
 	tokens       int
-	requestShare float64 // of the requests
+	requestShare float64 // fraction of the requests with this length
 }
 
-// demoPromptLengths mixes the lengths of both users' workloads; one request of each of
-// the last two is always sent.
+// demoPromptLengths mixes the prompt lengths of both users' workloads. At least one
+// request of each length is sent, so also one of a million tokens.
 var demoPromptLengths = []demoPromptLength{{1_000, 0.5}, {4_000, 0.3}, {16_000, 0.18}, {100_000, 0.02}, {1_000_000, 0}}
 
-// demoRow is one line of the result.
+// demoRow is the result for one prompt length.
 type demoRow struct {
 	PromptTokens int   `json:"prompt_tokens"`
 	Requests     int   `json:"requests"`
@@ -43,6 +43,7 @@
 	MaxMS        int64 `json:"first_token_max_ms"`
 }
 
+// Parameters of the demo's load.
 const (
 	demoOutputTokens = 32
 	demoStagger      = 20 * time.Millisecond
@@ -78,17 +79,17 @@
 	}
 	switch {
 	case !complete:
-		return t.failf("not every answer came back whole")
+		return t.failf("some responses are incomplete or wrong")
 	case heldErr != nil:
-		return t.failf("memory is still held: %v", heldErr)
+		return t.failf("KV cache is still reserved after the last response: %v", heldErr)
 	}
-	fmt.Fprintln(t.err, "every answer was whole, as the engines' own text has it, and no memory is held")
+	fmt.Fprintln(t.err, "all responses are complete and match the engines' text; no KV cache is reserved any more")
 	return exitOK
 }
 
-// runGateway demonstrates a gateway on the stand-in of the users' platform.
+// runGateway runs the demo of a gateway in front of a stand-in for the users' platform.
 func (c *demoCommand) runGateway(ctx context.Context, t terminal) int {
-	fmt.Fprintln(t.err, "starting a store, 5 workers that now and then break off, and a gateway in this process ...")
+	fmt.Fprintln(t.err, "starting a store, 5 workers that sometimes break off a response, and a gateway in this process ...")
 	result, err := bench.GatewayDemo(ctx, c.Requests)
 	if err != nil {
 		return t.failf("%v", err)
@@ -96,14 +97,15 @@
 	if c.JSON {
 		t.json(result)
 	} else {
-		fmt.Fprintf(t.out, "%d streams through the gateway, %d answers cut by workers, %d streams whole\n", result.Requests, result.CutByWorkers, result.Complete)
+		fmt.Fprintf(t.out, "%d streams through the gateway, %d responses broken off by workers, %d streams complete\n", result.Requests, result.CutByWorkers, result.Complete)
 	}
 	if result.Complete != result.Requests {
-		return t.failf("not every answer came back whole")
+		return t.failf("some responses are incomplete or wrong")
 	}
 	return exitOK
 }
 
+// demoResult is the outcome of one request.
 type demoResult struct {
 	tokens     int
 	firstToken time.Duration
@@ -111,7 +113,7 @@
 	detail     string
 }
 
-// sendLoad sends the mix and returns what came back.
+// sendLoad sends the requests, longest prompts first, and returns their results.
 func (c *demoCommand) sendLoad(ctx context.Context, t terminal, fleet *bench.Fleet) []demoResult {
 	var lengths []int
 	for _, l := range demoPromptLengths {
@@ -130,7 +132,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			fmt.Fprintf(t.err, "\r%d of %d answers", done, len(lengths))
+			fmt.Fprintf(t.err, "\r%d of %d responses", done, len(lengths))
 			if !results[i].complete {
 				fmt.Fprintf(t.err, "; request %d (%d tokens): %s\n", i, tokens, results[i].detail)
 			}
@@ -142,6 +144,7 @@
 	return results
 }
 
+// sendDemoRequest sends one request and compares the response with the engine's text.
 func sendDemoRequest(ctx context.Context, fleet *bench.Fleet, i, tokens int) demoResult {
 	prompt := bench.Prompt(uint64(i), tokens)
 	answer, err := fleet.Complete(ctx, bench.Completion{
@@ -152,13 +155,14 @@
 	case err != nil:
 		r.detail = err.Error()
 	case answer.Text != standin.Answer(prompt, demoOutputTokens):
-		r.detail = "the answer differs from the engine's text"
+		r.detail = "response differs from the engine's text"
 	default:
 		r.complete = true
 	}
 	return r
 }
 
+// tabulate returns a row for each prompt length and whether all responses were complete.
 func tabulate(results []demoResult) ([]demoRow, bool) {
 	complete := true
 	var rows []demoRow
@@ -185,9 +189,9 @@
 }
 
 func printDemo(t terminal, rows []demoRow) {
-	fmt.Fprintf(t.out, "%14s %9s %6s   %s\n", "prompt tokens", "requests", "whole", "time to first token: p50, p95, max (ms)")
+	fmt.Fprintf(t.out, "%14s %9s %8s   %s\n", "prompt tokens", "requests", "complete", "time to first token: p50, p95, max (ms)")
 	fmt.Fprintln(t.out, strings.Repeat("-", 74))
 	for _, row := range rows {
-		fmt.Fprintf(t.out, "%14d %9d %6d   %8d %8d %8d\n", row.PromptTokens, row.Requests, row.Complete, row.P50MS, row.P95MS, row.MaxMS)
+		fmt.Fprintf(t.out, "%14d %9d %8d   %8d %8d %8d\n", row.PromptTokens, row.Requests, row.Complete, row.P50MS, row.P95MS, row.MaxMS)
 	}
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -14,9 +14,9 @@
 )
 
 type experimentCommand struct {
-	File  string `arg:"positional,required" placeholder:"FILE" help:"sites, loads and policies, JSON (examples/experiments)"`
-	Out   string `arg:"--out" placeholder:"DIR" help:"where the plays (JSON lines) and a page with a plot are written, named as FILE"`
-	Quiet bool   `arg:"--quiet" help:"show no progress"`
+	File  string `arg:"positional,required" placeholder:"FILE" help:"sites, loads and policies, JSON (see examples/experiments)"`
+	Out   string `arg:"--out" placeholder:"DIR" help:"directory for the runs' results (JSON lines) and a page with a plot, both named after FILE"`
+	Quiet bool   `arg:"--quiet" help:"print no progress"`
 }
 
 func (c *experimentCommand) run(t terminal) int {
@@ -29,7 +29,8 @@
 	return c.runUntilDone(ctx, t)
 }
 
-// runUntilDone runs the experiment until it is done or ctx ends; what was played by then is written.
+// runUntilDone runs the experiment until it is complete or ctx ends. The results of the
+// runs until then are reported and written.
 func (c *experimentCommand) runUntilDone(ctx context.Context, t terminal) int {
 	file, err := c.readFile()
 	if err != nil {
@@ -49,7 +50,7 @@
 		}
 		completed++
 		if !c.Quiet {
-			fmt.Fprintf(t.err, "\r%d of %d plays", completed, of)
+			fmt.Fprintf(t.err, "\r%d of %d runs", completed, of)
 		}
 	})
 	if !c.Quiet {
@@ -61,11 +62,13 @@
 		}
 	}
 	if writeErr != nil {
-		return t.failf("plays not written: %v", writeErr)
+		return t.failf("write results: %v", writeErr)
 	}
 	return c.report(t, summary, runErr)
 }
 
+// report prints the table of results and writes the page, if one is asked for. runErr is
+// set if the experiment was stopped early.
 func (c *experimentCommand) report(t terminal, summary *experiment.Summary, runErr error) int {
 	fmt.Fprint(t.out, experiment.Table(summary.Rows()))
 	if c.Out != "" {
@@ -74,7 +77,7 @@
 		}
 	}
 	if runErr != nil {
-		return t.failf("stopped before the end: %v", runErr)
+		return t.failf("experiment stopped before the end: %v", runErr)
 	}
 	return exitOK
 }
@@ -87,13 +90,13 @@
 	return experiment.Decode(data)
 }
 
-// name is that of the file, without its ending.
+// name returns the base name of the file, without its extension.
 func (c *experimentCommand) name() string {
 	base := filepath.Base(c.File)
 	return strings.TrimSuffix(base, filepath.Ext(base))
 }
 
-// createOutput makes the file of plays; nil where none is asked for.
+// createOutput creates the file for the runs' results; nil if no output is asked for.
 func (c *experimentCommand) createOutput() (*os.File, error) {
 	if c.Out == "" {
 		return nil, nil
--- a/cli/experiment_test.go
+++ b/cli/experiment_test.go
@@ -28,7 +28,7 @@
 	c := &experimentCommand{File: writeExperiment(t, quickExperiment), Out: t.TempDir()}
 	is.Equal(c.runUntilDone(context.Background(), terminal{out: &out, err: &errs}), exitOK)
 	is.True(strings.Contains(out.String(), "| random sites | random | 4 |"))
-	is.True(strings.Contains(errs.String(), "8 of 8 plays"))
+	is.True(strings.Contains(errs.String(), "8 of 8 runs"))
 	lines, err := os.ReadFile(filepath.Join(c.Out, "quick.jsonl"))
 	is.NoErr(err)
 	is.Equal(strings.Count(string(lines), "\n"), 8)
@@ -49,7 +49,7 @@
 	is.Equal(c.runUntilDone(context.Background(), terminal{out: &out, err: &errs}), exitFailed)
 }
 
-// An interrupt ends an experiment; it says so and exits as failed.
+// An interrupted experiment prints an error and exits with a failure.
 func TestInterruptedExperimentFails(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -18,20 +18,21 @@
 )
 
 type explainCommand struct {
-	Request string   `arg:"positional,required" placeholder:"ID" help:"the request's id"`
-	Files   []string `arg:"positional,required" placeholder:"FILE" help:"logs of one or several processes, JSON lines; - for standard input"`
+	Request string   `arg:"positional,required" placeholder:"ID" help:"ID of the request"`
+	Files   []string `arg:"positional,required" placeholder:"FILE" help:"logs of one or more processes, JSON lines; - for standard input"`
 }
 
-// logLine is one line of a gateway's log.
+// logLine is one event in a gateway's log.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Event   string    `json:"event"`
 	Node    string    `json:"node"`
 	Request string    `json:"request"`
-	fields  map[string]any
+	// fields holds all fields of the line by name.
+	fields map[string]any
 }
 
-// maxLogLine bounds one line of a log.
+// maxLogLine is the longest line that a log may have, in bytes. A longer one is an error.
 const maxLogLine = 1 << 20
 
 func (c *explainCommand) run(t terminal) int {
@@ -51,7 +52,7 @@
 		}
 	}
 	if len(lines) == 0 {
-		return t.failf("no line of request %q; requests that ended well are logged 20 a second and node, and lines are dropped when nobody reads them", c.Request)
+		return t.failf("no lines for request %q: each node logs at most 20 successful requests per second, and drops lines that are not read in time", c.Request)
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	for i := range lines {
@@ -63,17 +64,21 @@
 	return exitOK
 }
 
+// What describePause reports.
 const (
-	// minDescribedPause is from which length on a stream's longest pause is looked into.
+	// minDescribedPause is the shortest pause of a stream that is analysed.
 	minDescribedPause = 200 * time.Millisecond
-	// placedBeforePause is how long before a pause the prompts were placed that are told.
+	// placedBeforePause is how long before the start of a pause a prompt may have been
+	// placed to be listed as a possible cause. The printed text names it as 1 s.
 	placedBeforePause = time.Second
-	// maxDescribedPlacements is how many of them are told, those with the longest prefill.
+	// maxDescribedPlacements is the number of prompts that are listed at most, those with
+	// the longest prefill.
 	maxDescribedPlacements = 5
 )
 
-// describePause tells which other prompts were to be prefilled on a stream's engine about the
-// time of its longest describePause: an engine prefills before it gives the next event.
+// describePause lists the prompts that were placed on a stream's engine around the time of
+// the stream's longest pause. They may have caused it: an engine prefills before it sends the
+// next event of its streams.
 func describePause(lines, placed []logLine) []string {
 	end := &lines[len(lines)-1]
 	length := end.duration("gap_ms")
@@ -89,31 +94,32 @@
 		}
 	}
 	slices.SortStableFunc(placedNear, func(a, b logLine) int { return cmp.Compare(b.number("prefill_ms"), a.number("prefill_ms")) })
-	output := []string{fmt.Sprintf("placed at %s from 1 s before that pause to its end, by the logs given: %d", end.text("endpoint"), len(placedNear))}
+	output := []string{fmt.Sprintf("prompts placed at %s from 1 s before that pause to its end, according to these logs: %d", end.text("endpoint"), len(placedNear))}
 	for _, l := range placedNear[:min(len(placedNear), maxDescribedPlacements)] {
-		output = append(output, fmt.Sprintf("    request %s by %s, %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.milliseconds("prefill_ms"), l.helperCountText()))
+		output = append(output, fmt.Sprintf("    request %s of %s, placed %s before the pause's end: prefill %s%s", l.Request, l.Node, to.Sub(l.Time).Round(time.Millisecond), l.milliseconds("prefill_ms"), l.helperCountText()))
 	}
 	return output
 }
 
+// number returns a numeric field; 0 if it is missing.
 func (l *logLine) number(name string) float64 {
 	n, _ := l.fields[name].(float64)
 	return n
 }
 
-// duration reads a field that holds milliseconds.
+// duration returns a field that holds milliseconds; 0 if it is missing.
 func (l *logLine) duration(name string) time.Duration {
 	return time.Duration(l.number(name) * float64(time.Millisecond))
 }
 
-// prefillsAt tells whether a placed request is prefilled prefillsAt an endpoint, as the first or as a
-// helper.
+// prefillsAt tells whether a placed request was to be prefilled at an endpoint, be it the
+// one that the request is sent to or a helper.
 func (l *logLine) prefillsAt(endpoint string) bool {
 	return slices.Contains(l.endpoints(), endpoint)
 }
 
-// endpoints are those that a placed request is prefilled at, the one that it was sent to
-// first.
+// endpoints returns the endpoints where a placed request was to be prefilled: the one that
+// it is sent to, followed by the helpers.
 func (l *logLine) endpoints() []string {
 	list := []string{l.text("endpoint")}
 	helpers, _ := l.fields["helpers"].([]any)
@@ -125,9 +131,9 @@
 	return list
 }
 
-// readLog reads the lines of a log. Text before a line's opening brace,
-// as collectors of logs put there, is passed over; a file without any JSON line is an
-// error.
+// readLog reads a gateway's log; path - stands for standard input. Text before a line's
+// opening brace, as log collectors add it, and lines without an event are ignored. A log
+// without any event is an error.
 func readLog(path string) ([]logLine, error) {
 	var in io.Reader = os.Stdin
 	if path != "-" {
@@ -162,38 +168,41 @@
 		return nil, errors.Wrapf(err, "read %s", path)
 	}
 	if !found {
-		return nil, errors.Errorf("%s: no log lines of a gateway (JSON with an event)", path)
+		return nil, errors.Errorf("%s: no log lines of a gateway (JSON objects with an event)", path)
 	}
 	return lines, nil
 }
 
-// format puts a line into words; times are from start.
+// format returns the line for the output, with its time since start.
 func (l *logLine) format(start time.Time) string {
 	return fmt.Sprintf("%10.1f ms  %s  %s", float64(l.Time.Sub(start).Microseconds())/1000, l.Node, l.describe())
 }
 
+// describe returns a sentence about the event.
 func (l *logLine) describe() string {
 	switch l.Event {
 	case "queue_left":
-		return fmt.Sprintf("long prompt: its turn after %s (first token expected after %s; %s others still wait)", l.milliseconds("waited_ms"), l.milliseconds("expected_ms"), l.text("waiting"))
+		return fmt.Sprintf("long prompt: left the queue after %s (first token expected after %s; %s others still waiting)", l.milliseconds("waited_ms"), l.milliseconds("expected_ms"), l.text("waiting"))
 	case "queue_refused":
-		return fmt.Sprintf("long prompt: its first token is expected after %s, at most %s is accepted; refused after %s", l.milliseconds("expected_ms"), l.milliseconds("limit_ms"), l.milliseconds("waited_ms"))
+		return fmt.Sprintf("long prompt: first token expected after %s, target %s; refused after %s", l.milliseconds("expected_ms"), l.milliseconds("limit_ms"), l.milliseconds("waited_ms"))
 	case "capacity_refused":
-		return fmt.Sprintf("no room: %s of prefill on each of %s engines, on which %s requests are open, %s of which it would make late", l.milliseconds("prefill_ms"), l.text("engines"), l.text("open"), l.text("harmed"))
+		return fmt.Sprintf("refused for lack of capacity: %s of prefill on each of %s engines, which have %s open requests, %s of which it would make late", l.milliseconds("prefill_ms"), l.text("engines"), l.text("open"), l.text("harmed"))
 	case "placed":
-		return fmt.Sprintf("placed at %s of %s, out of %s by the list at revision %s; estimated delay %s, prefill %s%s", l.text("endpoint"), l.text("service"), l.text("candidates"), l.text("at"), l.milliseconds("cost_ms"), l.milliseconds("prefill_ms"), l.helperCountText())
+		return fmt.Sprintf("placed at %s of service %s, one of %s candidates in the list at revision %s; estimated delay %s, prefill %s%s", l.text("endpoint"), l.text("service"), l.text("candidates"), l.text("at"), l.milliseconds("cost_ms"), l.milliseconds("prefill_ms"), l.helperCountText())
 	case "memory_reserved":
 		return fmt.Sprintf("KV cache reserved at %s helpers (%s refused): %s of %s tokens", l.text("helpers"), l.text("refused"), l.text("tokens"), l.text("needed"))
 	case "attempt_failed":
-		return fmt.Sprintf("%s: %s (%s); then: %s, after %s arrivals", l.text("endpoint"), l.text("outcome"), l.text("error"), l.text("next"), l.text("arrivals"))
+		return fmt.Sprintf("attempt at %s failed: %s (%s); next: %s, endpoints reached so far: %s", l.text("endpoint"), l.text("outcome"), l.text("error"), l.text("next"), l.text("arrivals"))
 	case "caller_lost":
-		return "the caller did not take the answer: " + l.text("error")
+		return "the caller did not accept the response: " + l.text("error")
 	case "request_ended":
 		return l.describeEnd()
 	}
 	return l.Event
 }
 
+// helperCountText names the number of engines of a placed request with helpers; it is empty
+// without helpers.
 func (l *logLine) helperCountText() string {
 	list, _ := l.fields["helpers"].([]any)
 	if len(list) == 0 {
@@ -202,6 +211,7 @@
 	return fmt.Sprintf(" on each of %d engines", len(list)+1)
 }
 
+// describeEnd returns a sentence about the end of a request.
 func (l *logLine) describeEnd() string {
 	var b strings.Builder
 	code := l.number("code")
@@ -211,12 +221,13 @@
 		fmt.Fprintf(&b, "; ran: %s; %s", ran, l.text("detail"))
 	}
 	if l.text("first_ms") != "" {
-		fmt.Fprintf(&b, "; first event after %s, longest pause %s (it ended at %s), %s events", l.milliseconds("first_ms"), l.milliseconds("gap_ms"), l.milliseconds("gap_end_ms"), l.text("events"))
+		fmt.Fprintf(&b, "; first event after %s, longest pause %s (ending at %s), %s events", l.milliseconds("first_ms"), l.milliseconds("gap_ms"), l.milliseconds("gap_end_ms"), l.text("events"))
 	}
 	fmt.Fprintf(&b, "; route %s, configuration %s, prompt of %s tokens", l.text("route"), l.text("config"), l.text("prompt_tokens"))
 	return b.String()
 }
 
+// text returns a field as text, a number without its fraction; "" if it is missing.
 func (l *logLine) text(name string) string {
 	value, found := l.fields[name]
 	if !found {
@@ -228,4 +239,5 @@
 	return fmt.Sprint(value)
 }
 
+// milliseconds returns a field that holds milliseconds as text, with its unit.
 func (l *logLine) milliseconds(name string) string { return l.text(name) + " ms" }
--- a/cli/explain_test.go
+++ b/cli/explain_test.go
@@ -18,6 +18,7 @@
 {"level":"info","time":"2026-04-12T21:25:27.6Z","event":"placed","node":"g1","request":"q2"}
 `
 
+// explain runs the explain command on a log and returns its exit code and output.
 func explain(t *testing.T, request, text string) (code int, out, err string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -35,9 +36,9 @@
 	is.Equal(code, exitOK)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	is.Equal(len(lines), 3)
-	is.True(strings.Contains(lines[0], "placed at i-1 of s, out of 23 by the list at revision 29"))
+	is.True(strings.Contains(lines[0], "placed at i-1 of service s, one of 23 candidates in the list at revision 29"))
 	is.True(strings.Contains(lines[0], "on each of 3 engines"))
-	is.True(strings.Contains(lines[1], "i-1: broken (read answer: EOF); then: fail"))
+	is.True(strings.Contains(lines[1], "attempt at i-1 failed: broken (read answer: EOF); next: fail"))
 	is.True(strings.Contains(lines[2], "endpoint_failed (4003), HTTP 502; ran: unknown"))
 }
 
@@ -45,7 +46,7 @@
 	is := is.New(t)
 	code, _, err := explain(t, "nobody", sampleLog)
 	is.Equal(code, exitFailed)
-	is.True(strings.Contains(err, `no line of request "nobody"`))
+	is.True(strings.Contains(err, `no lines for request "nobody"`))
 	code, _, err = explain(t, "q1", "hello\n")
 	is.Equal(code, exitFailed)
 	is.True(strings.Contains(err, "no log lines"))
@@ -54,7 +55,7 @@
 	is.Equal(run([]string{"explain"}, terminal{out: &o, err: &e}), exitUsage)
 }
 
-// Unknown fields at the top of a catalogue file are refused, as in records.
+// Unknown fields at the top level of a catalogue file are errors, as they are in records.
 func TestUnknownFieldInCatalogueFileIsRejected(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"citara", "keelung"} {
@@ -93,7 +94,8 @@
 {"level":"info","time":"2026-04-12T21:25:29Z","event":"request_ended","node":"g1","code":3004,"took_ms":1,"route":"short","endpoint":"","prompt_tokens":5000,"ran":"no","request":"q2"}
 `
 
-// Each refusal of a prompt is put down to what the log says of it, by the prompt's size.
+// Each refusal is attributed to the reason that the log gives, and counted by the length of
+// the prompt.
 func TestLossesAreReportedByPromptSize(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
--- a/cli/gateway.go
+++ b/cli/gateway.go
@@ -12,12 +12,13 @@
 	"aspenyard.example/settings"
 )
 
-// roleGateway is the role's name in logs.
+// roleGateway is a gateway's role in its log lines.
 const roleGateway = "gateway"
 
-// logCloseTimeout bounds the wait for the last lines of the log.
+// logCloseTimeout bounds the time for writing the last log lines at exit.
 const logCloseTimeout = 200 * time.Millisecond
 
+// loadGateway reads the settings file. The gateway calls it again for a reload.
 func (c *nodeCommand) loadGateway() (settings.Gateway, error) {
 	var s settings.Gateway
 	err := settings.Load(c.Settings, &s)
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -13,9 +13,9 @@
 )
 
 type reportLosses struct {
-	Out    string   `arg:"--out,required" placeholder:"DIR" help:"where the page and its plot are written"`
-	Name   string   `arg:"--name" default:"losses" help:"name of the page, without ending"`
-	Played string   `arg:"--played" placeholder:"FILE" help:"the users' report of the same played day"`
+	Out    string   `arg:"--out,required" placeholder:"DIR" help:"directory for the page and its plot"`
+	Name   string   `arg:"--name" default:"losses" help:"name of the page, without extension"`
+	Played string   `arg:"--played" placeholder:"FILE" help:"the users' report on the same played day"`
 	Files  []string `arg:"positional,required" placeholder:"LOG" help:"logs of all gateways, JSON lines; - for standard input"`
 }
 
@@ -40,7 +40,7 @@
 	return exitOK
 }
 
-// readPlayed reads the users' report; nil where none is named.
+// readPlayed reads the users' report on the played day; nil if no file is given.
 func (c *reportLosses) readPlayed() (*days.DayReport, error) {
 	if c.Played == "" {
 		return nil, nil
@@ -52,15 +52,18 @@
 	return journal.DecodeReport(data)
 }
 
-// requestTrace is what the log tells of a request before its end.
+// requestTrace collects what the log says of a request before it ended.
 type requestTrace struct {
-	// placed is the last plan.
-	placed                        *logLine
+	// placed is the last event of the request's placement; nil if it was not placed.
+	placed *logLine
+	// queueTime is the time that the request waited in the queue, expectedFirstToken the
+	// time to first token that was expected on arrival.
 	queueTime, expectedFirstToken time.Duration
-	refusal                       losses.RefusalReason
+	// refusal is the last reason that was logged for refusing the request.
+	refusal losses.RefusalReason
 }
 
-// add takes in a line of the request.
+// add adds a log line of the request.
 func (c *requestTrace) add(l *logLine) {
 	switch l.Event {
 	case "placed":
@@ -80,8 +83,8 @@
 	}
 }
 
-// lossRecords sorts log lines into requests, the parts that they gave to endpoints, and
-// starts of processes.
+// lossRecords extracts from log lines the requests, the prompt parts that endpoints were
+// given to prefill, and the starts of processes.
 func lossRecords(lines []logLine) *losses.Records {
 	records := &losses.Records{}
 	traces := map[string]*requestTrace{}
@@ -108,9 +111,11 @@
 	return records
 }
 
-// requestKey names one request at one gateway: a caller that comes back may use its ID again.
+// requestKey identifies a request at one gateway. The request ID alone does not: a caller
+// that retries may use it again at another gateway.
 func (l *logLine) requestKey() string { return l.Node + " " + l.Request }
 
+// lossRequest returns the record of a request from its last log line and its trace.
 func lossRequest(l *logLine, trace *requestTrace) losses.Request {
 	code := result.Code(l.number("code"))
 	arrivedAt := l.Time.Add(-l.duration("took_ms"))
@@ -128,7 +133,8 @@
 	return request
 }
 
-// excludedFromLosses tells whether a caller had no claim to an answer, or took none.
+// excludedFromLosses tells whether a request does not count because the caller had no claim
+// to a response, as its key or request was not valid, or because it cancelled the request.
 func excludedFromLosses(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
@@ -137,7 +143,8 @@
 	return false
 }
 
-// parseLate reads a log's word; plain answers have one way of being parseLate.
+// parseLate returns the losses.Lateness of the log field "late". A plain response can be late in
+// one way only, which counts as a late first token.
 func parseLate(value string) losses.Lateness {
 	switch value {
 	case "answer", "first":
@@ -150,8 +157,8 @@
 	return losses.OnTime
 }
 
-// prefillParts are the parts of a prompt, from when they were sent until its first token came
-// or, where none did, its end.
+// prefillParts returns the parts of a request's prompt. They last from their placement until
+// the first token or, without one, until the request's end.
 func prefillParts(placed *logLine, request *losses.Request) []losses.PrefillPart {
 	firstTokenAt := request.EndedAt
 	if request.TimeToFirstEvent > 0 {
--- a/cli/node.go
+++ b/cli/node.go
@@ -8,6 +8,7 @@
 	"aspenyard.example/settings"
 )
 
+// runEntry runs an entry until it is told to stop.
 func (c *nodeCommand) runEntry(t terminal) int {
 	var s settings.Entry
 	if err := settings.Load(c.Settings, &s); err != nil {
@@ -26,6 +27,7 @@
 	return exitOK
 }
 
+// runAgent runs an agent until it is told to stop.
 func (c *nodeCommand) runAgent(t terminal) int {
 	var s settings.Agent
 	if err := settings.Load(c.Settings, &s); err != nil {
--- a/cli/operators.go
+++ b/cli/operators.go
@@ -17,7 +17,8 @@
 	"aspenyard.example/result"
 )
 
-// operatorAccess is how an operator's command reaches an entry.
+// operatorAccess holds the address and the key with which an operator's command calls an
+// entry.
 type operatorAccess struct {
 	Entry string `arg:"--entry,required" placeholder:"IP:PORT" help:"operators' address of any entry"`
 	Key   string `arg:"--key,env:ASPENYARD_OPERATOR_KEY,required" placeholder:"KEY" help:"operator's key"`
@@ -25,28 +26,28 @@
 
 type catalogueGet struct {
 	Type string `arg:"positional,required" help:"work, account, operator, site or endpoint"`
-	ID   string `arg:"positional" help:"id of the record; all of the type if left out"`
+	ID   string `arg:"positional" help:"ID of the record; without it, all records of the type"`
 	operatorAccess
 }
 
 type cataloguePut struct {
-	File   string        `arg:"positional,required" help:"a record, or a file with several under \"records\""`
+	File   string        `arg:"positional,required" help:"file with one record, or with several under \"records\""`
 	Expect uint64        `arg:"--expect" placeholder:"REVISION" help:"revision that the edit is based on; 0 for a new record"`
-	Wait   time.Duration `arg:"--wait" placeholder:"DURATION" help:"wait until the edit is in force everywhere known"`
+	Wait   time.Duration `arg:"--wait" placeholder:"DURATION" help:"wait until the edit is in force on all known nodes"`
 	operatorAccess
 }
 
 type catalogueDelete struct {
 	Type   string        `arg:"positional,required" help:"work, account, operator, site or endpoint"`
-	ID     string        `arg:"positional,required" help:"id of the record"`
-	Expect uint64        `arg:"--expect,required" placeholder:"REVISION" help:"revision that is to be deleted"`
-	Wait   time.Duration `arg:"--wait" placeholder:"DURATION" help:"wait until the edit is in force everywhere known"`
+	ID     string        `arg:"positional,required" help:"ID of the record"`
+	Expect uint64        `arg:"--expect,required" placeholder:"REVISION" help:"revision of the record that is to be deleted"`
+	Wait   time.Duration `arg:"--wait" placeholder:"DURATION" help:"wait until the edit is in force on all known nodes"`
 	operatorAccess
 }
 
 type catalogueHistory struct {
 	Type string `arg:"positional,required" help:"work, account, operator, site or endpoint"`
-	ID   string `arg:"positional,required" help:"id of the record"`
+	ID   string `arg:"positional,required" help:"ID of the record"`
 	operatorAccess
 }
 
@@ -54,7 +55,7 @@
 	Get     *catalogueGet     `arg:"subcommand:get" help:"print records"`
 	Put     *cataloguePut     `arg:"subcommand:put" help:"create or replace records"`
 	Delete  *catalogueDelete  `arg:"subcommand:delete" help:"remove a record"`
-	History *catalogueHistory `arg:"subcommand:history" help:"print a record's former values"`
+	History *catalogueHistory `arg:"subcommand:history" help:"print the last values of a record"`
 }
 
 type statusCommand struct {
@@ -77,12 +78,13 @@
 	case c.History != nil:
 		return c.History.show(t, "/v1/catalogue/"+c.History.Type+"/"+c.History.ID+"/history")
 	}
-	return t.failf("catalogue: one of get, put, delete, history")
+	return t.failf("catalogue: missing subcommand: get, put, delete or history")
 }
 
 func (c *statusCommand) run(t terminal) int { return c.show(t, "/v1/status") }
 
-// call asks the entry; the status is 0 when it could not be reached.
+// call sends a request to the entry and returns the HTTP status and the body. The status
+// is 0 if the entry could not be reached.
 func (a *operatorAccess) call(method, path string, body []byte, expect uint64) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+a.Entry+path, bytes.NewReader(body))
 	if err != nil {
@@ -100,6 +102,7 @@
 	return response.StatusCode, data, errors.WithStack(err)
 }
 
+// show prints the response to a GET request as indented JSON.
 func (a *operatorAccess) show(t terminal, path string) int {
 	status, data, err := a.call(http.MethodGet, path, nil, 0)
 	if err != nil {
@@ -132,7 +135,8 @@
 	return c.edit(t, http.MethodPut, string(record.Type), record.ID, data, c.Expect, c.Wait)
 }
 
-// putAll writes each record of a file; new records only.
+// putAll writes the records of a file one by one and stops at the first failure. All of them
+// are written with the same expected revision, which is 0 for new records.
 func (c *cataloguePut) putAll(t terminal, data []byte) int {
 	records, err := decodeRecords(data)
 	if err != nil {
@@ -150,6 +154,7 @@
 	return exitOK
 }
 
+// editReply is the body of the response to an edit.
 type editReply struct {
 	Record *catalogue.Record `json:"record"`
 	Error  *struct {
@@ -159,7 +164,7 @@
 	} `json:"error"`
 }
 
-// edit sends one edit and prints its revision, or the conflict with the current
+// edit sends an edit and prints the record's new revision or, after a conflict, its current
 // value.
 func (a *operatorAccess) edit(t terminal, method, kind, id string, body []byte, expect uint64, wait time.Duration) int {
 	path := "/v1/catalogue/" + kind + "/" + id
@@ -169,7 +174,7 @@
 	}
 	var reply editReply
 	if err := json.Unmarshal(data, &reply); err != nil {
-		return t.failf("unexpected answer: %s", data)
+		return t.failf("unexpected response from the entry: %s", data)
 	}
 	switch {
 	case status == http.StatusConflict:
@@ -186,9 +191,11 @@
 	return exitOK
 }
 
+// spreadPollInterval is the time between two queries for the nodes that lack an edit.
 const spreadPollInterval = 200 * time.Millisecond
 
-// awaitSpread waits until every known node has the revision, and names those that lag.
+// awaitSpread waits until the revision is in force on all known nodes. If wait passes
+// before, it prints the nodes that lag behind and fails.
 func (a *operatorAccess) awaitSpread(t terminal, path string, revision uint64, wait time.Duration) int {
 	deadline := time.Now().Add(wait)
 	for {
@@ -204,6 +211,8 @@
 	}
 }
 
+// laggingNodes returns the names of the nodes where the revision is not in force yet, and
+// the number of all known nodes.
 func (a *operatorAccess) laggingNodes(path string, revision uint64) (names []string, total int, err error) {
 	_, data, err := a.call(http.MethodGet, fmt.Sprintf("%s/spread?revision=%d", path, revision), nil, 0)
 	if err != nil {
--- a/cli/report.go
+++ b/cli/report.go
@@ -19,21 +19,21 @@
 type reportBurn struct {
 	JSON     bool     `arg:"--json" help:"print JSON"`
 	HTML     string   `arg:"--html" placeholder:"FILE" help:"write a self-contained page with plots"`
-	Entry    string   `arg:"--entry" placeholder:"IP:PORT" help:"operators' address of any entry, which names the others"`
+	Entry    string   `arg:"--entry" placeholder:"IP:PORT" help:"operators' address of any entry; the other entries are read too"`
 	Key      string   `arg:"--key,env:ASPENYARD_OPERATOR_KEY" placeholder:"KEY" help:"operator's key, with --entry"`
-	Gateways []string `arg:"--gateways" placeholder:"IP:PORT" help:"metrics addresses of gateways, in place of --entry"`
-	Share    float64  `arg:"--share" default:"0.95" help:"part of gateways' requests that is to be on time, 0 to 1"`
+	Gateways []string `arg:"--gateways" placeholder:"IP:PORT" help:"metrics addresses of gateways, instead of --entry"`
+	Share    float64  `arg:"--share" default:"0.95" help:"fraction of the gateways' requests that should be on time, above 0 and below 1"`
 }
 
 type reportDays struct {
-	Out   string   `arg:"--out,required" placeholder:"DIR" help:"where the page and its plots are written"`
+	Out   string   `arg:"--out,required" placeholder:"DIR" help:"directory for the page and its plots"`
 	Files []string `arg:"positional,required" placeholder:"FILE" help:"entries of the journal of played days"`
 }
 
 type reportCommand struct {
-	Burn   *reportBurn   `arg:"subcommand:burn" help:"how fast the kinds of work use up their error budgets"`
-	Days   *reportDays   `arg:"subcommand:days" help:"a page with plots of the scores of played days"`
-	Losses *reportLosses `arg:"subcommand:losses" help:"what the late, refused and failed requests of gateways' logs were lost to, with a plot"`
+	Burn   *reportBurn   `arg:"subcommand:burn" help:"show how fast the kinds of work use up their error budgets"`
+	Days   *reportDays   `arg:"subcommand:days" help:"write a page with plots of the scores of played days"`
+	Losses *reportLosses `arg:"subcommand:losses" help:"write a page, with a plot, on why requests in gateways' logs were late, refused or failed"`
 }
 
 func (c *reportDays) run(t terminal) int {
@@ -67,10 +67,10 @@
 	case c.Losses != nil:
 		return c.Losses.run(t)
 	}
-	return t.failf("report: burn, days or losses")
+	return t.failf("report: missing subcommand: burn, days or losses")
 }
 
-// scrapeTimeout bounds the reading of one node.
+// scrapeTimeout bounds the time for reading the metrics of one node.
 const scrapeTimeout = 3 * time.Second
 
 func (c *reportBurn) run(t terminal) int {
@@ -94,15 +94,15 @@
 	return exitOK
 }
 
-// collect reads the metrics of all nodes.
+// collect validates the flags and reads the metrics of all nodes.
 func (c *reportBurn) collect() (burn.Report, error) {
 	switch {
 	case (c.Entry == "") == (len(c.Gateways) == 0):
-		return burn.Report{}, errors.New("report burn: either --entry or --gateways")
+		return burn.Report{}, errors.New("report burn: give either --entry or --gateways")
 	case c.Entry != "" && c.Key == "":
 		return burn.Report{}, errors.New("report burn: --entry needs --key")
 	case c.Share <= 0 || c.Share >= 1:
-		return burn.Report{}, errors.Errorf("report burn: --share %v is not between 0 and 1", c.Share)
+		return burn.Report{}, errors.Errorf("report burn: --share is %v, must be above 0 and below 1", c.Share)
 	case c.Entry != "":
 		return c.collectEntries(operatorAccess{Entry: c.Entry, Key: c.Key})
 	}
@@ -114,8 +114,8 @@
 	return collector.Report(), nil
 }
 
-// collectEntries asks an entry for the objectives and the other entries, and reads the
-// metrics of them all.
+// collectEntries gets the objectives and the list of entries from one entry, and reads the
+// metrics of all entries.
 func (c *reportBurn) collectEntries(access operatorAccess) (burn.Report, error) {
 	var records struct {
 		Records []*catalogue.Record `json:"records"`
@@ -148,6 +148,7 @@
 	return collector.Report(), nil
 }
 
+// getJSON decodes the JSON response to a GET request.
 func (a *operatorAccess) getJSON(path string, into any) error {
 	status, data, err := a.call(http.MethodGet, path, nil, 0)
 	if err != nil {
@@ -159,6 +160,8 @@
 	return errors.WithStack(json.Unmarshal(data, into))
 }
 
+// scrape adds the metrics of a node to the collector, or records the node as unreachable if
+// they cannot be read.
 func scrape(collector *burn.Collector, name, addr string) {
 	client := &http.Client{Timeout: scrapeTimeout}
 	response, err := client.Get("http://" + addr + "/metrics")
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -16,12 +16,12 @@
 )
 
 type standinCommand struct {
-	Kind     string `arg:"positional,required" placeholder:"platform|engine|service" help:"which stand-in"`
+	Kind     string `arg:"positional,required" placeholder:"platform|engine|service" help:"kind of stand-in"`
 	Settings string `arg:"--settings,required" placeholder:"FILE" help:"settings of the stand-in, JSON"`
 }
 
-// standinSettings is the settings file of any stand-in; fields that its kind
-// does not use must be left out.
+// standinSettings is the settings file of all kinds of stand-in. Fields that the kind does
+// not use should be left out; they have no effect.
 type standinSettings struct {
 	// Standin is "platform", "engine" or "service".
 	Standin string `json:"standin"`
@@ -56,7 +56,7 @@
 	return fieldErrs
 }
 
-// Bounds of a stand-in's numbers: what the users' largest deployments have, with room.
+// Upper bounds of a stand-in's numbers: above what the users' largest deployments have.
 const (
 	maxStandinRate     = 1_000_000
 	maxStandinTokens   = 1_000_000_000
@@ -66,7 +66,7 @@
 	maxStandinLag      = time.Hour
 )
 
-// checkNumbers bounds every number; 0 leaves the stand-in's default.
+// checkNumbers validates the numbers; 0 stands for the stand-in's default.
 func (s *standinSettings) checkNumbers(fieldErrs *settings.FieldErrors) {
 	fieldErrs.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
 	fieldErrs.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
@@ -90,7 +90,7 @@
 		return t.failf("%v", err)
 	}
 	if s.Standin != c.Kind {
-		return t.failf("%s holds the settings of a stand-in %q, not %q", c.Settings, s.Standin, c.Kind)
+		return t.failf("%s: settings are for stand-in %q, not %q", c.Settings, s.Standin, c.Kind)
 	}
 	listener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return exitOK
 }
 
-// handler makes the stand-in; an engine runs until ctx ends.
+// handler starts the stand-in and returns its HTTP handler. An engine runs until ctx ends.
 func (s *standinSettings) handler(ctx context.Context) http.Handler {
 	switch s.Standin {
 	case "platform":
