--- a/mutation/cmd/aspenyard-mutate/main.go
+++ b/mutation/cmd/aspenyard-mutate/main.go
@@ -1,5 +1,5 @@
-// Command aspenyard-mutate takes the mechanisms of the list out, one at a time, and sees that
-// their tests fail.
+// Command aspenyard-mutate runs the mutation tests: it disables the listed mechanisms one at
+// a time and fails unless the test of each of them fails.
 package main
 
 import (
@@ -16,8 +16,8 @@
 )
 
 type arguments struct {
-	Only []string `arg:"--only" placeholder:"NAME" help:"only these mutations"`
-	Root string   `arg:"--root" default:"." help:"the workspace"`
+	Only []string `arg:"--only" placeholder:"NAME" help:"run only these mutations"`
+	Root string   `arg:"--root" default:"." help:"root directory of the workspace"`
 	List bool     `arg:"--list" help:"list the mutations and run none"`
 }
 
@@ -32,6 +32,7 @@
 	}
 }
 
+// run runs the selected mutations and returns an error unless all are killed.
 func run(ctx context.Context, args *arguments) error {
 	list, err := mutation.List()
 	if err != nil {
@@ -62,6 +63,7 @@
 	return nil
 }
 
+// runMutation runs one mutation in a temporary directory.
 func runMutation(ctx context.Context, m *mutation.Mutation, root string) (mutation.Outcome, error) {
 	dir, err := os.MkdirTemp("", "aspenyard-mutate-")
 	if err != nil {
--- a/mutation/mutation.go
+++ b/mutation/mutation.go
@@ -1,6 +1,6 @@
-// Package mutation takes mechanisms out of a copy of the workspace, one at a time, and sees
-// that the test which proves each of them fails. A test that cannot fail proves nothing, and
-// one that could when it was written may no longer do so.
+// Package mutation runs mutation tests: it disables one mechanism at a time in a copy of the
+// workspace and expects the test that covers the mechanism to fail. A test that cannot fail
+// shows nothing, and one that could fail when it was written may no longer be able to.
 package mutation
 
 import (
@@ -18,14 +18,16 @@
 	"github.com/pkg/errors"
 )
 
-// Mutation is one change that takes a mechanism out.
+// Mutation is a change of the source that disables one mechanism.
 type Mutation struct {
+	// Name identifies the mutation.
 	Name string `json:"name"`
-	// File is changed, by its path in the workspace: Old, which stands in it once, becomes New.
+	// File is the path of the changed file in the workspace. Old, which must occur in it
+	// exactly once, is replaced by New.
 	File string `json:"file"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
-	// Package and Test must fail then.
+	// Test, in Package, must fail with the change.
 	Package string `json:"package"`
 	Test    string `json:"test"`
 }
@@ -33,7 +35,7 @@
 //go:embed mutations.json
 var mutationsJSON []byte
 
-// List gives the mutations of this workspace.
+// List returns the mutations of this workspace.
 func List() ([]Mutation, error) {
 	var list []Mutation
 	decoder := json.NewDecoder(bytes.NewReader(mutationsJSON))
@@ -41,33 +43,36 @@
 	return list, errors.WithStack(decoder.Decode(&list))
 }
 
-// Apply gives the changed text of the mutation's file.
+// Apply returns the text of the mutation's file with the change. It is an error unless Old
+// occurs exactly once.
 func (m *Mutation) Apply(text string) (string, error) {
 	if n := strings.Count(text, m.Old); n != 1 {
-		return "", errors.Errorf("%s: %d places in %s, one is needed", m.Name, n, m.File)
+		return "", errors.Errorf("%s: old text occurs %d times in %s, must occur once", m.Name, n, m.File)
 	}
 	return strings.Replace(text, m.Old, m.New, 1), nil
 }
 
-// Outcome is what the test said of a mutation.
+// Outcome is the result of the test under a mutation.
 type Outcome string
 
-// Outcomes.
+// The outcomes of a mutation. Only Killed shows that the test covers the mechanism.
 const (
-	// Killed: the test failed, as it must.
+	// Killed means that the test failed, as expected.
 	Killed Outcome = "killed"
-	// Survived: the test passed without the mechanism.
+	// Survived means that the test passed though the mechanism was disabled.
 	Survived Outcome = "survived"
-	// BuildFailed: the changed code does not build, which shows nothing.
+	// BuildFailed means that the changed code does not build, which says nothing about
+	// the test.
 	BuildFailed Outcome = "does not build"
 )
 
-// testTimeout bounds a test that hangs without its mechanism, which is a failure too.
+// testTimeout bounds a test run. A test that hangs because its mechanism is disabled counts
+// as failed.
 const testTimeout = 90 * time.Second
 
-// Run changes a copy of the workspace at root in a directory of its own and runs the test
-// there, without and with the mutation. Error: it could not be tried, or the test fails
-// without it.
+// Run copies the workspace at root to dir and runs the test there, first without and then
+// with the mutation. It returns an error if the mutation could not be tried or if the test
+// fails without it.
 func (m *Mutation) Run(ctx context.Context, root, dir string) (Outcome, error) {
 	if err := copyWorkspace(root, dir); err != nil {
 		return "", err
@@ -97,9 +102,10 @@
 	return Killed, ctx.Err()
 }
 
-// skippedEntries are entries of the workspace that no test needs.
+// skippedEntries are top-level entries of the workspace that no test needs.
 var skippedEntries = []string{".git", "journal", "bin", "docs"}
 
+// copyWorkspace copies the workspace at root to dir.
 func copyWorkspace(root, dir string) error {
 	entries, err := os.ReadDir(root)
 	if err != nil {
@@ -114,7 +120,7 @@
 		case slices.Contains(skippedEntries, e.Name()):
 		case e.IsDir():
 			if err := os.CopyFS(to, os.DirFS(from)); err != nil {
-				return errors.Wrap(err, "copy the workspace")
+				return errors.Wrap(err, "copy workspace")
 			}
 		default:
 			text, err := os.ReadFile(from)
@@ -129,7 +135,8 @@
 	return nil
 }
 
-// runTest runs the mutation's runTest and gives what it printed.
+// runTest runs the mutation's test and returns its output. A test that does not exist is an
+// error.
 func (m *Mutation) runTest(ctx context.Context, dir string) (string, error) {
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-timeout", testTimeout.String(), "-run", "^"+m.Test+"$", m.Package)
 	cmd.Dir = dir
--- a/mutation/mutation_test.go
+++ b/mutation/mutation_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// The list cannot rot: each place that it changes is there once, and each test exists.
+// Guards against an outdated list: the text that a mutation replaces must occur once in the
+// source, and its test must exist.
 func TestMutationsMatchTheSource(t *testing.T) {
 	is := is.New(t)
 	list, err := List()
@@ -32,6 +33,7 @@
 	}
 }
 
+// hasTest tells whether a test file in dir declares the test function.
 func hasTest(t *testing.T, dir, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
