--- a/burn/window/window.go
+++ b/burn/window/window.go
@@ -34,14 +34,14 @@
 func New() *Counter { return &Counter{series: map[string]*minuteCounts{}} }
 
 // Add counts one event and reports whether it is the first with these labels.
-func (w *Counter) Add(now time.Time, labels string, good bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	series := w.series[labels]
+func (c *Counter) Add(now time.Time, labels string, good bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	series := c.series[labels]
 	isNew := series == nil
 	if isNew {
 		series = &minuteCounts{}
-		w.series[labels] = series
+		c.series[labels] = series
 	}
 	minute := now.Unix() / 60
 	slot := minute % LongMinutes
@@ -62,16 +62,16 @@
 
 // Count returns the number of good or bad events in the last span minutes, including
 // the current one.
-func (w *Counter) Count(now time.Time, labels string, good bool, span int64) float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	series := w.series[labels]
+func (c *Counter) Count(now time.Time, labels string, good bool, span int64) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	series := c.series[labels]
 	if series == nil {
 		return 0
 	}
 	minute, sum := now.Unix()/60, uint64(0)
-	for slot, stamp := range series.minutes {
-		if stamp > minute-span && stamp <= minute {
+	for slot, slotMinute := range series.minutes {
+		if slotMinute > minute-span && slotMinute <= minute {
 			sum += series.counts[slot][outcomeIndex(good)]
 		}
 	}
@@ -80,14 +80,14 @@
 
 // Record counts an event. With the first event of its labels, it adds gauges named name
 // to the set of metrics, one for each outcome and window.
-func (w *Counter) Record(set *metrics.Set, name, labels string, good bool) {
-	if !w.Add(time.Now(), labels, good) {
+func (c *Counter) Record(set *metrics.Set, name, labels string, good bool) {
+	if !c.Add(time.Now(), labels, good) {
 		return
 	}
 	for _, outcome := range []string{"good", "bad"} {
 		for _, span := range []int64{ShortMinutes, LongMinutes} {
 			set.NewGauge(fmt.Sprintf(`%s{%s,outcome=%q,window="%dm"}`, name, labels, outcome, span), func() float64 {
-				return w.Count(time.Now(), labels, outcome == "good", span)
+				return c.Count(time.Now(), labels, outcome == "good", span)
 			})
 		}
 	}
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -174,21 +174,21 @@
 func NewReplica() *Replica { return &Replica{view: &View{}} }
 
 // View returns the current state.
-func (c *Replica) View() *View { return c.view }
+func (r *Replica) View() *View { return r.view }
 
 // Apply merges a change and reports whether it was newer than the replica's page.
 // Of a newer change, records that are not newer than the replica's own are skipped.
 //
 // The change must hold all records that are newer than some revision that the
 // replica has had. The response to a pull with the replica's own revisions does.
-func (c *Replica) Apply(change Change) bool {
+func (r *Replica) Apply(change Change) bool {
 	if change.Page < 0 || change.Page >= PageCount {
 		return false
 	}
-	current := c.view.pages[change.Page]
+	current := r.view.pages[change.Page]
 	if change.Revision <= current.Revision {
 		if change.Revision < current.Revision {
-			c.StaleChanges++
+			r.StaleChanges++
 		}
 		return false
 	}
@@ -201,20 +201,20 @@
 			next.Records[record.Key()] = record
 		}
 	}
-	view := *c.view
+	view := *r.view
 	view.pages[change.Page] = next
-	c.view = &view
+	r.view = &view
 	return true
 }
 
 // ApplyPage merges a whole page that was read from the store and reports whether it
 // was newer than the replica's.
-func (c *Replica) ApplyPage(number int, page Page) bool {
+func (r *Replica) ApplyPage(number int, page Page) bool {
 	change := Change{Page: number, Revision: page.Revision}
 	for _, record := range page.Records {
 		change.Records = append(change.Records, record)
 	}
-	return c.Apply(change)
+	return r.Apply(change)
 }
 
 // SiteOf returns the site that a data centre belongs to, or nil.
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -64,21 +64,21 @@
 }
 
 // add adds a log line of the request.
-func (c *requestTrace) add(l *logLine) {
+func (t *requestTrace) add(l *logLine) {
 	switch l.Event {
 	case "placed":
-		if c.placed == nil || c.placed.Time.Before(l.Time) {
-			c.placed = l
+		if t.placed == nil || t.placed.Time.Before(l.Time) {
+			t.placed = l
 		}
 	case "queue_left":
-		c.queueTime, c.expectedFirstToken = l.duration("waited_ms"), l.duration("expected_ms")
+		t.queueTime, t.expectedFirstToken = l.duration("waited_ms"), l.duration("expected_ms")
 	case "queue_refused":
-		c.expectedFirstToken, c.refusal = l.duration("expected_ms"), losses.RefusedTooLate
+		t.expectedFirstToken, t.refusal = l.duration("expected_ms"), losses.RefusedTooLate
 	case "capacity_refused":
-		c.refusal = losses.RefusedLongParts
+		t.refusal = losses.RefusedLongParts
 	case "memory_reserved":
 		if l.number("tokens") < l.number("needed") {
-			c.refusal = losses.RefusedMemory
+			t.refusal = losses.RefusedMemory
 		}
 	}
 }
