--- a/cli/bench.go
+++ b/cli/bench.go
@@ -110,23 +110,23 @@
 }
 
 func (c *benchPath) run(t terminal) int {
-	result, err := bench.Path(context.Background(), c.Pairs, c.Rate)
+	viaAgent, err := bench.Path(context.Background(), c.Pairs, c.Rate)
 	if err != nil {
 		return t.failf("%v", err)
 	}
-	direct, err := bench.GatewayPath(context.Background(), c.Pairs)
+	viaGateway, err := bench.GatewayPath(context.Background(), c.Pairs)
 	if err != nil {
 		return t.failf("%v", err)
 	}
 	if c.JSON {
-		return t.json(map[string]any{"entry_and_agent": result, "gateway": direct})
+		return t.json(map[string]any{"entry_and_agent": viaAgent, "gateway": viaGateway})
 	}
 	fmt.Fprintf(t.out, "entry and agent, %d pairs: first token p50 %d µs direct, %d µs through them; added p50 %d µs, p95 %d µs\n",
-		result.Pairs, result.DirectP50, result.ThroughP50, result.AddedP50, result.AddedP95)
+		viaAgent.Pairs, viaAgent.DirectP50, viaAgent.ThroughP50, viaAgent.AddedP50, viaAgent.AddedP95)
 	fmt.Fprintf(t.out, "gateway, %d pairs: first event p50 %d µs direct, %d µs through it; added p50 %d µs, p95 %d µs\n",
-		direct.Pairs, direct.DirectP50, direct.ThroughP50, direct.AddedP50, direct.AddedP95)
+		viaGateway.Pairs, viaGateway.DirectP50, viaGateway.ThroughP50, viaGateway.AddedP50, viaGateway.AddedP95)
 	fmt.Fprintf(t.out, "throughput on one processor, including the stand-in engine and the caller: %.0f requests/s of 8 tokens, %.0f tokens/s\n",
-		result.RequestsPerSecond, result.TokensPerSecond)
+		viaAgent.RequestsPerSecond, viaAgent.TokensPerSecond)
 	return exitOK
 }
 
