--- a/cli/gateway.go
+++ b/cli/gateway.go
@@ -12,12 +12,13 @@
 	"aspenyard.example/settings"
 )
 
-// roleGateway is the role's name in logs.
+// roleGateway is a gateway's role in its log lines.
 const roleGateway = "gateway"
 
-// logCloseTimeout bounds the wait for the last lines of the log.
+// logCloseTimeout bounds the time for writing the last log lines at exit.
 const logCloseTimeout = 200 * time.Millisecond
 
+// loadGateway reads the settings file. The gateway calls it again for a reload.
 func (c *nodeCommand) loadGateway() (settings.Gateway, error) {
 	var s settings.Gateway
 	err := settings.Load(c.Settings, &s)
@@ -39,9 +40,9 @@
 		writer.Close(timeout)
 	}()
 	store := platform.NewStore(s.Store, gateway.Dialer(s.StoreTimeout.D()))
-	orders := platform.NewEndpointClient(gateway.Dialer(s.StoreTimeout.D()))
+	endpointClient := platform.NewEndpointClient(gateway.Dialer(s.StoreTimeout.D()))
 	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.HeaderCodec{}, Source: store, Registry: store,
-		Reserver: orders, SlowdownReader: orders, Log: eventlog.New(writer, s.Name, roleGateway), LogWriter: writer})
+		Reserver: endpointClient, SlowdownReader: endpointClient, Log: eventlog.New(writer, s.Name, roleGateway), LogWriter: writer})
 	if err := g.Serve(ctx, ch, c.loadGateway); err != nil {
 		return t.failf("%v", err)
 	}
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -13,9 +13,9 @@
 )
 
 type reportLosses struct {
-	Out    string   `arg:"--out,required" placeholder:"DIR" help:"where the page and its plot are written"`
-	Name   string   `arg:"--name" default:"losses" help:"name of the page, without ending"`
-	Played string   `arg:"--played" placeholder:"FILE" help:"the users' report of the same played day"`
+	Out    string   `arg:"--out,required" placeholder:"DIR" help:"directory for the page and its plot"`
+	Name   string   `arg:"--name" default:"losses" help:"name of the page, without extension"`
+	Played string   `arg:"--played" placeholder:"FILE" help:"the users' report on the same played day"`
 	Files  []string `arg:"positional,required" placeholder:"LOG" help:"logs of all gateways, JSON lines; - for standard input"`
 }
 
@@ -40,7 +40,7 @@
 	return exitOK
 }
 
-// readPlayed reads the users' report; nil where none is named.
+// readPlayed reads the users' report on the played day; nil if no file is given.
 func (c *reportLosses) readPlayed() (*days.DayReport, error) {
 	if c.Played == "" {
 		return nil, nil
@@ -52,84 +52,90 @@
 	return journal.DecodeReport(data)
 }
 
-// requestTrace is what the log tells of a request before its end.
+// requestTrace collects what the log says of a request before it ended.
 type requestTrace struct {
-	// placed is the last plan.
-	placed           *logLine
-	waited, expected time.Duration
-	refusal          losses.RefusalReason
+	// placed is the last event of the request's placement; nil if it was not placed.
+	placed *logLine
+	// queueTime is the time that the request waited in the queue, expectedFirstToken the
+	// time to first token that was expected on arrival.
+	queueTime, expectedFirstToken time.Duration
+	// refusal is the last reason that was logged for refusing the request.
+	refusal losses.RefusalReason
 }
 
-// add takes in a line of the request.
-func (c *requestTrace) add(l *logLine) {
+// add adds a log line of the request.
+func (t *requestTrace) add(l *logLine) {
 	switch l.Event {
 	case "placed":
-		if c.placed == nil || c.placed.Time.Before(l.Time) {
-			c.placed = l
+		if t.placed == nil || t.placed.Time.Before(l.Time) {
+			t.placed = l
 		}
 	case "queue_left":
-		c.waited, c.expected = l.duration("waited_ms"), l.duration("expected_ms")
+		t.queueTime, t.expectedFirstToken = l.duration("waited_ms"), l.duration("expected_ms")
 	case "queue_refused":
-		c.expected, c.refusal = l.duration("expected_ms"), losses.RefusedTooLate
+		t.expectedFirstToken, t.refusal = l.duration("expected_ms"), losses.RefusedTooLate
 	case "capacity_refused":
-		c.refusal = losses.RefusedLongParts
+		t.refusal = losses.RefusedLongParts
 	case "memory_reserved":
 		if l.number("tokens") < l.number("needed") {
-			c.refusal = losses.RefusedMemory
+			t.refusal = losses.RefusedMemory
 		}
 	}
 }
 
-// lossRecords sorts log lines into requests, the parts that they gave to endpoints, and
-// starts of processes.
+// lossRecords extracts from log lines the requests, the prompt parts that endpoints were
+// given to prefill, and the starts of processes.
 func lossRecords(lines []logLine) *losses.Records {
 	records := &losses.Records{}
-	courses := map[string]*requestTrace{}
+	traces := map[string]*requestTrace{}
 	for i := range lines {
 		l := &lines[i]
 		if l.Event == "start" {
 			records.ProcessStarts = append(records.ProcessStarts, l.Time)
 		}
-		if courses[l.requestKey()] == nil {
-			courses[l.requestKey()] = &requestTrace{}
+		if traces[l.requestKey()] == nil {
+			traces[l.requestKey()] = &requestTrace{}
 		}
-		courses[l.requestKey()].add(l)
+		traces[l.requestKey()].add(l)
 	}
 	for i := range lines {
 		if l := &lines[i]; l.Event == "request_ended" {
-			course := courses[l.requestKey()]
-			request := lossRequest(l, course)
+			trace := traces[l.requestKey()]
+			request := lossRequest(l, trace)
 			records.Requests = append(records.Requests, request)
-			if course.placed != nil {
-				records.Parts = append(records.Parts, lossParts(course.placed, &request)...)
+			if trace.placed != nil {
+				records.Parts = append(records.Parts, prefillParts(trace.placed, &request)...)
 			}
 		}
 	}
 	return records
 }
 
-// requestKey names one request at one gateway: a caller that comes back may use its ID again.
+// requestKey identifies a request at one gateway. The request ID alone does not: a caller
+// that retries may use it again at another gateway.
 func (l *logLine) requestKey() string { return l.Node + " " + l.Request }
 
-func lossRequest(l *logLine, course *requestTrace) losses.Request {
+// lossRequest returns the record of a request from its last log line and its trace.
+func lossRequest(l *logLine, trace *requestTrace) losses.Request {
 	code := result.Code(l.number("code"))
-	began := l.Time.Add(-l.duration("took_ms"))
+	arrivedAt := l.Time.Add(-l.duration("took_ms"))
 	status := result.Lookup(code).HTTPStatus
-	q := losses.Request{
-		ID: l.Request, Node: l.Node, Route: l.text("route"), ArrivedAt: began, EndedAt: l.Time, PromptTokens: int(l.number("prompt_tokens")),
-		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, Excluded: answerNotOwed(code), Late: parseLate(l.text("late")),
-		TimeToFirstEvent: l.duration("first_ms"), Endpoint: l.text("endpoint"), QueueTime: course.waited, ExpectedFirstToken: course.expected, Resumed: l.text("resumed") == "true",
+	request := losses.Request{
+		ID: l.Request, Node: l.Node, Route: l.text("route"), ArrivedAt: arrivedAt, EndedAt: l.Time, PromptTokens: int(l.number("prompt_tokens")),
+		Code: code, Refused: status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests, Excluded: excludedFromLosses(code), Late: parseLate(l.text("late")),
+		TimeToFirstEvent: l.duration("first_ms"), Endpoint: l.text("endpoint"), QueueTime: trace.queueTime, ExpectedFirstToken: trace.expectedFirstToken, Resumed: l.text("resumed") == "true",
 	}
-	if q.Refused {
-		q.RefusalReason = course.refusal
+	if request.Refused {
+		request.RefusalReason = trace.refusal
 	}
-	q.PauseEnd = began.Add(l.duration("gap_end_ms"))
-	q.PauseStart = q.PauseEnd.Add(-l.duration("gap_ms"))
-	return q
+	request.PauseEnd = arrivedAt.Add(l.duration("gap_end_ms"))
+	request.PauseStart = request.PauseEnd.Add(-l.duration("gap_ms"))
+	return request
 }
 
-// answerNotOwed tells whether a caller had no claim to an answer, or took none.
-func answerNotOwed(code result.Code) bool {
+// excludedFromLosses tells whether a request does not count because the caller had no claim
+// to a response, as its key or request was not valid, or because it cancelled the request.
+func excludedFromLosses(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
 		return true
@@ -137,9 +143,10 @@
 	return false
 }
 
-// parseLate reads a log's word; plain answers have one way of being parseLate.
-func parseLate(word string) losses.Lateness {
-	switch word {
+// parseLate returns the losses.Lateness of the log field "late". A plain response can be late in
+// one way only, which counts as a late first token.
+func parseLate(value string) losses.Lateness {
+	switch value {
 	case "answer", "first":
 		return losses.LateFirst
 	case "pause":
@@ -150,16 +157,16 @@
 	return losses.OnTime
 }
 
-// lossParts are the parts of a prompt, from when they were sent until its first token came
-// or, where none did, its end.
-func lossParts(sent *logLine, q *losses.Request) []losses.PrefillPart {
-	to := q.EndedAt
-	if q.TimeToFirstEvent > 0 {
-		to = q.ArrivedAt.Add(q.TimeToFirstEvent)
+// prefillParts returns the parts of a request's prompt. They last from their placement until
+// the first token or, without one, until the request's end.
+func prefillParts(placed *logLine, request *losses.Request) []losses.PrefillPart {
+	firstTokenAt := request.EndedAt
+	if request.TimeToFirstEvent > 0 {
+		firstTokenAt = request.ArrivedAt.Add(request.TimeToFirstEvent)
 	}
 	var parts []losses.PrefillPart
-	for _, endpoint := range sent.endpoints() {
-		parts = append(parts, losses.PrefillPart{RequestID: q.ID, Endpoint: endpoint, SentAt: sent.Time, FirstTokenAt: to, PrefillTime: sent.duration("prefill_ms"), Route: q.Route})
+	for _, endpoint := range placed.endpoints() {
+		parts = append(parts, losses.PrefillPart{RequestID: request.ID, Endpoint: endpoint, SentAt: placed.Time, FirstTokenAt: firstTokenAt, PrefillTime: placed.duration("prefill_ms"), Route: request.Route})
 	}
 	return parts
 }
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -16,12 +16,12 @@
 )
 
 type standinCommand struct {
-	Kind     string `arg:"positional,required" placeholder:"platform|engine|service" help:"which stand-in"`
+	Kind     string `arg:"positional,required" placeholder:"platform|engine|service" help:"kind of stand-in"`
 	Settings string `arg:"--settings,required" placeholder:"FILE" help:"settings of the stand-in, JSON"`
 }
 
-// standinSettings is the settings file of any stand-in; fields that its kind
-// does not use must be left out.
+// standinSettings is the settings file of all kinds of stand-in. Fields that the kind does
+// not use should be left out; they have no effect.
 type standinSettings struct {
 	// Standin is "platform", "engine" or "service".
 	Standin string `json:"standin"`
@@ -47,16 +47,16 @@
 
 // Check implements settings.Checker.
 func (s *standinSettings) Check() settings.FieldErrors {
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	if !slices.Contains([]string{"platform", "engine", "service"}, s.Standin) {
-		faults.Add("standin", s.Standin, "platform, engine or service")
+		fieldErrs.Add("standin", s.Standin, "platform, engine or service")
 	}
-	faults.CheckAddr("listen", s.Listen)
-	s.checkNumbers(&faults)
-	return faults
+	fieldErrs.CheckAddr("listen", s.Listen)
+	s.checkNumbers(&fieldErrs)
+	return fieldErrs
 }
 
-// Bounds of a stand-in's numbers: what the users' largest deployments have, with room.
+// Upper bounds of a stand-in's numbers: above what the users' largest deployments have.
 const (
 	maxStandinRate     = 1_000_000
 	maxStandinTokens   = 1_000_000_000
@@ -66,22 +66,22 @@
 	maxStandinLag      = time.Hour
 )
 
-// checkNumbers bounds every number; 0 leaves the stand-in's default.
-func (s *standinSettings) checkNumbers(faults *settings.FieldErrors) {
-	faults.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
-	faults.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
-	faults.CheckRange("list_lag", s.ListLag.D(), 0, maxStandinLag)
-	faults.CheckInt("memory_tokens", int64(s.MemoryTokens), 0, maxStandinTokens)
-	faults.CheckInt("max_running", int64(s.MaxRunning), 0, maxStandinRequests)
-	faults.CheckInt("chunk_tokens", int64(s.ChunkTokens), 0, maxStandinTokens)
-	faults.CheckInt("floor_watts", int64(s.FloorWatts), 0, maxStandinWatts)
-	faults.CheckInt("max_watts", int64(s.MaxWatts), 0, maxStandinWatts)
+// checkNumbers validates the numbers; 0 stands for the stand-in's default.
+func (s *standinSettings) checkNumbers(fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt("reads_per_second", int64(s.ReadsPerSecond), 0, maxStandinRate)
+	fieldErrs.CheckInt("writes_per_second", int64(s.WritesPerSecond), 0, maxStandinRate)
+	fieldErrs.CheckRange("list_lag", s.ListLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckInt("memory_tokens", int64(s.MemoryTokens), 0, maxStandinTokens)
+	fieldErrs.CheckInt("max_running", int64(s.MaxRunning), 0, maxStandinRequests)
+	fieldErrs.CheckInt("chunk_tokens", int64(s.ChunkTokens), 0, maxStandinTokens)
+	fieldErrs.CheckInt("floor_watts", int64(s.FloorWatts), 0, maxStandinWatts)
+	fieldErrs.CheckInt("max_watts", int64(s.MaxWatts), 0, maxStandinWatts)
 	if s.TimeScale < 0 || s.TimeScale > maxStandinScale {
-		faults.Add("time_scale", s.TimeScale, "0 to 1000")
+		fieldErrs.Add("time_scale", s.TimeScale, "0 to 1000")
 	}
-	faults.CheckRange("load_lag", s.LoadLag.D(), 0, maxStandinLag)
-	faults.CheckRange("event_lag", s.EventLag.D(), 0, maxStandinLag)
-	faults.CheckInt("event_gap", int64(s.EventGap), 0, maxStandinRequests)
+	fieldErrs.CheckRange("load_lag", s.LoadLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckRange("event_lag", s.EventLag.D(), 0, maxStandinLag)
+	fieldErrs.CheckInt("event_gap", int64(s.EventGap), 0, maxStandinRequests)
 }
 
 func (c *standinCommand) run(t terminal) int {
@@ -90,7 +90,7 @@
 		return t.failf("%v", err)
 	}
 	if s.Standin != c.Kind {
-		return t.failf("%s holds the settings of a stand-in %q, not %q", c.Settings, s.Standin, c.Kind)
+		return t.failf("%s: settings are for stand-in %q, not %q", c.Settings, s.Standin, c.Kind)
 	}
 	listener, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return exitOK
 }
 
-// handler makes the stand-in; an engine runs until ctx ends.
+// handler starts the stand-in and returns its HTTP handler. An engine runs until ctx ends.
 func (s *standinSettings) handler(ctx context.Context) http.Handler {
 	switch s.Standin {
 	case "platform":
