--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -36,14 +36,14 @@
 	Note         string  `json:"note,omitempty"`
 }
 
-// measureTime is how long each operation is repeated.
-const measureTime = 200 * time.Millisecond
+// measureDuration is how long each operation is repeated.
+const measureDuration = 200 * time.Millisecond
 
-// repeat gives the time of one call of f, in microseconds.
-func repeat(f func()) float64 {
+// microsPerCall gives the time of one call of f, in microseconds.
+func microsPerCall(f func()) float64 {
 	calls := 0
 	start := time.Now()
-	for time.Since(start) < measureTime {
+	for time.Since(start) < measureDuration {
 		f()
 		calls++
 	}
@@ -66,7 +66,7 @@
 func Capacity() ([]Cost, error) {
 	var slopes []Cost
 	for _, measure := range []func() ([]Cost, error){
-		heartbeatSlopes, routingSlopes, catalogueSlopes, powerSlopes, agentSlopes, limiterSlopes, claimSlopes,
+		heartbeatCosts, routingCosts, catalogueCosts, powerCosts, agentCosts, limiterCosts, claimCosts,
 	} {
 		measured, err := measure()
 		if err != nil {
@@ -94,7 +94,7 @@
 // fleetSizes are the endpoints per data centre at which slopes are taken.
 var fleetSizes = []int{100, 400, 1600}
 
-func heartbeatSlopes() ([]Cost, error) {
+func heartbeatCosts() ([]Cost, error) {
 	var slopes []Cost
 	one, err := proto.Marshal(AgentHeartbeat(1, 1))
 	if err != nil {
@@ -116,14 +116,14 @@
 				loop.Receive(now, data)
 			}
 		}
-		encoding := repeat(func() {
+		encoding := microsPerCall(func() {
 			for i := range size {
 				_, _ = proto.Marshal(AgentHeartbeat(i, sequence))
 			}
 		})
-		received := (repeat(round) - encoding) / float64(size)
+		received := (microsPerCall(round) - encoding) / float64(size)
 		kept := heapGrowth(func() any { round(); loop.Step(time.Now()); return loop })
-		tick := repeat(func() {
+		tick := microsPerCall(func() {
 			sequence++
 			data, _ := proto.Marshal(AgentHeartbeat(0, sequence))
 			loop.Receive(time.Now(), data)
@@ -164,7 +164,7 @@
 	return endpoints
 }
 
-func routingSlopes() ([]Cost, error) {
+func routingCosts() ([]Cost, error) {
 	var slopes []Cost
 	for _, size := range fleetSizes {
 		policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
@@ -174,7 +174,7 @@
 		endpoints := benchEndpoints(size)
 		prompts := [][]uint64{routing.PrefixHashes(Prompt(1, 4000), admission.BytesPerToken), routing.PrefixHashes(Prompt(2, 4000), admission.BytesPerToken)}
 		i := 0
-		cost := repeat(func() {
+		cost := microsPerCall(func() {
 			i++
 			policy.Route(time.Now(), &routing.Request{
 				Model: "model-a", PromptTokens: 4000, OutputTokens: 200, Prefix: prompts[i%2], DataCentre: "bogota-1",
@@ -183,7 +183,7 @@
 		slopes = append(slopes, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
 	}
 	prompt := Prompt(3, 100_000)
-	slopes = append(slopes, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: repeat(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
+	slopes = append(slopes, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: microsPerCall(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
 	return slopes, nil
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-func catalogueSlopes() ([]Cost, error) {
+func catalogueCosts() ([]Cost, error) {
 	var slopes []Cost
 	for _, accounts := range []int{480, 4_800, 48_000} {
 		replica := catalogue.NewReplica()
@@ -203,16 +203,16 @@
 		record := accountRecord(7)
 		page := catalogue.PageOf(record.Key())
 		revision := replica.View().Revisions()[page]
-		apply := repeat(func() {
+		apply := microsPerCall(func() {
 			revision++
 			next := *record
 			next.Revision = revision
 			replica.Apply(catalogue.Change{Page: page, Revision: revision, Records: []*catalogue.Record{&next}})
 		})
 		store := newMemoryStore()
-		seedStore(store, replica.View(), page)
-		editing := repeat(func() {
-			current := replicaRecord(store, page, record.Key())
+		copyPage(store, replica.View(), page)
+		editing := microsPerCall(func() {
+			current := recordRevision(store, page, record.Key())
 			_, _ = catalogue.Apply(context.Background(), store, catalogue.Edit{Record: accountRecord(7), Expect: current, ID: fmt.Sprint(rand.Uint64())}, 0)
 		})
 		size := fmt.Sprint(accounts, " accounts")
@@ -226,7 +226,7 @@
 	slopes = append(slopes, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
 	view := catalogue.NewReplica()
 	fillReplica(view, 48_000)
-	slopes = append(slopes, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: repeat(func() { view.View().AccountByKey("account-00007.secret") })})
+	slopes = append(slopes, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: microsPerCall(func() { view.View().AccountByKey("account-00007.secret") })})
 	return slopes, err
 }
 
@@ -243,7 +243,7 @@
 	}
 }
 
-func seedStore(store *memoryStore, view *catalogue.View, number int) {
+func copyPage(store *memoryStore, view *catalogue.View, number int) {
 	page := catalogue.Page{Records: map[string]*catalogue.Record{}}
 	for _, change := range view.ChangesSince(nil) {
 		if change.Page == number {
@@ -257,7 +257,7 @@
 	_ = store.CompareAndSwap(context.Background(), catalogue.PageKey(number), data, 0)
 }
 
-func replicaRecord(store *memoryStore, page int, key string) uint64 {
+func recordRevision(store *memoryStore, page int, key string) uint64 {
 	value, _ := store.Get(context.Background(), catalogue.PageKey(page))
 	decoded, err := catalogue.DecodePage(value.Data)
 	if err != nil || decoded.Records[key] == nil {
@@ -266,7 +266,7 @@
 	return decoded.Records[key].Revision
 }
 
-func powerSlopes() ([]Cost, error) {
+func powerCosts() ([]Cost, error) {
 	var slopes []Cost
 	for _, endpoints := range []int{25, 400, 1_200} {
 		ledger, err := power.DecodeLedger(nil)
@@ -278,7 +278,7 @@
 			reports[i] = power.Report{Endpoint: fmt.Sprintf("worker-%05d", i), Incarnation: 1, FloorWatts: 1000, MaxWatts: 5000, WantWatts: 3000, LimitWatts: 1000}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
-		cost := repeat(func() {
+		cost := microsPerCall(func() {
 			reports[random.IntN(endpoints)].WantWatts = uint64(1000 + random.IntN(4000))
 			if next := power.Plan(ledger, uint64(3000*endpoints), reports); next != nil {
 				ledger = next
@@ -293,11 +293,11 @@
 	return slopes, nil
 }
 
-func agentSlopes() ([]Cost, error) {
+func agentCosts() ([]Cost, error) {
 	table := attempt.NewTable(1, time.Second, time.Hour)
 	queue := admission.NewQueue(admission.Config{MaxRunning: 1 << 20, MemoryTokens: 1 << 30, PrefillRate: 20_000, MaxWait: [3]time.Duration{time.Hour, time.Hour, time.Hour}})
 	now := time.Now()
-	cost := repeat(func() {
+	cost := microsPerCall(func() {
 		r := table.Reserve(now)
 		queue.Offer(now, admission.Job{ID: r.Number, Account: "a", PromptTokens: 1000, OutputTokens: 100, Deadline: now.Add(time.Hour)})
 		table.Accept(now, r)
@@ -324,7 +324,7 @@
 	}, nil
 }
 
-func limiterSlopes() ([]Cost, error) {
+func limiterCosts() ([]Cost, error) {
 	limiter := admission.NewLimiter()
 	limits := admission.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrent: 1 << 30}
 	names := make([]string, 48_000)
@@ -338,7 +338,7 @@
 		return limiter
 	})
 	i := 0
-	cost := repeat(func() {
+	cost := microsPerCall(func() {
 		i++
 		limiter.Admit(time.Now(), names[i%len(names)], limits, 1, 1000)
 		limiter.Done(names[i%len(names)])
@@ -346,7 +346,7 @@
 	return []Cost{{Name: "one request through the limits", Size: "48000 accounts", Microseconds: cost, HeapBytes: kept / len(names), Note: "heap per active account"}}, nil
 }
 
-func claimSlopes() ([]Cost, error) {
+func claimCosts() ([]Cost, error) {
 	claim := &attempt.Claim{
 		Digest: attempt.Digest("excuse-filing", []byte("x")), Attempt: "0123456789abcdef01234567", RequestID: "0123456789abcdef01234567",
 		State: attempt.ClaimDone, Endpoint: "worker-00001", Addr: "10.0.0.1:7400", Reservation: attempt.Reservation{Incarnation: 1_780_000_000_000, Number: 123_456},
--- a/bench/days/days.go
+++ b/bench/days/days.go
@@ -54,8 +54,8 @@
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
-	// pricesPlotted is how many kinds of price are drawn, the dearest.
-	pricesPlotted = 6
+	// maxPlottedPrices is how many kinds of price are drawn, the dearest.
+	maxPlottedPrices = 6
 )
 
 // WritePage writes days.md and its plots, for each site a plot of worth and one of prices.
@@ -86,12 +86,12 @@
 		if err := plotPrices(filepath.Join(dir, site+"-prices.svg"), site, list); err != nil {
 			return err
 		}
-		table(&page, site, list)
+		writeTable(&page, site, list)
 	}
 	return errors.WithStack(os.WriteFile(filepath.Join(dir, "days.md"), []byte(page.String()), 0o644))
 }
 
-func table(page *strings.Builder, site string, list []*Score) {
+func writeTable(page *strings.Builder, site string, list []*Score) {
 	fmt.Fprintf(page, "\n## %s\n\n![worth](%s-worth.svg)\n\n![prices](%s-prices.svg)\n\n", site, site, site)
 	page.WriteString("| # | Commit | Score | Mean worth | Worst day | Worst class | Prices | Processor time | What was tried |\n|---|---|---|---|---|---|---|---|---|\n")
 	for i, s := range list {
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	return draw(path, site+": worth by day", "worth", lines)
+	return savePlot(path, site+": worth by day", "worth", lines)
 }
 
 func plotPrices(path, site string, list []*Score) error {
@@ -158,7 +158,7 @@
 		return strings.Compare(a, b)
 	})
 	lines := map[string]plotter.XYs{}
-	for _, name := range names[:min(len(names), pricesPlotted)] {
+	for _, name := range names[:min(len(names), maxPlottedPrices)] {
 		for i, s := range list {
 			sum := 0.0
 			for _, d := range s.Days {
@@ -167,10 +167,10 @@
 			lines[name] = append(lines[name], plotter.XY{X: float64(i + 1), Y: sum / float64(max(len(s.Days), 1))})
 		}
 	}
-	return draw(path, site+": what is taken off, mean of the days", "part of worth", lines)
+	return savePlot(path, site+": what is taken off, mean of the days", "part of worth", lines)
 }
 
-func draw(path, title, y string, lines map[string]plotter.XYs) error {
+func savePlot(path, title, y string, lines map[string]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "measurement", y
 	p.Legend.Top, p.Legend.Left = true, true
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -116,7 +116,7 @@
 	return []Mechanism{Affinity, Heartbeats, Announcing, Waiting, Refusing}
 }
 
-func (c *Config) has(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
+func (c *Config) enabled(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
 
 // Result is what callers of one kind got.
 type Result struct {
@@ -143,244 +143,246 @@
 func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
 
 const (
-	// heartbeat is the time between two words of an entry to the others.
-	heartbeat = 100 * time.Millisecond
-	// outputTokens bound an answer, for the memory that it needs.
-	outputTokens = 1300
-	// placings is how many endpoints a request is placed on until one has room.
-	placings = 4
-	service  = "m"
-	// shortestWay and longestWay bound how long a message takes.
-	shortestWay, longestWay = time.Millisecond, 4 * time.Millisecond
+	// defaultHeartbeatInterval is the time between two words of an entry to the others.
+	defaultHeartbeatInterval = 100 * time.Millisecond
+	// maxOutputTokens bound an answer, for the memory that it needs.
+	maxOutputTokens = 1300
+	// maxPlacements is how many endpoints a request is placed on until one has room.
+	maxPlacements = 4
+	serviceName   = "m"
+	// minMessageDelay and maxMessageDelay bound how long a message takes.
+	minMessageDelay, maxMessageDelay = time.Millisecond, 4 * time.Millisecond
 )
 
-// world is one play.
-type world struct {
+// simulation is one play.
+type simulation struct {
 	virtual.Clock
-	config  *Config
-	rand    *rand.Rand
-	epoch   time.Time
-	engines map[directory.Incarnation]*engine
-	list    []*directory.EndpointState
-	service *directory.Service
-	entries []*entry
-	results []Result
+	config    *Config
+	rand      *rand.Rand
+	epoch     time.Time
+	engines   map[directory.Incarnation]*engine
+	endpoints []*directory.EndpointState
+	service   *directory.Service
+	entries   []*entry
+	results   []Result
 }
 
 // entry is one entry's view and policy.
 type entry struct {
 	name string
-	// outstanding is what it has sent to each engine, for the baselines.
-	outstanding map[*engine]int
-	ledger      *direct.LoadTracker
-	policy      *direct.Policy
+	// inFlight is what it has sent to each engine, for the baselines.
+	inFlight map[*engine]int
+	tracker  *direct.LoadTracker
+	policy   *direct.Policy
 }
 
 // request is one caller's request.
 type request struct {
-	world  *world
-	entry  *entry
-	kind   *Kind
-	result *Result
-	tokens int
-	began  time.Duration
-	gap    time.Duration
-	charge *direct.RequestLoad
-	engine *engine
-	held   *direct.QueuedPrompt
-	// latest is until when it may be held back, from its arrival.
-	latest time.Duration
+	sim          *simulation
+	entry        *entry
+	kind         *Kind
+	result       *Result
+	promptTokens int
+	arrivedAt    time.Duration
+	longestPause time.Duration
+	load         *direct.RequestLoad
+	engine       *engine
+	queued       *direct.QueuedPrompt
+	// latestStart is until when it may be held back, from its arrival.
+	latestStart time.Duration
 }
 
 // Simulate plays a load and gives what callers of each kind got.
 func Simulate(c *Config) []Result {
-	w := &world{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
-	w.service = &directory.Service{Name: service, Engine: &c.Engine}
+	sim := &simulation{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
+	sim.service = &directory.Service{Name: serviceName, Engine: &c.Engine}
 	for _, k := range c.Kinds {
-		w.results = append(w.results, Result{Kind: k.Name})
-		w.service.AddTargetPause(k.MaxPause)
+		sim.results = append(sim.results, Result{Kind: k.Name})
+		sim.service.AddTargetPause(k.MaxPause)
 	}
-	w.populate()
-	w.RunUntil(math.MaxInt64)
-	return w.results
+	sim.setUp()
+	sim.RunUntil(math.MaxInt64)
+	return sim.results
 }
 
-func (w *world) populate() {
-	for i := range w.config.Engines {
-		listed := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: service, Slots: w.config.Engine.Slots}, Position: i}
-		w.list = append(w.list, listed)
-		w.engines[listed.Incarnation] = &engine{world: w, model: &w.config.Engine, pace: 1}
+func (sim *simulation) setUp() {
+	for i := range sim.config.Engines {
+		listed := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: serviceName, Slots: sim.config.Engine.Slots}, Position: i}
+		sim.endpoints = append(sim.endpoints, listed)
+		sim.engines[listed.Incarnation] = &engine{sim: sim, spec: &sim.config.Engine, slowdown: 1}
 	}
-	for i := range w.config.Entries {
+	for i := range sim.config.Entries {
 		ledger := direct.NewLoadTracker()
-		ledger.SetEntryCount(w.config.Entries)
-		if w.config.has(Affinity) {
-			ledger.SetRank(i, w.config.Entries)
+		ledger.SetEntryCount(sim.config.Entries)
+		if sim.config.enabled(Affinity) {
+			ledger.SetRank(i, sim.config.Entries)
 		}
-		e := &entry{name: fmt.Sprint(i), outstanding: map[*engine]int{}, ledger: ledger, policy: direct.NewPolicy(ledger, rand.New(rand.NewPCG(w.config.Seed, uint64(i+2))))}
-		w.entries = append(w.entries, e)
-		if w.config.has(Heartbeats) {
-			w.AfterFunc(w.heartbeat()*time.Duration(i)/time.Duration(w.config.Entries), func() { w.beat(e) })
+		e := &entry{name: fmt.Sprint(i), inFlight: map[*engine]int{}, tracker: ledger, policy: direct.NewPolicy(ledger, rand.New(rand.NewPCG(sim.config.Seed, uint64(i+2))))}
+		sim.entries = append(sim.entries, e)
+		if sim.config.enabled(Heartbeats) {
+			sim.AfterFunc(sim.heartbeatInterval()*time.Duration(i)/time.Duration(sim.config.Entries), func() { sim.sendHeartbeats(e) })
 		}
 	}
-	for i := range w.config.Kinds {
-		w.AfterFunc(0, func() { w.arrive(i) })
+	for i := range sim.config.Kinds {
+		sim.AfterFunc(0, func() { sim.arrive(i) })
 	}
-	for i := range w.config.Slowdowns {
-		w.slow(&w.config.Slowdowns[i])
+	for i := range sim.config.Slowdowns {
+		sim.scheduleSlowdown(&sim.config.Slowdowns[i])
 	}
 }
 
-// slow makes the last engines slow, which are those for long prompts, and every other one.
-func (w *world) slow(s *Slowdown) {
+// scheduleSlowdown makes the last engines scheduleSlowdown, which are those for long prompts, and every other one.
+func (sim *simulation) scheduleSlowdown(s *Slowdown) {
 	for i := range s.Engines {
-		listed := w.list[len(w.list)-1-2*i]
+		listed := sim.endpoints[len(sim.endpoints)-1-2*i]
 		set := func(pace float64) {
-			w.engines[listed.Incarnation].pace = pace
-			if w.config.SlowdownKnownAfter > 0 {
-				w.AfterFunc(w.config.SlowdownKnownAfter, func() { w.tellPace(listed.Incarnation, pace, s.To) })
+			sim.engines[listed.Incarnation].slowdown = pace
+			if sim.config.SlowdownKnownAfter > 0 {
+				sim.AfterFunc(sim.config.SlowdownKnownAfter, func() { sim.reportSlowdown(listed.Incarnation, pace, s.To) })
 			}
 		}
-		w.AfterFunc(s.From, func() { set(s.Factor) })
-		w.AfterFunc(s.To, func() { set(1) })
+		sim.AfterFunc(s.From, func() { set(s.Factor) })
+		sim.AfterFunc(s.To, func() { set(1) })
 	}
 }
 
-// tellPace tells all entries how slow an engine is, again and again while it lasts.
-func (w *world) tellPace(life directory.Incarnation, pace float64, until time.Duration) {
-	for _, e := range w.entries {
-		e.ledger.SetSlowdown(w.clock(), life, pace)
+// reportSlowdown tells all entries how slow an engine is, again and again while it lasts.
+func (sim *simulation) reportSlowdown(life directory.Incarnation, pace float64, until time.Duration) {
+	for _, e := range sim.entries {
+		e.tracker.SetSlowdown(sim.wallTime(), life, pace)
 	}
-	if pace > 1 && w.Now() < until {
-		w.AfterFunc(time.Second, func() { w.tellPace(life, w.engines[life].pace, until) })
+	if pace > 1 && sim.Now() < until {
+		sim.AfterFunc(time.Second, func() { sim.reportSlowdown(life, sim.engines[life].slowdown, until) })
 	}
 }
 
-func (w *world) clock() time.Time { return w.epoch.Add(w.Now()) }
+func (sim *simulation) wallTime() time.Time { return sim.epoch.Add(sim.Now()) }
 
-// beat tells the other entries of one's load, and again while requests come.
-func (w *world) beat(e *entry) {
-	w.tell(e)
-	if w.Now() < w.config.Duration {
-		w.AfterFunc(w.heartbeat(), func() { w.beat(e) })
+// sendHeartbeats tells the other entries of one's load, and again while requests come.
+func (sim *simulation) sendHeartbeats(e *entry) {
+	sim.sendHeartbeat(e)
+	if sim.Now() < sim.config.Duration {
+		sim.AfterFunc(sim.heartbeatInterval(), func() { sim.sendHeartbeats(e) })
 	}
 }
 
-func (w *world) heartbeat() time.Duration { return cmp.Or(w.config.HeartbeatInterval, heartbeat) }
+func (sim *simulation) heartbeatInterval() time.Duration {
+	return cmp.Or(sim.config.HeartbeatInterval, defaultHeartbeatInterval)
+}
 
-func (w *world) tell(e *entry) {
-	demands, opens := e.ledger.Demands(w.clock()), e.ledger.Loads(w.clock())
-	for _, other := range w.entries {
-		lost := w.config.HeartbeatLoss > 0 && w.rand.Float64() < w.config.HeartbeatLoss
+func (sim *simulation) sendHeartbeat(e *entry) {
+	demands, opens := e.tracker.Demands(sim.wallTime()), e.tracker.Loads(sim.wallTime())
+	for _, other := range sim.entries {
+		lost := sim.config.HeartbeatLoss > 0 && sim.rand.Float64() < sim.config.HeartbeatLoss
 		if other != e && !lost {
-			w.AfterFunc(w.way(), func() { other.ledger.ReplacePeerLoad(w.clock(), e.name, demands, opens) })
+			sim.AfterFunc(sim.messageDelay(), func() { other.tracker.ReplacePeerLoad(sim.wallTime(), e.name, demands, opens) })
 		}
 	}
 }
 
-// way is how long a message takes: those of several entries overtake each other.
-func (w *world) way() time.Duration {
-	return shortestWay + time.Duration(w.rand.Int64N(int64(longestWay-shortestWay)))
+// messageDelay is how long a message takes: those of several entries overtake each other.
+func (sim *simulation) messageDelay() time.Duration {
+	return minMessageDelay + time.Duration(sim.rand.Int64N(int64(maxMessageDelay-minMessageDelay)))
 }
 
 // arrive begins a request of a kind and lets the next one come.
-func (w *world) arrive(kind int) {
-	if w.Now() >= w.config.Duration {
+func (sim *simulation) arrive(kind int) {
+	if sim.Now() >= sim.config.Duration {
 		return
 	}
-	k := &w.config.Kinds[kind]
-	rate := k.RequestsPerSecond * w.factor(kind)
-	if rate > 0 && w.Now() > 0 {
-		r := &request{world: w, entry: w.anyEntry(), kind: k, result: &w.results[kind], tokens: w.tokens(k), began: w.Now()}
+	k := &sim.config.Kinds[kind]
+	rate := k.RequestsPerSecond * sim.rateFactor(kind)
+	if rate > 0 && sim.Now() > 0 {
+		r := &request{sim: sim, entry: sim.pickEntry(), kind: k, result: &sim.results[kind], promptTokens: sim.drawPromptTokens(k), arrivedAt: sim.Now()}
 		r.result.Asked++
-		if k.large(r.tokens) {
+		if k.inLargestTenth(r.promptTokens) {
 			r.result.Largest++
 		}
-		r.begin()
+		r.start()
 	}
-	w.AfterFunc(time.Duration(w.rand.ExpFloat64()/max(rate, leastRate)*float64(time.Second)), func() { w.arrive(kind) })
+	sim.AfterFunc(time.Duration(sim.rand.ExpFloat64()/max(rate, minRate)*float64(time.Second)), func() { sim.arrive(kind) })
 }
 
-// anyEntry gives the entry that a caller comes to.
-func (w *world) anyEntry() *entry {
-	n := len(w.entries)
-	if w.config.Skew <= 1 || n == 1 {
-		return w.entries[w.rand.IntN(n)]
+// pickEntry gives the entry that a caller comes to.
+func (sim *simulation) pickEntry() *entry {
+	n := len(sim.entries)
+	if sim.config.Skew <= 1 || n == 1 {
+		return sim.entries[sim.rand.IntN(n)]
 	}
-	weight := func(i int) float64 { return 1 + (w.config.Skew-1)*float64(i)/float64(n-1) }
-	left := w.rand.Float64() * float64(n) * (1 + w.config.Skew) / 2
+	weight := func(i int) float64 { return 1 + (sim.config.Skew-1)*float64(i)/float64(n-1) }
+	left := sim.rand.Float64() * float64(n) * (1 + sim.config.Skew) / 2
 	for i := range n {
 		if left -= weight(i); left < 0 {
-			return w.entries[i]
+			return sim.entries[i]
 		}
 	}
-	return w.entries[n-1]
+	return sim.entries[n-1]
 }
 
-// leastRate lets a kind that does not come look again at the turns.
-const leastRate = 0.5
+// minRate lets a kind that does not come look again at the turns.
+const minRate = 0.5
 
-func (w *world) factor(kind int) float64 {
+func (sim *simulation) rateFactor(kind int) float64 {
 	factor := 1.0
-	for _, t := range w.config.LoadChanges {
-		if w.Now() >= t.At {
+	for _, t := range sim.config.LoadChanges {
+		if sim.Now() >= t.At {
 			factor = t.RateFactors[kind]
 		}
 	}
 	return factor
 }
 
-// largeQuantile is how many standard deviations of a normal distribution nine of ten are
+// ninthDecileZ is how many standard deviations of a normal distribution nine of ten are
 // under.
-const largeQuantile = 1.2816
+const ninthDecileZ = 1.2816
 
-// large tells whether a prompt is longer than nine of ten of its kind.
-func (k *Kind) large(tokens int) bool {
-	sigma := k.sigma()
-	return float64(tokens) > k.MeanTokens*math.Exp(largeQuantile*sigma-sigma*sigma/2)
+// inLargestTenth tells whether a prompt is longer than nine of ten of its kind.
+func (k *Kind) inLargestTenth(tokens int) bool {
+	sigma := k.logSigma()
+	return float64(tokens) > k.MeanTokens*math.Exp(ninthDecileZ*sigma-sigma*sigma/2)
 }
 
-// sigma is the standard deviation of the logarithm of a prompt's length.
-func (k *Kind) sigma() float64 { return math.Sqrt(math.Log(1 + k.Spread*k.Spread)) }
+// logSigma is the standard deviation of the logarithm of a prompt's length.
+func (k *Kind) logSigma() float64 { return math.Sqrt(math.Log(1 + k.Spread*k.Spread)) }
 
-// tokens draws a prompt's length: log-normal, with the kind's mean and spread.
-func (w *world) tokens(k *Kind) int {
-	sigma := k.sigma()
-	drawn := k.MeanTokens * math.Exp(sigma*w.rand.NormFloat64()-sigma*sigma/2)
+// drawPromptTokens draws a prompt's length: log-normal, with the kind's mean and spread.
+func (sim *simulation) drawPromptTokens(k *Kind) int {
+	sigma := k.logSigma()
+	drawn := k.MeanTokens * math.Exp(sigma*sim.rand.NormFloat64()-sigma*sigma/2)
 	return min(max(int(drawn), 1), k.MaxTokens)
 }
 
-// begin places a request; a long prompt is refused when it would be late, or waits.
-func (r *request) begin() {
-	w := r.world
-	if w.config.Policy != "" && w.config.Policy != Product {
+// start places a request; a long prompt is refused when it would be late, or waits.
+func (r *request) start() {
+	sim := r.sim
+	if sim.config.Policy != "" && sim.config.Policy != Product {
 		r.placeBaseline()
 		return
 	}
-	if !direct.IsLongPrompt(w.service, r.tokens) {
+	if !direct.IsLongPrompt(sim.service, r.promptTokens) {
 		r.place()
 		return
 	}
-	expected := r.entry.policy.AddLongPrompt(w.clock(), w.service, len(w.list), r.tokens)
-	if expected.TooLate(r.kind.Target) && w.config.has(Refusing) {
+	expected := r.entry.policy.AddLongPrompt(sim.wallTime(), sim.service, len(sim.endpoints), r.promptTokens)
+	if expected.TooLate(r.kind.Target) && sim.config.enabled(Refusing) {
 		r.result.Refused++
 		return
 	}
-	r.latest = expected.LatestStart(r.kind.Target)
-	r.held = r.entry.policy.Enqueue(w.service, r.tokens)
-	r.wait()
+	r.latestStart = expected.LatestStart(r.kind.Target)
+	r.queued = r.entry.policy.Enqueue(sim.service, r.promptTokens)
+	r.waitForRoom()
 }
 
-// wait holds the request back until there is room, and refuses it if that is too late.
-func (r *request) wait() {
-	w := r.world
-	room := !w.config.has(Waiting) || r.held.MayStart(w.clock(), w.list)
-	if !room && w.Now()-r.began < r.latest {
-		w.AfterFunc(direct.QueuePollInterval, r.wait)
+// waitForRoom holds the request back until there is room, and refuses it if that is too late.
+func (r *request) waitForRoom() {
+	sim := r.sim
+	room := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
+	if !room && sim.Now()-r.arrivedAt < r.latestStart {
+		sim.AfterFunc(direct.QueuePollInterval, r.waitForRoom)
 		return
 	}
-	r.held.Dequeue()
-	if !room && w.config.has(Refusing) {
+	r.queued.Dequeue()
+	if !room && sim.config.enabled(Refusing) {
 		r.result.Refused++
 		return
 	}
@@ -389,16 +391,16 @@
 
 // place sends a request to an engine, or to another one where its memory finds no room.
 func (r *request) place() {
-	w := r.world
-	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
-	for range placings {
-		plan := r.entry.policy.Place(w.clock(), &placing, w.list)
+	sim := r.sim
+	placing := direct.Request{Service: sim.service, PromptTokens: r.promptTokens, OutputTokens: maxOutputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
+	for range maxPlacements {
+		plan := r.entry.policy.Place(sim.wallTime(), &placing, sim.endpoints)
 		if plan == nil || plan.Overloaded {
 			break
 		}
 		j := newJob(r, plan)
 		for _, h := range plan.Helpers {
-			j.helpers = append(j.helpers, w.engines[h.Incarnation])
+			j.helpers = append(j.helpers, sim.engines[h.Incarnation])
 		}
 		if j.reserve() {
 			r.submit(plan, j)
@@ -411,33 +413,33 @@
 
 // submit gives a request to the first engine of its plan.
 func (r *request) submit(plan *direct.Plan, j *job) {
-	r.charge = r.entry.ledger.Begin(r.world.clock(), plan)
-	if plan.Long && r.world.config.has(Announcing) && r.world.config.has(Heartbeats) {
-		r.world.tell(r.entry)
+	r.load = r.entry.tracker.Begin(r.sim.wallTime(), plan)
+	if plan.Long && r.sim.config.enabled(Announcing) && r.sim.config.enabled(Heartbeats) {
+		r.sim.sendHeartbeat(r.entry)
 	}
-	r.engine = r.world.engines[plan.Endpoint.Incarnation]
-	r.world.AfterFunc(r.world.way(), func() { r.engine.submit(j) })
+	r.engine = r.sim.engines[plan.Endpoint.Incarnation]
+	r.sim.AfterFunc(r.sim.messageDelay(), func() { r.engine.submit(j) })
 }
 
-func (r *request) prefilled() {
-	if r.charge != nil {
-		r.charge.FinishPrefill()
+func (r *request) finishPrefill() {
+	if r.load != nil {
+		r.load.FinishPrefill()
 	}
 }
 
-func (r *request) done(j *job) {
-	if r.charge != nil {
-		r.charge.End()
+func (r *request) finish(j *job) {
+	if r.load != nil {
+		r.load.End()
 	} else {
-		r.entry.outstanding[r.engine]--
+		r.entry.inFlight[r.engine]--
 	}
-	if r.kind.large(r.tokens) {
+	if r.kind.inLargestTenth(r.promptTokens) {
 		r.result.LargestServed++
 	}
 	switch {
-	case j.first-r.began > r.kind.Target:
+	case j.firstEventAt-r.arrivedAt > r.kind.Target:
 		r.result.LateFirst++
-	case r.gap > r.kind.MaxPause:
+	case r.longestPause > r.kind.MaxPause:
 		r.result.LatePause++
 	default:
 		r.result.OnTime++
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -12,23 +12,23 @@
 // job is a request as its first engine has it.
 type job struct {
 	request *request
-	// memory is what it needs there, level its priority.
-	memory, level int
-	helpers       []*engine
-	// holders of the helpers are each asked to hold reserved tokens, of which needed must
+	// memoryTokens is what it needs there, priority its priority.
+	memoryTokens, priority int
+	helpers                []*engine
+	// reservingHelpers of the helpers are each asked to hold reservedTokens tokens, of which requiredTokens must
 	// be held; reservedAt do.
-	holders, reserved, needed int
-	reservedAt                []*engine
-	part                      time.Duration
-	// missing are its parts that are not prefilled; events those that are left to write.
-	missing, events int
-	first, last     time.Duration
-}
-
-// part is a part of a prompt that waits to be prefilled.
-type part struct {
-	job     *job
-	prefill time.Duration
+	reservingHelpers, reservedTokens, requiredTokens int
+	reservedAt                                       []*engine
+	partPrefill                                      time.Duration
+	// unfinishedParts are its parts that are not prefilled; eventsLeft those that are left to write.
+	unfinishedParts, eventsLeft int
+	firstEventAt, lastEventAt   time.Duration
+}
+
+// promptPart is a promptPart of a prompt that waits to be prefilled.
+type promptPart struct {
+	job         *job
+	prefillTime time.Duration
 	// tokens is its part of the prompt.
 	tokens int
 }
@@ -38,27 +38,27 @@
 // limit of tokens in a pass, the way of messages, and what holding a part of the context
 // costs.
 type engine struct {
-	world *world
-	model *directory.Engine
-	// pace is how many times as long as described its work takes.
-	pace    float64
-	waiting []*job // for a slot or memory
-	parts   []part
-	writing []*job
-	held    int // memory in use, in tokens
-	slots   int // in use
-	running bool
-	// readingNewest is set while the newest part is read, since readingSince; readings is how
+	sim  *simulation
+	spec *directory.Engine
+	// slowdown is how many times as long as described its work takes.
+	slowdown     float64
+	waiting      []*job // for a slot or memory
+	pendingParts []promptPart
+	decoding     []*job
+	usedTokens   int // memory in use, in tokens
+	usedSlots    int // in use
+	inPass       bool
+	// prefillingNewest is set while the newest part is read, since readingSince; readings is how
 	// many times one began to be.
-	readingNewest bool
-	readingSince  time.Duration
-	readings      int
+	prefillingNewest bool
+	prefillSince     time.Duration
+	prefillCount     int
 }
 
 // submit gives the engine a request.
 func (e *engine) submit(j *job) {
 	e.waiting = append(e.waiting, j)
-	slices.SortStableFunc(e.waiting, func(a, b *job) int { return cmp.Compare(a.level, b.level) })
+	slices.SortStableFunc(e.waiting, func(a, b *job) int { return cmp.Compare(a.priority, b.priority) })
 	e.admit()
 }
 
@@ -66,157 +66,157 @@
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.slots >= e.model.Slots || e.held+j.memory > e.model.KVCacheTokens {
+		if e.usedSlots >= e.spec.Slots || e.usedTokens+j.memoryTokens > e.spec.KVCacheTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.slots++
-		e.held += j.memory
+		e.usedSlots++
+		e.usedTokens += j.memoryTokens
 		for _, helper := range append([]*engine{e}, j.helpers...) {
-			helper.take(part{j, j.part, j.request.tokens / (1 + len(j.helpers))})
+			helper.addPart(promptPart{j, j.partPrefill, j.request.promptTokens / (1 + len(j.helpers))})
 		}
 	}
 }
 
-// take gives the engine a part to read.
-func (e *engine) take(p part) {
-	e.stopReading()
-	e.parts = append(e.parts, p)
-	e.run()
+// addPart gives the engine a part to read.
+func (e *engine) addPart(p promptPart) {
+	e.interruptPrefill()
+	e.pendingParts = append(e.pendingParts, p)
+	e.startNext()
 }
 
-// run begins a pass, or to read, unless a pass is under way.
-func (e *engine) run() {
-	if e.running {
+// startNext begins a pass, or to read, unless a pass is under way.
+func (e *engine) startNext() {
+	if e.inPass {
 		return
 	}
-	e.stopReading()
-	if len(e.writing) == 0 {
-		e.readNewest()
+	e.interruptPrefill()
+	if len(e.decoding) == 0 {
+		e.startPrefillOfNewest()
 		return
 	}
-	e.running = true
-	reading := e.parts
-	e.parts = nil
-	e.world.AfterFunc(e.paced(e.passTime(reading)), func() { e.end(reading) })
+	e.inPass = true
+	reading := e.pendingParts
+	e.pendingParts = nil
+	e.sim.AfterFunc(e.slowed(e.passTime(reading)), func() { e.endPass(reading) })
 }
 
-func (e *engine) paced(d time.Duration) time.Duration { return time.Duration(e.pace * float64(d)) }
+func (e *engine) slowed(d time.Duration) time.Duration { return time.Duration(e.slowdown * float64(d)) }
 
-// readNewest reads the newest part, unless another one comes before it is done.
-func (e *engine) readNewest() {
-	if len(e.parts) == 0 {
+// startPrefillOfNewest reads the newest part, unless another one comes before it is done.
+func (e *engine) startPrefillOfNewest() {
+	if len(e.pendingParts) == 0 {
 		return
 	}
-	e.readingNewest, e.readingSince = true, e.world.Now()
-	e.readings++
-	number, newest := e.readings, e.parts[len(e.parts)-1]
-	length := newest.prefill + time.Duration(e.readSteps(newest.tokens))*e.model.StepTime
-	e.world.AfterFunc(e.paced(length), func() {
-		if !e.readingNewest || e.readings != number {
+	e.prefillingNewest, e.prefillSince = true, e.sim.Now()
+	e.prefillCount++
+	number, newest := e.prefillCount, e.pendingParts[len(e.pendingParts)-1]
+	length := newest.prefillTime + time.Duration(e.prefillSteps(newest.tokens))*e.spec.StepTime
+	e.sim.AfterFunc(e.slowed(length), func() {
+		if !e.prefillingNewest || e.prefillCount != number {
 			return
 		}
-		e.readingNewest = false
-		e.parts = e.parts[:len(e.parts)-1]
-		e.finish([]part{newest}, nil)
+		e.prefillingNewest = false
+		e.pendingParts = e.pendingParts[:len(e.pendingParts)-1]
+		e.finishParts([]promptPart{newest}, nil)
 		e.admit()
-		e.run()
+		e.startNext()
 	})
 }
 
-// stopReading leaves the rest of the part that is being read.
-func (e *engine) stopReading() {
-	if !e.readingNewest {
+// interruptPrefill leaves the rest of the part that is being read.
+func (e *engine) interruptPrefill() {
+	if !e.prefillingNewest {
 		return
 	}
-	e.readingNewest = false
-	newest := &e.parts[len(e.parts)-1]
-	done := time.Duration(float64(e.world.Now()-e.readingSince) / e.pace)
-	newest.prefill = max(newest.prefill-done, 0)
+	e.prefillingNewest = false
+	newest := &e.pendingParts[len(e.pendingParts)-1]
+	done := time.Duration(float64(e.sim.Now()-e.prefillSince) / e.slowdown)
+	newest.prefillTime = max(newest.prefillTime-done, 0)
 }
 
 // passTime is how long a pass takes: the steps that everyone who decodes needs for an event,
 // and the prefill.
-func (e *engine) passTime(reading []part) time.Duration {
-	length := direct.DecodeTime(e.model, len(e.writing), e.held)
+func (e *engine) passTime(reading []promptPart) time.Duration {
+	length := direct.DecodeTime(e.spec, len(e.decoding), e.usedTokens)
 	for _, p := range reading {
-		length += p.prefill
+		length += p.prefillTime
 	}
 	return length
 }
 
-// readSteps is in how many steps tokens are prefilled that nobody's decoding adds steps to.
-func (e *engine) readSteps(tokens int) int {
-	if e.model.ChunkTokens <= 0 {
+// prefillSteps is in how many steps tokens are prefilled that nobody's decoding adds steps to.
+func (e *engine) prefillSteps(tokens int) int {
+	if e.spec.ChunkTokens <= 0 {
 		return 1
 	}
-	return (tokens + e.model.ChunkTokens - 1) / e.model.ChunkTokens
+	return (tokens + e.spec.ChunkTokens - 1) / e.spec.ChunkTokens
 }
 
-// end ends a pass: parts are prefilled, and everyone who decodes writes an event.
-func (e *engine) end(reading []part) {
-	e.running = false
-	e.finish(reading, slices.Clone(e.writing))
+// endPass ends a pass: parts are prefilled, and everyone who decodes writes an event.
+func (e *engine) endPass(reading []promptPart) {
+	e.inPass = false
+	e.finishParts(reading, slices.Clone(e.decoding))
 	e.admit()
-	e.run()
+	e.startNext()
 }
 
-// finish ends parts that have been read, and the pass in which some requests decoded.
-func (e *engine) finish(reading []part, writing []*job) {
+// finishParts ends parts that have been read, and the pass in which some requests decoded.
+func (e *engine) finishParts(reading []promptPart, writing []*job) {
 	for _, p := range reading {
-		if p.job.missing--; p.job.missing > 0 {
+		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
 			continue
 		}
 		first := p.job.request.engine
-		first.writing = append(first.writing, p.job)
+		first.decoding = append(first.decoding, p.job)
 		if len(p.job.helpers) == 0 {
 			writing = append(writing, p.job) // read and begun in one pass
 		}
 		if first != e {
-			first.run()
+			first.startNext()
 		}
 	}
 	for _, j := range writing {
-		e.write(j)
+		e.emitEvent(j)
 	}
 }
 
-// write passes one event of a stream on.
-func (e *engine) write(j *job) {
-	now := e.world.Now()
-	if j.first == 0 {
-		j.first = now
-		j.request.prefilled()
+// emitEvent passes one event of a stream on.
+func (e *engine) emitEvent(j *job) {
+	now := e.sim.Now()
+	if j.firstEventAt == 0 {
+		j.firstEventAt = now
+		j.request.finishPrefill()
 	} else {
-		j.request.gap = max(j.request.gap, now-j.last)
+		j.request.longestPause = max(j.request.longestPause, now-j.lastEventAt)
 	}
-	j.last = now
-	if j.events--; j.events > 0 {
+	j.lastEventAt = now
+	if j.eventsLeft--; j.eventsLeft > 0 {
 		return
 	}
-	e.writing = slices.DeleteFunc(e.writing, func(other *job) bool { return other == j })
-	e.slots--
-	e.held -= j.memory
+	e.decoding = slices.DeleteFunc(e.decoding, func(other *job) bool { return other == j })
+	e.usedSlots--
+	e.usedTokens -= j.memoryTokens
 	j.release()
-	j.request.done(j)
+	j.request.finish(j)
 }
 
 // reserve takes the memory that a job needs at its helpers; where most of it is not free
 // nothing is taken.
 func (j *job) reserve() bool {
-	holders := j.helpers[:j.holders]
+	holders := j.helpers[:j.reservingHelpers]
 	var taken []*engine
 	for _, h := range holders {
-		if h.held+j.reserved <= h.model.KVCacheTokens {
+		if h.usedTokens+j.reservedTokens <= h.spec.KVCacheTokens {
 			taken = append(taken, h)
 		}
 	}
-	if len(taken)*j.reserved < j.needed {
+	if len(taken)*j.reservedTokens < j.requiredTokens {
 		return false
 	}
 	j.reservedAt = taken
 	for _, h := range taken {
-		h.held += j.reserved
+		h.usedTokens += j.reservedTokens
 	}
 	return true
 }
@@ -224,7 +224,7 @@
 // release gives the memory at the helpers back.
 func (j *job) release() {
 	for _, h := range j.reservedAt {
-		h.held -= j.reserved
+		h.usedTokens -= j.reservedTokens
 		h.admit()
 	}
 }
@@ -232,8 +232,8 @@
 // newJob makes the job of a request by a plan.
 func newJob(r *request, plan *direct.Plan) *job {
 	j := &job{
-		request: r, memory: plan.EndpointMemoryTokens, level: direct.EnginePriority(r.tokens, 1), part: plan.PartPrefill,
-		missing: 1 + len(plan.Helpers), events: r.kind.Events, holders: plan.ReservingHelpers, reserved: plan.HelperMemoryTokens, needed: plan.MemoryTokens - plan.EndpointMemoryTokens,
+		request: r, memoryTokens: plan.EndpointMemoryTokens, priority: direct.EnginePriority(r.promptTokens, 1), partPrefill: plan.PartPrefill,
+		unfinishedParts: 1 + len(plan.Helpers), eventsLeft: r.kind.Events, reservingHelpers: plan.ReservingHelpers, reservedTokens: plan.HelperMemoryTokens, requiredTokens: plan.MemoryTokens - plan.EndpointMemoryTokens,
 	}
 	return j
 }
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -15,9 +15,9 @@
 	"aspenyard.example/settings"
 )
 
-// small is an experiment of a few short plays.
-func small() *File {
-	site := (&RandomSites{Count: 1, Seed: 3}).draw()[0]
+// smallExperiment is an experiment of a few short plays.
+func smallExperiment() *File {
+	site := (&RandomSites{Count: 1, Seed: 3}).generate()[0]
 	site.Name, site.Entries, site.Engines, site.Duration, site.LoadChanges = "one", 2, 6, settings.Duration(3*time.Second), nil
 	for i := range site.Kinds {
 		site.Kinds[i].RequestsPerSecond = []float64{10, 1, 0.5}[i]
@@ -25,7 +25,7 @@
 	return &File{Name: "small", Seeds: 3, Sites: []Site{site}, Policies: []Policy{{Name: "product"}, {Name: "random", Policy: emulator.Random}, {Name: "one view", SingleEntry: true}}}
 }
 
-func run(t *testing.T, f *File) *Summary {
+func runExperiment(t *testing.T, f *File) *Summary {
 	t.Helper()
 	s := NewSummary(f)
 	if err := f.Run(context.Background(), func(p *RunResult, _ int) { s.Add(p) }); err != nil {
@@ -36,7 +36,7 @@
 
 func TestExperimentIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	one, two := run(t, small()), run(t, small())
+	one, two := runExperiment(t, smallExperiment()), runExperiment(t, smallExperiment())
 	is.Equal(Table(one.Rows()), Table(two.Rows()))
 	rows := one.Rows()
 	is.Equal(len(rows), 3)
@@ -51,7 +51,7 @@
 
 func TestDifferencesArePairedBySiteAndSeed(t *testing.T) {
 	is := is.New(t)
-	f := small()
+	f := smallExperiment()
 	s := NewSummary(f)
 	for seed, worth := range []float64{0.5, 0.9} {
 		s.Add(&RunResult{Site: "one", Policy: "product", Seed: uint64(seed), Worth: worth})
@@ -85,7 +85,7 @@
 func TestRandomSitesAreValidAndDeterministic(t *testing.T) {
 	is := is.New(t)
 	asked := &RandomSites{Count: 100, Seed: 5}
-	sites, again := asked.draw(), asked.draw()
+	sites, again := asked.generate(), asked.generate()
 	is.Equal(sites, again)
 	f := &File{Name: "drawn", Seeds: 1, Sites: sites, Policies: []Policy{{Name: "product"}}}
 	is.NoErr(f.Check().Err())
@@ -95,7 +95,7 @@
 // What was played before an interrupt is kept.
 func TestCancelledExperimentKeepsFinishedRuns(t *testing.T) {
 	is := is.New(t)
-	f := small()
+	f := smallExperiment()
 	f.Seeds = 1000
 	s := NewSummary(f)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 	for _, policy := range emulator.Policies()[1:] {
 		f.Policies = append(f.Policies, Policy{Name: string(policy), Policy: policy})
 	}
-	for _, row := range run(t, f).Rows()[1:] {
+	for _, row := range runExperiment(t, f).Rows()[1:] {
 		is.True(row.Difference < -2*row.StandardError)
 		is.True(row.WorsePairs >= 10) // of 12
 	}
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -111,14 +111,14 @@
 
 // Limits of what a file may ask for: an experiment of the largest takes some hours.
 const (
-	mostSeeds   = 1000
-	mostEntries = 1000
-	mostEngines = 10_000
-	mostRate    = 100_000
-	mostTokens  = 10_000_000
-	mostEvents  = 10_000
-	mostSites   = 10_000
-	longestPlay = time.Hour
+	maxSeeds        = 1000
+	maxEntries      = 1000
+	maxEngines      = 10_000
+	maxRate         = 100_000
+	maxPromptTokens = 10_000_000
+	maxEvents       = 10_000
+	maxSites        = 10_000
+	maxDuration     = time.Hour
 )
 
 // Decode reads a file. Error: settings.Faults, which name every field that is wrong.
@@ -136,7 +136,7 @@
 	if f.Name == "" {
 		faults.Add("name", f.Name, "a text")
 	}
-	faults.CheckInt("seeds", int64(f.Seeds), 1, mostSeeds)
+	faults.CheckInt("seeds", int64(f.Seeds), 1, maxSeeds)
 	if len(f.Sites) == 0 && f.Random == nil {
 		faults.Add("sites", len(f.Sites), "one site or more, or random_sites")
 	}
@@ -169,10 +169,10 @@
 }
 
 func (s *Site) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".entries", int64(s.Entries), 1, mostEntries)
-	faults.CheckInt(field+".engines", int64(s.Engines), 1, mostEngines)
-	faults.CheckRange(field+".length", s.Duration.D(), time.Second, longestPlay)
-	faults.CheckRange(field+".pace_known", s.SlowdownKnownAfter.D(), 0, longestPlay)
+	faults.CheckInt(field+".entries", int64(s.Entries), 1, maxEntries)
+	faults.CheckInt(field+".engines", int64(s.Engines), 1, maxEngines)
+	faults.CheckRange(field+".length", s.Duration.D(), time.Second, maxDuration)
+	faults.CheckRange(field+".pace_known", s.SlowdownKnownAfter.D(), 0, maxDuration)
 	faults.CheckNumber(field+".heartbeat_loss", s.HeartbeatLoss, 0, 1)
 	faults.CheckNumber(field+".skew", s.Skew, 0, 1000)
 	s.Engine.check(field+".engine", faults)
@@ -184,15 +184,15 @@
 	}
 	for i, t := range s.LoadChanges {
 		at := fmt.Sprintf("%s.turns[%d]", field, i)
-		faults.CheckRange(at+".at", t.At.D(), 0, longestPlay)
-		if len(t.RateFactors) != len(s.Kinds) || slices.ContainsFunc(t.RateFactors, func(x float64) bool { return !(x >= 0 && x <= mostRate) }) {
+		faults.CheckRange(at+".at", t.At.D(), 0, maxDuration)
+		if len(t.RateFactors) != len(s.Kinds) || slices.ContainsFunc(t.RateFactors, func(x float64) bool { return !(x >= 0 && x <= maxRate) }) {
 			faults.Add(at+".factors", t.RateFactors, "a number from 0 for each kind")
 		}
 	}
 	for i, slow := range s.Slowdowns {
 		at := fmt.Sprintf("%s.slow[%d]", field, i)
-		faults.CheckRange(at+".from", slow.From.D(), 0, longestPlay)
-		faults.CheckRange(at+".to", slow.To.D(), slow.From.D(), longestPlay)
+		faults.CheckRange(at+".from", slow.From.D(), 0, maxDuration)
+		faults.CheckRange(at+".to", slow.To.D(), slow.From.D(), maxDuration)
 		faults.CheckInt(at+".engines", int64(slow.Engines), 1, int64(max((s.Engines+1)/2, 1)))
 		faults.CheckNumber(at+".pace", slow.Factor, 1, 1000)
 	}
@@ -213,13 +213,13 @@
 	if k.Name == "" {
 		faults.Add(field+".name", k.Name, "a text")
 	}
-	faults.CheckNumber(field+".tokens", k.MeanTokens, 1, mostTokens)
+	faults.CheckNumber(field+".tokens", k.MeanTokens, 1, maxPromptTokens)
 	faults.CheckNumber(field+".spread", k.Spread, 0, 10)
-	faults.CheckInt(field+".most_tokens", int64(k.MaxTokens), 1, mostTokens)
-	faults.CheckInt(field+".events", int64(k.Events), 1, mostEvents)
-	faults.CheckNumber(field+".per_second", k.RequestsPerSecond, 0, mostRate)
-	faults.CheckRange(field+".target", k.Target.D(), time.Millisecond, longestPlay)
-	faults.CheckRange(field+".pause_limit", k.MaxPause.D(), time.Millisecond, longestPlay)
+	faults.CheckInt(field+".most_tokens", int64(k.MaxTokens), 1, maxPromptTokens)
+	faults.CheckInt(field+".events", int64(k.Events), 1, maxEvents)
+	faults.CheckNumber(field+".per_second", k.RequestsPerSecond, 0, maxRate)
+	faults.CheckRange(field+".target", k.Target.D(), time.Millisecond, maxDuration)
+	faults.CheckRange(field+".pause_limit", k.MaxPause.D(), time.Millisecond, maxDuration)
 	faults.CheckNumber(field+".worth", k.Worth, 0, 1e6)
 }
 
@@ -235,10 +235,10 @@
 	faults.CheckRange(field+".heartbeat", p.HeartbeatInterval.D(), 0, time.Minute)
 }
 
-// config is the play of a site under a policy.
-func (s *Site) config(p *Policy, seed uint64) *emulator.Config {
+// emulatorConfig is the play of a site under a policy.
+func (s *Site) emulatorConfig(p *Policy, seed uint64) *emulator.Config {
 	c := &emulator.Config{
-		Seed: seed, Entries: s.Entries, Engines: s.Engines, Engine: s.Engine.model(), Duration: s.Duration.D(), SlowdownKnownAfter: s.SlowdownKnownAfter.D(),
+		Seed: seed, Entries: s.Entries, Engines: s.Engines, Engine: s.Engine.directoryEngine(), Duration: s.Duration.D(), SlowdownKnownAfter: s.SlowdownKnownAfter.D(),
 		Policy: p.Policy, Disabled: p.Disabled, HeartbeatInterval: p.HeartbeatInterval.D(), HeartbeatLoss: s.HeartbeatLoss, Skew: s.Skew,
 	}
 	if p.SingleEntry {
@@ -258,7 +258,7 @@
 	return c
 }
 
-func (e *Engine) model() directory.Engine {
+func (e *Engine) directoryEngine() directory.Engine {
 	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	return directory.Engine{
 		Slots: e.Slots, KVCacheTokens: e.KVCacheTokens, Stride: e.Stride, StepTime: us(e.StepMicros), StepTimePerRequest: us(e.StepMicrosPerRequest), StepTimePerContext: us(e.StepMicrosPerThousandTokens),
--- a/bench/experiment/page.go
+++ b/bench/experiment/page.go
@@ -17,8 +17,8 @@
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 	barWidth   = 12 // points
-	// mostBeaten is how many sites a page lists on which another policy earns more.
-	mostBeaten = 30
+	// maxOutperformedRows is how many sites a page lists on which another policy earns more.
+	maxOutperformedRows = 30
 )
 
 // WritePage writes NAME.md and NAME.svg into a directory, where NAME is page.
@@ -35,7 +35,7 @@
 	b.WriteString(Table(rows))
 	if beaten := s.Outperformed(); len(beaten) > 0 {
 		fmt.Fprintf(&b, "\nRandom sites on which another policy earns more, by more than twice the error: %d.\n\n", len(beaten))
-		b.WriteString(Table(beaten[:min(len(beaten), mostBeaten)]))
+		b.WriteString(Table(beaten[:min(len(beaten), maxOutperformedRows)]))
 	}
 	return errors.WithStack(os.WriteFile(filepath.Join(dir, page+".md"), []byte(b.String()), 0o644))
 }
--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -17,79 +17,79 @@
 }
 
 func (r *RandomSites) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".count", int64(r.Count), 1, mostSites)
+	faults.CheckInt(field+".count", int64(r.Count), 1, maxSites)
 	faults.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
 }
 
 // Ranges that random sites are drawn from. Engines, memory and prompts span those of the
 // users' sites by a factor of two or more on either side.
 const (
-	randomLength  = 20 * time.Second
-	randomTurnAt  = 8 * time.Second
-	leastLoad     = 0.3
-	mostLoad      = 1.1
-	shortWorth    = 1.3
-	mediumWorth   = 4
-	longWorth     = 20
-	largestFactor = 4.0 // the longest prompt over the mean of its kind
+	randomDuration = 20 * time.Second
+	randomChangeAt = 8 * time.Second
+	minLoad        = 0.3
+	maxLoad        = 1.1
+	shortWorth     = 1.3
+	mediumWorth    = 4
+	longWorth      = 20
+	largestFactor  = 4.0 // the longest prompt over the mean of its kind
 )
 
-// draw gives the sites, the same for the same seed.
-func (r *RandomSites) draw() []Site {
+// generate gives the sites, the same for the same seed.
+func (r *RandomSites) generate() []Site {
 	sites := make([]Site, 0, r.Count)
 	for i := range r.Count {
-		d := drawer{rand.New(rand.NewPCG(uint64(r.Seed), uint64(i)))}
-		sites = append(sites, d.site(fmt.Sprintf("random %d", i+1)))
+		sample := sampler{rand.New(rand.NewPCG(uint64(r.Seed), uint64(i)))}
+		sites = append(sites, sample.site(fmt.Sprintf("random %d", i+1)))
 	}
 	return sites
 }
 
-type drawer struct{ *rand.Rand }
+type sampler struct{ *rand.Rand }
 
-// between draws a number whose logarithm is even.
-func (d drawer) between(low, high float64) float64 {
-	return low * math.Exp(d.Float64()*math.Log(high/low))
+// logUniform draws a number whose logarithm is even.
+func (sample sampler) logUniform(low, high float64) float64 {
+	return low * math.Exp(sample.Float64()*math.Log(high/low))
 }
 
-func (d drawer) site(name string) Site {
-	s := Site{Name: name, Entries: int(d.between(1, 30)), Engines: int(d.between(8, 100)), Duration: settings.Duration(randomLength)}
+func (sample sampler) site(name string) Site {
+	s := Site{Name: name, Entries: int(sample.logUniform(1, 30)), Engines: int(sample.logUniform(8, 100)), Duration: settings.Duration(randomDuration)}
 	s.Engine = Engine{
-		Slots: int(d.between(8, 32)), KVCacheTokens: int(d.between(150_000, 800_000)), Stride: int(d.between(20, 60)), StepMicros: d.between(600, 2000),
-		StepMicrosPerRequest: d.between(1, 6), StepMicrosPerThousandTokens: d.between(1, 8), PrefillTokensPerSecond: d.between(80_000, 400_000), AttentionMicrosPerMillionPairs: d.between(60, 250),
+		Slots: int(sample.logUniform(8, 32)), KVCacheTokens: int(sample.logUniform(150_000, 800_000)), Stride: int(sample.logUniform(20, 60)), StepMicros: sample.logUniform(600, 2000),
+		StepMicrosPerRequest: sample.logUniform(1, 6), StepMicrosPerThousandTokens: sample.logUniform(1, 8), PrefillTokensPerSecond: sample.logUniform(80_000, 400_000), AttentionMicrosPerMillionPairs: sample.logUniform(60, 250),
 	}
 	pass := s.Engine.StepMicros * float64(s.Engine.Stride) / 1000 // ms
 	s.Kinds = []Kind{
-		d.kind("short", d.between(1500, 10_000), d.between(3, 8)*pass, d.between(3, 8)*pass, shortWorth),
-		d.kind("medium", d.between(20_000, 80_000), d.between(800, 3000), d.between(300, 1000), mediumWorth),
-		d.kind("long", d.between(100_000, 250_000), d.between(1500, 5000), d.between(500, 1500), longWorth),
+		sample.kind("short", sample.logUniform(1500, 10_000), sample.logUniform(3, 8)*pass, sample.logUniform(3, 8)*pass, shortWorth),
+		sample.kind("medium", sample.logUniform(20_000, 80_000), sample.logUniform(800, 3000), sample.logUniform(300, 1000), mediumWorth),
+		sample.kind("long", sample.logUniform(100_000, 250_000), sample.logUniform(1500, 5000), sample.logUniform(500, 1500), longWorth),
 	}
-	d.rates(&s)
-	long, short := d.between(1, 3), d.between(1, 3)
-	s.LoadChanges = []LoadChange{{settings.Duration(randomTurnAt / 2), []float64{1 / short, 1, long}}, {settings.Duration(randomTurnAt), []float64{short, 1, 1 / (2 * long)}}}
+	sample.setRates(&s)
+	long, short := sample.logUniform(1, 3), sample.logUniform(1, 3)
+	s.LoadChanges = []LoadChange{{settings.Duration(randomChangeAt / 2), []float64{1 / short, 1, long}}, {settings.Duration(randomChangeAt), []float64{short, 1, 1 / (2 * long)}}}
 	return s
 }
 
-func (d drawer) kind(name string, tokens, targetMS, pauseMS, worth float64) Kind {
+func (sample sampler) kind(name string, tokens, targetMS, pauseMS, worth float64) Kind {
 	ms := func(x float64) settings.Duration { return settings.Duration(x * float64(time.Millisecond)) }
 	return Kind{
-		Name: name, MeanTokens: tokens, Spread: d.between(0.3, 1), MaxTokens: int(largestFactor * tokens), Events: int(d.between(10, 40)),
+		Name: name, MeanTokens: tokens, Spread: sample.logUniform(0.3, 1), MaxTokens: int(largestFactor * tokens), Events: int(sample.logUniform(10, 40)),
 		Target: ms(targetMS), MaxPause: ms(pauseMS), Worth: worth,
 	}
 }
 
-// rates divides a load, as a part of what the engines can do, between the kinds.
-func (d drawer) rates(s *Site) {
-	load := leastLoad + d.Float64()*(mostLoad-leastLoad)
-	parts := []float64{0.2 + d.Float64(), 0.1 + d.Float64()/2, 0.2 + d.Float64()}
+// setRates divides a load, as a part of what the engines can do, between the kinds.
+func (sample sampler) setRates(s *Site) {
+	load := minLoad + sample.Float64()*(maxLoad-minLoad)
+	parts := []float64{0.2 + sample.Float64(), 0.1 + sample.Float64()/2, 0.2 + sample.Float64()}
 	sum := parts[0] + parts[1] + parts[2]
 	for i := range s.Kinds {
-		s.Kinds[i].RequestsPerSecond = load * float64(s.Engines) * parts[i] / sum / s.Engine.cost(&s.Kinds[i])
+		s.Kinds[i].RequestsPerSecond = load * float64(s.Engines) * parts[i] / sum / s.Engine.engineSeconds(&s.Kinds[i])
 	}
 }
 
-// cost is the time of an engine that a request of a kind takes, in seconds: its prefill, and
+// engineSeconds is the time of an engine that a request of a kind takes, in seconds: its prefill, and
 // its part of the passes in which it decodes beside others in half of the slots.
-func (e *Engine) cost(k *Kind) float64 {
+func (e *Engine) engineSeconds(k *Kind) float64 {
 	prefill := k.MeanTokens/e.PrefillTokensPerSecond + k.MeanTokens*k.MeanTokens/2*(1+k.Spread*k.Spread)/1e6*e.AttentionMicrosPerMillionPairs/1e6
 	beside := float64(e.Slots) / 2
 	steps := float64(k.Events * e.Stride)
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -31,7 +31,7 @@
 // tasks lists all plays, those that are compared with each other next to each other, so that
 // an experiment which is broken off has whole pairs.
 func (f *File) tasks() []task {
-	sites := f.sites()
+	sites := f.allSites()
 	var list []task
 	for seed := range uint64(f.Seeds) {
 		for i := range sites {
@@ -43,10 +43,10 @@
 	return list
 }
 
-func (f *File) sites() []Site {
+func (f *File) allSites() []Site {
 	sites := f.Sites
 	if f.Random != nil {
-		sites = append(sites[:len(sites):len(sites)], f.Random.draw()...)
+		sites = append(sites[:len(sites):len(sites)], f.Random.generate()...)
 	}
 	return sites
 }
@@ -67,7 +67,7 @@
 		workers.Go(func() {
 			for t := range next {
 				select {
-				case plays <- t.play():
+				case plays <- t.run():
 				case <-ctx.Done():
 					return
 				}
@@ -91,8 +91,8 @@
 	}
 }
 
-func (t *task) play() *RunResult {
-	p := &RunResult{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Simulate(t.site.config(t.policy, t.seed))}
+func (t *task) run() *RunResult {
+	p := &RunResult{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Simulate(t.site.emulatorConfig(t.policy, t.seed))}
 	p.Worth = t.site.worth(p.Kinds)
 	return p
 }
--- a/bench/experiment/summary.go
+++ b/bench/experiment/summary.go
@@ -13,32 +13,32 @@
 
 // Summary compares policies over the plays of an experiment.
 type Summary struct {
-	file  *File
-	plays map[string]map[playKey]*RunResult // by policy
-	count int
+	file    *File
+	results map[string]map[runKey]*RunResult // by policy
+	count   int
 }
 
-// playKey names what plays under several policies have in common.
-type playKey struct {
+// runKey names what plays under several policies have in common.
+type runKey struct {
 	site string
 	seed uint64
 }
 
-func (k playKey) compare(other playKey) int {
+func (k runKey) compare(other runKey) int {
 	return cmp.Or(cmp.Compare(k.site, other.site), cmp.Compare(k.seed, other.seed))
 }
 
 // NewSummary makes an empty summary.
 func NewSummary(f *File) *Summary {
-	return &Summary{file: f, plays: map[string]map[playKey]*RunResult{}}
+	return &Summary{file: f, results: map[string]map[runKey]*RunResult{}}
 }
 
 // Add takes a play in.
 func (s *Summary) Add(p *RunResult) {
-	if s.plays[p.Policy] == nil {
-		s.plays[p.Policy] = map[playKey]*RunResult{}
+	if s.results[p.Policy] == nil {
+		s.results[p.Policy] = map[runKey]*RunResult{}
 	}
-	s.plays[p.Policy][playKey{p.Site, p.Seed}] = p
+	s.results[p.Policy][runKey{p.Site, p.Seed}] = p
 	s.count++
 }
 
@@ -61,27 +61,27 @@
 	OnTime float64
 }
 
-// randomName stands for all random sites in a table.
-const randomName = "random sites"
+// randomSitesLabel stands for all random sites in a table.
+const randomSitesLabel = "random sites"
 
 // Rows gives a row for each site and policy; random sites are one.
 func (s *Summary) Rows() []Row {
 	var rows []Row
 	for i := range s.file.Sites {
 		name := s.file.Sites[i].Name
-		rows = append(rows, s.rows(name, func(k playKey) bool { return k.site == name })...)
+		rows = append(rows, s.rows(name, func(k runKey) bool { return k.site == name })...)
 	}
 	if s.file.Random != nil {
 		written := map[string]bool{}
 		for i := range s.file.Sites {
 			written[s.file.Sites[i].Name] = true
 		}
-		rows = append(rows, s.rows(randomName, func(k playKey) bool { return !written[k.site] })...)
+		rows = append(rows, s.rows(randomSitesLabel, func(k runKey) bool { return !written[k.site] })...)
 	}
 	return rows
 }
 
-func (s *Summary) rows(site string, among func(k playKey) bool) []Row {
+func (s *Summary) rows(site string, among func(k runKey) bool) []Row {
 	var rows []Row
 	for i := range s.file.Policies {
 		if row := s.row(site, s.file.Policies[i].Name, among); row.Runs > 0 {
@@ -93,12 +93,12 @@
 
 // row sums a policy's plays, in the order of their keys: sums of floating-point numbers hang
 // on their order, and that of a map is another one each time.
-func (s *Summary) row(site, policy string, among func(k playKey) bool) Row {
+func (s *Summary) row(site, policy string, among func(k runKey) bool) Row {
 	row := Row{Site: site, Policy: policy}
-	plays, base := s.plays[policy], s.plays[s.file.Policies[0].Name]
+	plays, base := s.results[policy], s.results[s.file.Policies[0].Name]
 	var differences []float64
 	var kinds []emulator.Result
-	for _, key := range slices.SortedFunc(maps.Keys(plays), playKey.compare) {
+	for _, key := range slices.SortedFunc(maps.Keys(plays), runKey.compare) {
 		if !among(key) {
 			continue
 		}
@@ -159,8 +159,8 @@
 		return nil
 	}
 	var list []Row
-	for _, site := range s.file.Random.draw() {
-		for _, row := range s.rows(site.Name, func(k playKey) bool { return k.site == site.Name }) {
+	for _, site := range s.file.Random.generate() {
+		for _, row := range s.rows(site.Name, func(k runKey) bool { return k.site == site.Name }) {
 			if row.Difference > 2*row.StandardError && row.Difference > 0 {
 				list = append(list, row)
 			}
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -231,20 +231,20 @@
 }
 
 const (
-	readyPoll = 20 * time.Millisecond
-	readyWait = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	readyTimeout      = 30 * time.Second
 )
 
 // awaitReady waits until every entry has the catalogue and hears all agents.
 func (f *Fleet) awaitReady(ctx context.Context, agents int) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i := range f.Callers {
 		for f.liveAgents(ctx, i) < agents || f.get(ctx, "http://"+f.Callers[i]+"/readyz", nil) != nil {
 			select {
 			case <-ctx.Done():
-				return errors.Errorf("entry %d was not ready within %s", i, readyWait)
-			case <-time.After(readyPoll):
+				return errors.Errorf("entry %d was not ready within %s", i, readyTimeout)
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
@@ -290,17 +290,17 @@
 // AwaitNoHeldTokens sums the engines' held memory once it is zero, or after a wait; the
 // error names the engines that still hold some.
 func (f *Fleet) AwaitNoHeldTokens(ctx context.Context) (int, error) {
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for {
-		held, err := f.heldNow(ctx)
+		held, err := f.heldTokens(ctx)
 		if err == nil || time.Now().After(deadline) {
 			return held, err
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func (f *Fleet) heldNow(ctx context.Context) (int, error) {
+func (f *Fleet) heldTokens(ctx context.Context) (int, error) {
 	held := 0
 	var holders []string
 	for _, addr := range f.Engines {
--- a/bench/gatewaydemo.go
+++ b/bench/gatewaydemo.go
@@ -24,10 +24,10 @@
 }
 
 const (
-	demoWorkers  = 5
-	demoEvents   = 20
-	demoPace     = 10 * time.Millisecond
-	demoInterval = 20 * time.Millisecond
+	demoWorkers         = 5
+	demoEvents          = 20
+	demoEventInterval   = 10 * time.Millisecond
+	demoRequestInterval = 20 * time.Millisecond
 	// demoCutEvery makes a worker break off in the midst of an event now and then.
 	demoCutEvery = 8
 )
@@ -41,7 +41,7 @@
 	result := GatewayDemoResult{Workers: demoWorkers, Requests: requests}
 	var workers []*standinplatform.Worker
 	for i := range demoWorkers {
-		w := &standinplatform.Worker{ID: fmt.Sprint("w", i+1), Service: "model", Events: demoEvents, Pace: demoPace}
+		w := &standinplatform.Worker{ID: fmt.Sprint("w", i+1), Service: "model", Events: demoEvents, Pace: demoEventInterval}
 		if err := w.Start(); err != nil {
 			return result, errors.WithStack(err)
 		}
@@ -62,20 +62,20 @@
 		}
 		sending.Go(func() {
 			id := fmt.Sprint("q", i)
-			whole := wholeStream(ctx, client, g.CallersAddr(), id)
+			whole := streamIsComplete(ctx, client, g.CallersAddr(), id)
 			mu.Lock()
 			defer mu.Unlock()
 			if whole {
 				result.Complete++
 			}
 		})
-		time.Sleep(demoInterval)
+		time.Sleep(demoRequestInterval)
 	}
 	sending.Wait()
 	return result, nil
 }
 
-func wholeStream(ctx context.Context, client *http.Client, addr, id string) bool {
+func streamIsComplete(ctx context.Context, client *http.Client, addr, id string) bool {
 	response, err := client.Do(standinplatform.CallerRequest(addr, id, id).WithContext(ctx))
 	if err != nil {
 		return false
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -36,8 +36,8 @@
 	gatewayBody   = 1200
 	// benchRetryAllowance lets a single entry repeat a few requests at once.
 	benchRetryAllowance = 3200
-	// gatewayStart bounds the wait for the gateway's first configuration.
-	gatewayStart = 10 * time.Second
+	// gatewayReadyTimeout bounds the wait for the gateway's first configuration.
+	gatewayReadyTimeout = 10 * time.Second
 )
 
 // GatewayPath measures over this many pairs, with a gateway, the stand-in of the
@@ -100,7 +100,7 @@
 	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.HeaderCodec{}, Source: platform.NewStore(s.Store, dial), Reserver: orders, SlowdownReader: orders, Log: zap.NewNop()})
 	failed := make(chan error, 1)
 	go func() { failed <- g.Serve(ctx, make(chan os.Signal), nil) }()
-	for deadline := time.Now().Add(gatewayStart); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(gatewayReadyTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		select {
 		case err := <-failed:
 			return nil, err
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -25,12 +25,12 @@
 var limitsCases = []string{"even", "one entry", "skewed", "moving", "home dies"}
 
 const (
-	limitRate    = 100.0 // requests a second
-	offeredRate  = 200.0
-	limitsLength = 60 * time.Second
-	limitsStep   = 5 * time.Millisecond
-	limitsWindow = 10 // seconds
-	movePeriod   = 15 * time.Second
+	limitPerSecond   = 100.0 // requests a second
+	offeredPerSecond = 200.0
+	limitsDuration   = 60 * time.Second
+	limitsStep       = 5 * time.Millisecond
+	limitsWindow     = 10 // seconds
+	movePeriod       = 15 * time.Second
 )
 
 // Limits measures the account limits with the real limiter and lending in virtual
@@ -68,12 +68,12 @@
 		r.limiters = append(r.limiters, admission.NewLimiter())
 		r.shares = append(r.shares, admission.NewBorrower())
 	}
-	seconds := int(limitsLength / time.Second)
+	seconds := int(limitsDuration / time.Second)
 	r.admitted, r.offered = make([]int, seconds), make([]int, seconds)
 	nextBorrow := time.Duration(0)
-	for at := time.Duration(0); at < limitsLength; at += limitsStep {
+	for at := time.Duration(0); at < limitsDuration; at += limitsStep {
 		now := epoch.Add(at)
-		if name == "home dies" && at == limitsLength/2 {
+		if name == "home dies" && at == limitsDuration/2 {
 			// The next home begins without knowing what was lent.
 			r.lender = admission.NewLender(now)
 		}
@@ -98,7 +98,7 @@
 }
 
 func (r *limitsRun) arrivals(now time.Time, at time.Duration) {
-	for chance := offeredRate * limitsStep.Seconds(); chance > 0; chance-- {
+	for chance := offeredPerSecond * limitsStep.Seconds(); chance > 0; chance-- {
 		if chance < 1 && r.random.Float64() >= chance {
 			return
 		}
@@ -109,7 +109,7 @@
 		}
 		second := int(at / time.Second)
 		r.offered[second]++
-		if r.limiters[i].Admit(now, "account", admission.Limits{RequestsPerSecond: limitRate}, share, 1) == nil {
+		if r.limiters[i].Admit(now, "account", admission.Limits{RequestsPerSecond: limitPerSecond}, share, 1) == nil {
 			r.limiters[i].Done("account")
 			r.admitted[second]++
 		}
@@ -139,11 +139,11 @@
 		for _, n := range r.admitted[second-limitsWindow : second] {
 			sum += n
 		}
-		result.Overshoot = max(result.Overshoot, float64(sum)/(limitRate*limitsWindow)-1)
+		result.Overshoot = max(result.Overshoot, float64(sum)/(limitPerSecond*limitsWindow)-1)
 	}
 	for second := limitsWindow; second < len(r.admitted); second++ {
-		could += min(limitRate, float64(r.offered[second]))
-		did += min(limitRate, float64(r.admitted[second]))
+		could += min(limitPerSecond, float64(r.offered[second]))
+		did += min(limitPerSecond, float64(r.admitted[second]))
 	}
 	result.Unused = 1 - did/could
 	return result
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -72,29 +72,29 @@
 
 // The causes.
 const (
-	CauseRefused     Cause = "refused"
-	CauseNotReady    Cause = "no configuration yet"
-	CauseFailed      Cause = "failed at its endpoint"
-	CauseDeadline    Cause = "deadline passed"
-	CauseRestart     Cause = "in the seconds after a start"
-	CauseResumed     Cause = "went on after a break"
-	CauseQueued      Cause = "first event: held back"
-	CauseNotStarted  Cause = "first event: not begun"
-	CauseSlowPrefill Cause = "first event: read too late"
-	CauseLateAnswer  Cause = "answer of a plain service"
-	causePausePart         = "pause: parts of "
-	causePauseNone   Cause = "pause: no prefill known"
+	CauseRefused      Cause = "refused"
+	CauseNotReady     Cause = "no configuration yet"
+	CauseFailed       Cause = "failed at its endpoint"
+	CauseDeadline     Cause = "deadline passed"
+	CauseRestart      Cause = "in the seconds after a start"
+	CauseResumed      Cause = "went on after a break"
+	CauseQueued       Cause = "first event: held back"
+	CauseNotStarted   Cause = "first event: not begun"
+	CauseSlowPrefill  Cause = "first event: read too late"
+	CauseLateAnswer   Cause = "answer of a plain service"
+	causePausePrefix        = "pause: parts of "
+	causePauseUnknown Cause = "pause: no prefill known"
 )
 
 const (
-	// afterStart is for how long requests are put down to a start: connections that found
+	// restartPeriod is for how long requests are put down to a start: connections that found
 	// nobody are opened anew within a second, and what came together is served in another.
-	afterStart = 2 * time.Second
-	// blockedFactor is how many times as long as its own part and those before it a prompt
+	restartPeriod = 2 * time.Second
+	// notStartedFactor is how many times as long as its own part and those before it a prompt
 	// takes that an engine did not begin at once.
-	blockedFactor = 3
-	// heldShare is the part of the time to the first event that counts as held back.
-	heldShare = 0.5
+	notStartedFactor = 3
+	// queuedShare is the part of the time to the first event that counts as held back.
+	queuedShare = 0.5
 )
 
 // Loss is the requests of one route that were lost to one cause.
@@ -134,7 +134,7 @@
 
 // Analyze makes the account.
 func Analyze(r *Records) *Report {
-	a := &Report{LossBySecond: map[Cause][]float64{}, SizeClasses: bySize(r)}
+	a := &Report{LossBySecond: map[Cause][]float64{}, SizeClasses: groupBySize(r)}
 	totals := routeTotals(r.Requests)
 	for i := range r.Requests {
 		if !r.Requests[i].Excluded && (a.Start.IsZero() || r.Requests[i].ArrivedAt.Before(a.Start)) {
@@ -156,9 +156,9 @@
 		if q.Excluded {
 			continue
 		}
-		weight := size(q, totals[q.Route])
+		weight := weightOf(q, totals[q.Route])
 		weights[q.Route] += weight
-		cause, lost := judge(q, r.ProcessStarts, byEndpoint[q.Endpoint])
+		cause, lost := classify(q, r.ProcessStarts, byEndpoint[q.Endpoint])
 		if lost == 0 {
 			continue
 		}
@@ -219,38 +219,38 @@
 const (
 	fixedWeight = 0.3
 	sizeWeight  = 0.7
-	mostWeight  = 4
+	maxWeight   = 4
 )
 
-func size(q *Request, t *RouteTotal) float64 {
+func weightOf(q *Request, t *RouteTotal) float64 {
 	if t.MeanPromptTokens == 0 {
 		return 1
 	}
-	return min(fixedWeight+sizeWeight*float64(q.PromptTokens)/float64(t.MeanPromptTokens), mostWeight)
+	return min(fixedWeight+sizeWeight*float64(q.PromptTokens)/float64(t.MeanPromptTokens), maxWeight)
 }
 
 func served(q *Request) bool { return q.Code == result.OK }
 
-// judge gives what a request was lost to, and which part of its worth; 0: nothing.
-func judge(q *Request, starts []time.Time, there []PrefillPart) (Cause, float64) {
+// classify gives what a request was lost to, and which part of its worth; 0: nothing.
+func classify(q *Request, starts []time.Time, there []PrefillPart) (Cause, float64) {
 	switch {
 	case served(q) && q.Late == OnTime:
 		return "", 0
 	case !served(q):
-		return failure(q), 1
-	case afterAStart(q, starts):
+		return failureCause(q), 1
+	case duringRestart(q, starts):
 		return CauseRestart, 1 - lateWorth
 	case q.Resumed:
 		return CauseResumed, 1 - lateWorth
 	case q.PromptTokens == 0:
 		return CauseLateAnswer, 1 - lateWorth
 	case q.Late == LateFirst || q.Late == LateBoth:
-		return lateFirst(q, there), 1 - lateWorth
+		return lateFirstCause(q, there), 1 - lateWorth
 	}
-	return latePause(q, there), 1 - lateWorth
+	return latePauseCause(q, there), 1 - lateWorth
 }
 
-func failure(q *Request) Cause {
+func failureCause(q *Request) Cause {
 	switch {
 	case q.Code == result.NotReady:
 		return CauseNotReady
@@ -262,16 +262,16 @@
 	return CauseFailed
 }
 
-func afterAStart(q *Request, starts []time.Time) bool {
+func duringRestart(q *Request, starts []time.Time) bool {
 	return slices.ContainsFunc(starts, func(s time.Time) bool {
-		return !q.ArrivedAt.Before(s) && q.ArrivedAt.Sub(s) < afterStart
+		return !q.ArrivedAt.Before(s) && q.ArrivedAt.Sub(s) < restartPeriod
 	})
 }
 
-// lateFirst tells why a first event was late: the prompt was held back, an engine did not
+// lateFirstCause tells why a first event was late: the prompt was held back, an engine did not
 // begin it, or there was too much to read.
-func lateFirst(q *Request, there []PrefillPart) Cause {
-	if q.QueueTime > time.Duration(heldShare*float64(q.TimeToFirstEvent)) {
+func lateFirstCause(q *Request, there []PrefillPart) Cause {
+	if q.QueueTime > time.Duration(queuedShare*float64(q.TimeToFirstEvent)) {
 		return CauseQueued
 	}
 	ahead, own := time.Duration(0), time.Duration(0)
@@ -284,14 +284,14 @@
 			ahead += p.PrefillTime
 		}
 	}
-	if q.TimeToFirstEvent-q.QueueTime > blockedFactor*(ahead+own) {
+	if q.TimeToFirstEvent-q.QueueTime > notStartedFactor*(ahead+own) {
 		return CauseNotStarted
 	}
 	return CauseSlowPrefill
 }
 
-// latePause names the route whose parts were most of what was prefilled in a pause.
-func latePause(q *Request, there []PrefillPart) Cause {
+// latePauseCause names the route whose parts were most of what was prefilled in a pause.
+func latePauseCause(q *Request, there []PrefillPart) Cause {
 	sums := map[string]time.Duration{}
 	for _, p := range there {
 		if p.RequestID != q.ID && p.SentAt.Before(q.PauseEnd) && p.FirstTokenAt.After(q.PauseStart) {
@@ -305,7 +305,7 @@
 		}
 	}
 	if most == "" {
-		return causePauseNone
+		return causePauseUnknown
 	}
-	return Cause(causePausePart + most)
+	return Cause(causePausePrefix + most)
 }
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -14,12 +14,14 @@
 	"aspenyard.example/bench/days"
 )
 
-var day = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
+var dayStart = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-func at(seconds float64) time.Time { return day.Add(time.Duration(seconds * float64(time.Second))) }
+func at(seconds float64) time.Time {
+	return dayStart.Add(time.Duration(seconds * float64(time.Second)))
+}
 
-// ask is a request for a stream at endpoint e-1 that was served on time.
-func ask(id string, began float64, tokens int) Request {
+// servedRequest is a request for a stream at endpoint e-1 that was served on time.
+func servedRequest(id string, began float64, tokens int) Request {
 	return Request{ID: id, Route: "short", ArrivedAt: at(began), EndedAt: at(began + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
 }
 
@@ -27,9 +29,9 @@
 	return PrefillPart{RequestID: request, Route: route, Endpoint: "e-1", SentAt: at(from), FirstTokenAt: at(to), PrefillTime: time.Duration(ms) * time.Millisecond}
 }
 
-// one makes the account of a single late request, beside one that anchors the start.
-func one(q Request, starts []time.Time, parts ...PrefillPart) Cause {
-	a := Analyze(&Records{Requests: []Request{ask("anchor", 0, 1000), q}, ProcessStarts: starts, Parts: parts})
+// causeOf makes the account of a single late request, beside causeOf that anchors the start.
+func causeOf(q Request, starts []time.Time, parts ...PrefillPart) Cause {
+	a := Analyze(&Records{Requests: []Request{servedRequest("anchor", 0, 1000), q}, ProcessStarts: starts, Parts: parts})
 	if len(a.Losses) != 1 {
 		return ""
 	}
@@ -38,7 +40,7 @@
 
 func TestRequestsAreClassifiedByCause(t *testing.T) {
 	late := func(how Lateness, change func(q *Request)) Request {
-		q := ask("q", 10, 1000)
+		q := servedRequest("q", 10, 1000)
 		q.Late = how
 		if change != nil {
 			change(&q)
@@ -53,7 +55,7 @@
 		parts  []PrefillPart
 		want   Cause
 	}{
-		"on time":                 {ask("q", 10, 1000), nil, nil, ""},
+		"on time":                 {servedRequest("q", 10, 1000), nil, nil, ""},
 		"refused":                 {late(OnTime, func(q *Request) { q.Code, q.Refused = 3004, true }), nil, nil, CauseRefused},
 		"no configuration":        {late(OnTime, func(q *Request) { q.Code, q.Refused = result.NotReady, true }), nil, nil, CauseNotReady},
 		"deadline":                {late(OnTime, func(q *Request) { q.Code = result.DeadlineExceeded }), nil, nil, CauseDeadline},
@@ -65,23 +67,23 @@
 		"not begun":               {late(LateFirst, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 100)}, CauseNotStarted},
 		"read too late":           {late(LateBoth, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 400)}, CauseSlowPrefill},
 		"pause":                   {late(LatePause, pause), nil, []PrefillPart{part("x", "long", 10.1, 10.5, 300), part("y", "short", 10.1, 10.5, 50), part("z", "long", 11, 12, 900)}, "pause: parts of long"},
-		"pause, its own part":     {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseNone},
+		"pause, its own part":     {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseUnknown},
 		"plain service":           {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateAnswer},
 		"nothing that was owed":   {late(OnTime, func(q *Request) { q.Code, q.Excluded = 2004, true }), nil, nil, ""},
 		"its start came after it": {late(LateFirst, first), []time.Time{at(10.5)}, nil, CauseNotStarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(one(c.q, c.starts, c.parts...), c.want)
+			is.Equal(causeOf(c.q, c.starts, c.parts...), c.want)
 		})
 	}
 }
 
 func TestLossSharesAreWeightedBySizeAndSummedBySecond(t *testing.T) {
 	is := is.New(t)
-	big := ask("b", 2.5, 3000)
+	big := servedRequest("b", 2.5, 3000)
 	big.Code, big.Refused = 3004, true
-	a := Analyze(&Records{Requests: []Request{ask("a", 0, 1000), ask("c", 1, 2000), big}})
+	a := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), servedRequest("c", 1, 2000), big}})
 	is.Equal(a.Routes, []RouteTotal{{Route: "short", Asked: 3, MeanPromptTokens: 2000, OnTime: 2}})
 	is.Equal(len(a.Losses), 1)
 	want := (0.3 + 0.7*1.5) / 3
@@ -94,7 +96,7 @@
 	is := is.New(t)
 	r := &Records{Parts: []PrefillPart{part("x", "long", 0, 100, 400), {RequestID: "x", Endpoint: "e-2", SentAt: at(0), FirstTokenAt: at(1), PrefillTime: 200 * time.Millisecond}}}
 	for i := range 40 {
-		q := ask("q", float64(10+i), 1000*(i+1))
+		q := servedRequest("q", float64(10+i), 1000*(i+1))
 		switch {
 		case i >= 38:
 			q.Code, q.Refused, q.RefusalReason = 3004, true, RefusedLongParts
@@ -106,7 +108,7 @@
 		r.Requests = append(r.Requests, q)
 	}
 	sizes := Analyze(r).SizeClasses
-	is.Equal(len(sizes), sizeClasses+1)
+	is.Equal(len(sizes), sizeClassCount+1)
 	first, fifth, tenth := sizes[0], sizes[4], sizes[5]
 	is.Equal(first.Name, "fifth 1")
 	is.Equal([]int{first.MinTokens, first.MaxTokens, first.Asked, first.OnTime}, []int{1000, 8000, 8, 8})
@@ -120,9 +122,9 @@
 func TestWriteCreatesPageAndPlot(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	late := ask("q", 1, 1000)
+	late := servedRequest("q", 1, 1000)
 	late.Late = LateFirst
-	a := Analyze(&Records{Requests: []Request{ask("a", 0, 1000), late}})
+	a := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), late}})
 	is.NoErr(a.Write(dir, "day", &days.DayReport{Worth: 0.7, Classes: []days.Class{{Name: "kind", Asked: 2}}, Prices: map[string]float64{"orders": 0.01}}))
 	page, err := os.ReadFile(filepath.Join(dir, "day.md"))
 	is.NoErr(err)
--- a/bench/losses/page.go
+++ b/bench/losses/page.go
@@ -20,8 +20,8 @@
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	// causesPlotted is how many causes have a colour of their own; the rest is one.
-	causesPlotted = 6
+	// maxPlottedCauses is how many causes have a colour of their own; the rest is one.
+	maxPlottedCauses = 6
 )
 
 // Write writes name.md and name.svg into a directory. played is what the users reported of
@@ -43,7 +43,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Losses: %s\n\nMade by `aspenyard report losses`. Shares are parts of what a route is owed, weighed by size; a late answer\nloses %.2f of its worth. Logs leave some of the requests that ended well out, so that shares of a busy day are too large.\n\n![losses](%s.svg)\n", name, 1-lateWorth, name)
 	if played != nil {
-		writePlayed(&b, played)
+		writeDayReport(&b, played)
 	}
 	b.WriteString("\n| Route | Logged | Mean prompt | On time | Lost to | Requests | Share |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range a.Routes {
@@ -62,8 +62,8 @@
 	return b.String()
 }
 
-// writePlayed puts what the users reported of the day beside it.
-func writePlayed(b *strings.Builder, played *days.DayReport) {
+// writeDayReport puts what the users reported of the day beside it.
+func writeDayReport(b *strings.Builder, played *days.DayReport) {
 	fmt.Fprintf(b, "\nWorth %.3f as reported.\n\n| Kind | Asked | On time | Late | Refused | Failed | Earned |\n|---|---|---|---|---|---|---|\n", played.Worth)
 	for _, c := range played.Classes {
 		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %.3f |\n", c.Name, c.Asked, c.OnTime, c.Late, c.Refused, c.Failed, c.Earned)
@@ -126,14 +126,14 @@
 		}
 		return 1
 	})
-	if len(rows) <= causesPlotted {
+	if len(rows) <= maxPlottedCauses {
 		return rows
 	}
 	rest := stackedRow{name: "other", values: make(plotter.Values, seconds)}
-	for _, row := range rows[causesPlotted:] {
+	for _, row := range rows[maxPlottedCauses:] {
 		for i, v := range row.values {
 			rest.values[i] += v
 		}
 	}
-	return append(rows[:causesPlotted], rest)
+	return append(rows[:maxPlottedCauses], rest)
 }
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -24,15 +24,15 @@
 	RefusedOther RefusalReason = "other"
 )
 
-// refusals in the order of the table's columns.
-var refusals = []RefusalReason{RefusedTooLate, RefusedLongParts, RefusedMemory, RefusedOther}
+// refusalReasons in the order of the table's columns.
+var refusalReasons = []RefusalReason{RefusedTooLate, RefusedLongParts, RefusedMemory, RefusedOther}
 
 const (
-	// sizeClasses is in how many classes of equal number a route's prompts are divided by
+	// sizeClassCount is in how many classes of equal number a route's prompts are divided by
 	// their size; the users judge the largest fifth and the largest tenth.
-	sizeClasses = 5
-	// leastBySize is how many requests a route has at least to be divided.
-	leastBySize = 20
+	sizeClassCount = 5
+	// minRequestsBySize is how many requests a route has at least to be divided.
+	minRequestsBySize = 20
 )
 
 // SizeClass is what callers of one route got whose prompts are of like size.
@@ -55,23 +55,23 @@
 	PendingPrefill  time.Duration
 }
 
-// bySize divides the prompts of each route by their size.
-func bySize(r *Records) []SizeClass {
+// groupBySize divides the prompts of each route by their size.
+func groupBySize(r *Records) []SizeClass {
 	prompts := map[string][]*Request{}
 	for i := range r.Requests {
 		if q := &r.Requests[i]; !q.Excluded && q.PromptTokens > 0 {
 			prompts[q.Route] = append(prompts[q.Route], q)
 		}
 	}
-	engines := newActivity(r.Parts)
+	engines := newPrefillActivity(r.Parts)
 	var classes []SizeClass
 	for route, list := range prompts {
-		if len(list) < leastBySize {
+		if len(list) < minRequestsBySize {
 			continue
 		}
 		slices.SortFunc(list, func(a, b *Request) int { return cmp.Compare(a.PromptTokens, b.PromptTokens) })
-		for i := range sizeClasses {
-			part := list[i*len(list)/sizeClasses : (i+1)*len(list)/sizeClasses]
+		for i := range sizeClassCount {
+			part := list[i*len(list)/sizeClassCount : (i+1)*len(list)/sizeClassCount]
 			classes = append(classes, sizeClass(route, fmt.Sprintf("fifth %d", i+1), part, engines))
 		}
 		classes = append(classes, sizeClass(route, "largest tenth", list[len(list)*9/10:], engines))
@@ -80,7 +80,7 @@
 	return classes
 }
 
-func sizeClass(route, name string, list []*Request, engines *activity) SizeClass {
+func sizeClass(route, name string, list []*Request, engines *prefillActivity) SizeClass {
 	c := SizeClass{Route: route, Name: name, MinTokens: list[0].PromptTokens, MaxTokens: list[len(list)-1].PromptTokens, Asked: len(list), Refused: map[RefusalReason]int{}}
 	var held, expected, first []time.Duration
 	for _, q := range list {
@@ -96,9 +96,9 @@
 		default:
 			c.Failed++
 		}
-		held = appendSome(held, q.QueueTime)
-		expected = appendSome(expected, q.ExpectedFirstToken)
-		first = appendSome(first, q.TimeToFirstEvent)
+		held = appendNonZero(held, q.QueueTime)
+		expected = appendNonZero(expected, q.ExpectedFirstToken)
+		first = appendNonZero(first, q.TimeToFirstEvent)
 		reading, ahead := engines.at(q.ArrivedAt.Add(q.QueueTime), q.ID)
 		c.PrefillingShare += reading / float64(len(list))
 		c.PendingPrefill += ahead / time.Duration(len(list))
@@ -107,7 +107,7 @@
 	return c
 }
 
-func appendSome(list []time.Duration, d time.Duration) []time.Duration {
+func appendNonZero(list []time.Duration, d time.Duration) []time.Duration {
 	if d == 0 {
 		return list
 	}
@@ -123,23 +123,23 @@
 	return list[len(list)/2]
 }
 
-// activity tells what the engines that prompts were sent to had to prefill.
-type activity struct {
+// prefillActivity tells what the engines that prompts were sent to had to prefill.
+type prefillActivity struct {
 	parts   []PrefillPart
 	engines int
 }
 
-func newActivity(parts []PrefillPart) *activity {
+func newPrefillActivity(parts []PrefillPart) *prefillActivity {
 	engines := map[string]bool{}
 	for _, p := range parts {
 		engines[p.Endpoint] = true
 	}
-	return &activity{parts, len(engines)}
+	return &prefillActivity{parts, len(engines)}
 }
 
 // at gives the part of the engines that had something to prefill at a time, of requests other
 // than one, and the mean prefill under way at all of them.
-func (a *activity) at(t time.Time, but string) (reading float64, ahead time.Duration) {
+func (a *prefillActivity) at(t time.Time, but string) (reading float64, ahead time.Duration) {
 	if a.engines == 0 {
 		return 0, 0
 	}
@@ -160,13 +160,13 @@
 	}
 	b.WriteString("\nPrompts by size: medians of how long they were held back, when their first tokens were expected on arrival and when\nthey came; the part of the engines that were prefilling when they were sent or refused, and the mean prefill under way there.\n\n")
 	b.WriteString("| Route | Size | Tokens | Asked | On time | Late | Refused:")
-	for _, reason := range refusals {
+	for _, reason := range refusalReasons {
 		fmt.Fprintf(b, " %s |", reason)
 	}
-	b.WriteString(" Failed | Held, ms | Expected, ms | First, ms | Prefilling | Ahead, ms |\n|" + strings.Repeat("---|", 12+len(refusals)) + "\n")
+	b.WriteString(" Failed | Held, ms | Expected, ms | First, ms | Prefilling | Ahead, ms |\n|" + strings.Repeat("---|", 12+len(refusalReasons)) + "\n")
 	for _, c := range classes {
 		fmt.Fprintf(b, "| %s | %s | %d to %d | %d | %d | %d |", c.Route, c.Name, c.MinTokens, c.MaxTokens, c.Asked, c.OnTime, c.LateOrResumed)
-		for _, reason := range refusals {
+		for _, reason := range refusalReasons {
 			fmt.Fprintf(b, " %d |", c.Refused[reason])
 		}
 		fmt.Fprintf(b, " %d | %d | %d | %d | %.2f | %d |\n", c.Failed, c.QueueTime.Milliseconds(), c.ExpectedFirstToken.Milliseconds(), c.TimeToFirstEvent.Milliseconds(), c.PrefillingShare, c.PendingPrefill.Milliseconds())
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -69,8 +69,8 @@
 	}
 	r := with.summary()
 	r.Policy, r.Seed, r.Load = policy, w.Seed, w.Load
-	r.ShortSlowdown = ratio(shortFirst(with, 0.95), shortFirst(without, 0.95))
-	r.ShortSlowdownMean = ratio(shortFirst(with, -1), shortFirst(without, -1))
+	r.ShortSlowdown = ratio(shortFirstToken(with, 0.95), shortFirstToken(without, 0.95))
+	r.ShortSlowdownMean = ratio(shortFirstToken(with, -1), shortFirstToken(without, -1))
 	return r, nil
 }
 
@@ -81,19 +81,19 @@
 	return a / b
 }
 
-// shortFirst is a quantile, or with a negative one the mean, of the short
+// shortFirstToken is a quantile, or with a negative one the mean, of the short
 // requests' times to first token, in milliseconds. A request that never had one
 // counts with its whole time allowed.
-func shortFirst(m *experiment, q float64) float64 {
+func shortFirstToken(s *simulation, q float64) float64 {
 	var times []float64
 	sum := 0.0
-	for _, o := range m.outcomes {
-		if admission.Band(o.job.prompt) != 0 || o.refused {
+	for _, o := range s.outcomes {
+		if admission.Band(o.job.promptTokens) != 0 || o.refused {
 			continue
 		}
-		first := o.first
+		first := o.firstToken
 		if first == 0 {
-			first = o.job.allowed
+			first = o.job.timeout
 		}
 		times = append(times, first.Seconds()*1000)
 		sum += first.Seconds() * 1000
@@ -104,12 +104,12 @@
 	return quantile(times, q)
 }
 
-func (m *experiment) summary() PolicyResult {
-	r := PolicyResult{Goodput: map[string]float64{}, Requests: len(m.outcomes), PrefixReused: ratio(float64(m.cached), float64(m.prompts))}
+func (s *simulation) summary() PolicyResult {
+	r := PolicyResult{Goodput: map[string]float64{}, Requests: len(s.outcomes), PrefixReused: ratio(float64(s.cachedTokens), float64(s.promptTokens))}
 	offered, good := map[string]int{}, map[string]int{}
 	byAccount := map[string][2]int{}
 	refused, retried, retryGood := 0, 0, 0
-	for _, o := range m.outcomes {
+	for _, o := range s.outcomes {
 		if o.job.retried {
 			retried++
 			if o.done {
@@ -137,10 +137,10 @@
 	for class, n := range offered {
 		r.Goodput[class] = ratio(float64(good[class]), float64(n))
 	}
-	r.Refused = ratio(float64(refused), float64(len(m.outcomes)-retried))
+	r.Refused = ratio(float64(refused), float64(len(s.outcomes)-retried))
 	r.Retried, r.RetrySucceeded = retried, ratio(float64(retryGood), float64(retried))
 	r.Fairness = fairness(byAccount)
-	r.FirstToken = m.bands()
+	r.FirstToken = s.bands()
 	return r
 }
 
@@ -158,18 +158,18 @@
 	return ratio(small, large)
 }
 
-func (m *experiment) bands() []BandResult {
+func (s *simulation) bands() []BandResult {
 	var results []BandResult
 	for band, name := range LengthBands {
 		histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		count := 0
-		for _, o := range m.outcomes {
-			if admission.Band(o.job.prompt) != band || o.refused || o.job.retried {
+		for _, o := range s.outcomes {
+			if admission.Band(o.job.promptTokens) != band || o.refused || o.job.retried {
 				continue
 			}
-			first := o.first
+			first := o.firstToken
 			if first == 0 {
-				first = o.job.allowed
+				first = o.job.timeout
 			}
 			count++
 			_ = histogram.RecordValue(first.Microseconds())
--- a/bench/power.go
+++ b/bench/power.go
@@ -34,15 +34,15 @@
 
 // benchWorker is an endpoint whose work follows its demand, within its grant.
 type benchWorker struct {
-	limit *power.Limit
-	want  int
+	limit  *power.Limit
+	demand int
 }
 
-func (w *benchWorker) running() int { return min(w.want, w.limit.Slots()) }
+func (w *benchWorker) running() int { return min(w.demand, w.limit.Slots()) }
 
 func (w *benchWorker) report(name string) power.Report {
 	return power.Report{
-		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.want),
+		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.demand),
 		LimitWatts: w.limit.EnforcedWatts(w.running()), Revision: w.limit.Revision(),
 	}
 }
@@ -76,7 +76,7 @@
 	usable, used, equalUsed, writes := 0.0, 0.0, 0.0, 0
 	for round := range powerRounds {
 		for i, w := range workers {
-			w.want = wanted(random, name, round, i, w.want)
+			w.demand = demandOf(random, name, round, i, w.demand)
 		}
 		reports := make([]power.Report, 0, len(workers))
 		for i, w := range workers {
@@ -90,7 +90,7 @@
 			grant := ledger.Grants[fmt.Sprint("worker-", i)]
 			w.limit.Apply(grant.Incarnation, grant.Revision, grant.Watts)
 		}
-		could, did, equal, draw := account(workers)
+		could, did, equal, draw := sumUsage(workers)
 		usable, used, equalUsed = usable+could, used+did, equalUsed+equal
 		if draw > powerCap {
 			result.Exceeded++
@@ -101,24 +101,24 @@
 	return result, nil
 }
 
-// account sums, in watts above the floors, what the work could use of the cap, what
+// sumUsage sums, in watts above the floors, what the work could use of the cap, what
 // it used, and what it would have used with equal parts; and the whole draw.
-func account(workers []*benchWorker) (could, did, equal float64, draw uint64) {
+func sumUsage(workers []*benchWorker) (could, did, equal float64, draw uint64) {
 	const perSlot = (powerMax - powerFloor) / powerSlots
 	const equalSlots = (powerCap/powerEndpoints - powerFloor) / perSlot
 	wanted := 0
 	for _, w := range workers {
-		wanted += w.want
+		wanted += w.demand
 		did += float64(w.running() * perSlot)
-		equal += float64(min(w.want, equalSlots) * perSlot)
+		equal += float64(min(w.demand, equalSlots) * perSlot)
 		draw += w.limit.WorstCaseDraw(w.running())
 	}
 	could = min(float64(wanted*perSlot), powerCap-powerEndpoints*powerFloor)
 	return could, did, equal, draw
 }
 
-// wanted is an endpoint's demand in a round, in batch places.
-func wanted(random *rand.Rand, name string, round, i, before int) int {
+// demandOf is an endpoint's demand in a round, in batch places.
+func demandOf(random *rand.Rand, name string, round, i, before int) int {
 	switch name {
 	case "half idle":
 		if i%2 == 0 {
--- a/bench/run.go
+++ b/bench/run.go
@@ -28,18 +28,18 @@
 // outcome is what became of one request.
 type outcome struct {
 	job job
-	// first is the time to first token; ended the time to the end.
-	first, ended time.Duration
-	done         bool
-	refused      bool
-	retryAfter   time.Duration
-	retries      int
-	late         bool // its deadline passed before its end
+	// firstToken is the time to firstToken token; ended the time to the end.
+	firstToken, ended time.Duration
+	done              bool
+	refused           bool
+	retryAfter        time.Duration
+	retries           int
+	late              bool // its deadline passed before its end
 }
 
-// experiment runs the real routing and admission code before model engines in
+// simulation runs the real routing and admission code before model engines in
 // virtual time.
-type experiment struct {
+type simulation struct {
 	virtual.Clock
 	workload   Workload
 	conditions Conditions
@@ -50,20 +50,20 @@
 	outcomes   []*outcome
 	random     *rand.Rand
 	budgets    map[admission.Class]*admission.RetryBudget
-	// cached and prompts count prompt tokens served from the prefix cache and all.
-	cached, prompts int
-	numbered        uint64
+	// cachedTokens and promptTokens count prompt tokens served from the prefix cache and all.
+	cachedTokens, promptTokens int
+	lastNumber                 uint64
 }
 
 // benchEntry is one entry's knowledge.
 type benchEntry struct {
-	policy *routing.Policy
-	view   []routing.Endpoint
-	sent   map[string]int
+	policy   *routing.Policy
+	view     []routing.Endpoint
+	inFlight map[string]int
 }
 
 // Count implements routing.Outstanding.
-func (e *benchEntry) Count(endpoint string) int { return e.sent[endpoint] }
+func (e *benchEntry) Count(endpoint string) int { return e.inFlight[endpoint] }
 
 // benchEngine is one engine with its agent's queue.
 type benchEngine struct {
@@ -87,42 +87,42 @@
 	tokens  int
 }
 
-func (m *experiment) clock() time.Time { return m.epoch.Add(m.Now()) }
+func (s *simulation) wallTime() time.Time { return s.epoch.Add(s.Now()) }
 
 // simulate runs the jobs under a policy and returns what became of each.
-func simulate(policy string, jobs []job, w Workload, c Conditions) (*experiment, error) {
-	m := &experiment{
+func simulate(policy string, jobs []job, w Workload, c Conditions) (*simulation, error) {
+	s := &simulation{
 		workload: w, conditions: c, epoch: time.Unix(1_780_000_000, 0), pending: map[string]*pendingRequest{},
 		random: rand.New(rand.NewPCG(w.Seed, 11)), budgets: map[admission.Class]*admission.RetryBudget{},
 	}
 	for class := admission.Urgent; class <= admission.Bulk; class++ {
-		m.budgets[class] = admission.NewRetryBudget()
+		s.budgets[class] = admission.NewRetryBudget()
 	}
 	for i := range w.Engines {
-		m.engines = append(m.engines, newBenchEngine(i, w.Engine))
+		s.engines = append(s.engines, newBenchEngine(i, w.Engine))
 	}
 	for range c.Entries {
-		e := &benchEntry{sent: map[string]int{}}
+		e := &benchEntry{inFlight: map[string]int{}}
 		var err error
-		if e.policy, err = routing.New(policy, m.random, e); err != nil {
+		if e.policy, err = routing.New(policy, s.random, e); err != nil {
 			return nil, err
 		}
-		m.entries = append(m.entries, e)
-		e.view = make([]routing.Endpoint, len(m.engines))
-		for i, engine := range m.engines {
-			e.view[i] = engine.describe(e.policy, m.clock())
+		s.entries = append(s.entries, e)
+		e.view = make([]routing.Endpoint, len(s.engines))
+		for i, engine := range s.engines {
+			e.view[i] = engine.describe(e.policy, s.wallTime())
 		}
 	}
 	for i := range jobs {
 		j := jobs[i]
-		m.AfterFunc(j.at, func() { m.arrive(j) })
+		s.AfterFunc(j.arrivesAt, func() { s.arrive(j) })
 	}
-	m.AfterFunc(0, m.report)
+	s.AfterFunc(0, s.report)
 	if c.KillShare > 0 {
-		m.AfterFunc(w.Duration/2, m.killSome)
+		s.AfterFunc(w.Duration/2, s.killEngines)
 	}
-	m.RunUntil(w.Duration + drainTime)
-	return m, nil
+	s.RunUntil(w.Duration + drainTime)
+	return s, nil
 }
 
 // drainTime is how long after the last arrival a run goes on.
@@ -160,60 +160,60 @@
 }
 
 // report takes every engine's load now and shows it to the entries after the lag.
-func (m *experiment) report() {
-	for _, entry := range m.entries {
-		for i, engine := range m.engines {
-			shown := engine.describe(entry.policy, m.clock())
-			m.AfterFunc(m.conditions.ReportDelay, func() {
+func (s *simulation) report() {
+	for _, entry := range s.entries {
+		for i, engine := range s.engines {
+			shown := engine.describe(entry.policy, s.wallTime())
+			s.AfterFunc(s.conditions.ReportDelay, func() {
 				if !entry.view[i].Reported.After(shown.Reported) {
 					entry.view[i] = shown
 				}
 			})
 		}
 	}
-	m.AfterFunc(m.conditions.ReportInterval, m.report)
+	s.AfterFunc(s.conditions.ReportInterval, s.report)
 }
 
-func (m *experiment) arrive(j job) {
-	f := &pendingRequest{outcome: &outcome{job: j}, entry: m.entries[j.id%len(m.entries)], tried: map[string]bool{}}
-	m.outcomes = append(m.outcomes, f.outcome)
-	m.dispatch(f)
-	m.AfterFunc(j.allowed, func() { m.expire(f) })
+func (s *simulation) arrive(j job) {
+	p := &pendingRequest{outcome: &outcome{job: j}, entry: s.entries[j.id%len(s.entries)], tried: map[string]bool{}}
+	s.outcomes = append(s.outcomes, p.outcome)
+	s.dispatch(p)
+	s.AfterFunc(j.timeout, func() { s.expire(p) })
 }
 
 // dispatch routes a request, as an entry does.
-func (m *experiment) dispatch(f *pendingRequest) {
-	j := f.outcome.job
+func (s *simulation) dispatch(p *pendingRequest) {
+	j := p.outcome.job
 	request := routing.Request{
-		Model: benchModel, Class: j.class, PromptTokens: j.prompt, OutputTokens: j.output, Prefix: j.beginnings(),
-		DataCentre: "dc", Tried: f.tried,
+		Model: benchModel, Class: j.class, PromptTokens: j.promptTokens, OutputTokens: j.outputTokens, Prefix: j.prefixHashes(),
+		DataCentre: "dc", Tried: p.tried,
 	}
 	var refusal admission.Decision
-	var asking routing.RetryState
+	var retryState routing.RetryState
 	for again := true; again; {
-		picked := asking.Pick(m.clock(), f.entry.policy, &request, j.key, f.entry.view)
+		picked := retryState.Pick(s.wallTime(), p.entry.policy, &request, j.key, p.entry.view)
 		if picked == nil {
 			break
 		}
-		engine := m.find(picked.Name)
-		verdict := admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
+		engine := s.find(picked.Name)
+		decision := admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
 		if !engine.dead {
-			verdict = m.offer(f, engine, request.Key)
+			decision = s.offer(p, engine, request.Key)
 		}
-		if verdict.Accepted {
+		if decision.Accepted {
 			return
 		}
-		f.tried[engine.name] = true
-		if refusal.Code == 0 || verdict.Deferred || verdict.RetryAfter < refusal.RetryAfter {
-			refusal = verdict
+		p.tried[engine.name] = true
+		if refusal.Code == 0 || decision.Deferred || decision.RetryAfter < refusal.RetryAfter {
+			refusal = decision
 		}
-		again = asking.RecordRefusal(&request, f.entry.view, refusal.Code.Busy())
+		again = retryState.RecordRefusal(&request, p.entry.view, refusal.Code.Busy())
 	}
-	m.refuse(f, refusal)
+	s.refuse(p, refusal)
 }
 
-func (m *experiment) find(name string) *benchEngine {
-	for _, engine := range m.engines {
+func (s *simulation) find(name string) *benchEngine {
+	for _, engine := range s.engines {
 		if engine.name == name {
 			return engine
 		}
@@ -221,159 +221,159 @@
 	return nil
 }
 
-func (m *experiment) refuse(f *pendingRequest, verdict admission.Decision) {
-	f.outcome.refused = true
-	f.outcome.retryAfter = verdict.RetryAfter
-	j := f.outcome.job
-	if j.retried || verdict.Code == result.PromptTooLong || m.random.Float64() >= m.conditions.RetryShare {
+func (s *simulation) refuse(p *pendingRequest, decision admission.Decision) {
+	p.outcome.refused = true
+	p.outcome.retryAfter = decision.RetryAfter
+	j := p.outcome.job
+	if j.retried || decision.Code == result.PromptTooLong || s.random.Float64() >= s.conditions.RetryShare {
 		return
 	}
 	j.retried = true
-	m.AfterFunc(verdict.RetryAfter, func() {
-		j.at = m.Now()
-		m.arrive(j)
+	s.AfterFunc(decision.RetryAfter, func() {
+		j.arrivesAt = s.Now()
+		s.arrive(j)
 	})
 }
 
 // offer hands a request to an engine: through the agent's queue, or straight.
-func (m *experiment) offer(f *pendingRequest, engine *benchEngine, key uint64) admission.Decision {
-	j := f.outcome.job
-	m.numbered++
-	f.engine, f.number = engine, m.numbered
-	f.id = engine.name + "-" + time.Duration(m.numbered).String()
-	if !f.entry.policy.Admission {
-		engine.jobs[f.number] = f
-		f.entry.sent[engine.name]++
-		m.submit(f, 0)
+func (s *simulation) offer(p *pendingRequest, engine *benchEngine, key uint64) admission.Decision {
+	j := p.outcome.job
+	s.lastNumber++
+	p.engine, p.number = engine, s.lastNumber
+	p.id = engine.name + "-" + time.Duration(s.lastNumber).String()
+	if !p.entry.policy.Admission {
+		engine.jobs[p.number] = p
+		p.entry.inFlight[engine.name]++
+		s.submit(p, 0)
 		return admission.Decision{Accepted: true}
 	}
-	verdict := engine.queue.Offer(m.clock(), admission.Job{
-		ID: f.number, DeferralKey: key, Account: j.account, Class: j.class, PromptTokens: j.prompt, OutputTokens: j.output,
-		Deadline: m.epoch.Add(j.at + j.allowed),
+	decision := engine.queue.Offer(s.wallTime(), admission.Job{
+		ID: p.number, DeferralKey: key, Account: j.account, Class: j.class, PromptTokens: j.promptTokens, OutputTokens: j.outputTokens,
+		Deadline: s.epoch.Add(j.arrivesAt + j.timeout),
 	})
-	f.entry.view[engine.index] = engine.describe(f.entry.policy, m.clock())
-	if !verdict.Accepted {
-		return verdict
+	p.entry.view[engine.index] = engine.describe(p.entry.policy, s.wallTime())
+	if !decision.Accepted {
+		return decision
 	}
-	engine.jobs[f.number] = f
-	f.entry.sent[engine.name]++
-	engine.queue.MarkReady(f.number)
-	m.pump(engine)
-	return verdict
+	engine.jobs[p.number] = p
+	p.entry.inFlight[engine.name]++
+	engine.queue.MarkReady(p.number)
+	s.startJobs(engine)
+	return decision
 }
 
-func (m *experiment) pump(engine *benchEngine) {
+func (s *simulation) startJobs(engine *benchEngine) {
 	for {
 		number, found := engine.queue.StartNext()
 		if !found {
 			return
 		}
-		f := engine.jobs[number]
-		m.submit(f, int(admission.LevelOf(f.outcome.job.class, f.outcome.job.prompt)))
+		p := engine.jobs[number]
+		s.submit(p, int(admission.LevelOf(p.outcome.job.class, p.outcome.job.promptTokens)))
 	}
 }
 
-func (m *experiment) submit(f *pendingRequest, priority int) {
-	j := f.outcome.job
-	m.pending[f.id] = f
-	sequence := &standin.Sequence{ID: f.id, Priority: priority, PromptTokens: j.prompt, MaxTokens: j.output, Blocks: j.blocks()}
-	if f.engine.model.Submit(sequence) != nil {
-		m.end(f)
-		m.refuse(f, admission.Decision{Code: result.PromptTooLong})
+func (s *simulation) submit(p *pendingRequest, priority int) {
+	j := p.outcome.job
+	s.pending[p.id] = p
+	sequence := &standin.Sequence{ID: p.id, Priority: priority, PromptTokens: j.promptTokens, MaxTokens: j.outputTokens, Blocks: j.blocks()}
+	if p.engine.model.Submit(sequence) != nil {
+		s.end(p)
+		s.refuse(p, admission.Decision{Code: result.PromptTooLong})
 		return
 	}
-	m.step(f.engine)
+	s.step(p.engine)
 }
 
 // step runs an engine's batch steps, one after the other, while it has work.
-func (m *experiment) step(engine *benchEngine) {
+func (s *simulation) step(engine *benchEngine) {
 	if engine.stepping || engine.dead || !engine.model.Busy() {
 		return
 	}
 	engine.stepping = true
 	duration, events := engine.model.Step()
-	m.AfterFunc(duration, func() {
+	s.AfterFunc(duration, func() {
 		engine.stepping = false
 		if engine.dead {
 			return
 		}
 		for _, e := range events {
-			m.token(e)
+			s.token(e)
 		}
-		m.step(engine)
+		s.step(engine)
 	})
 }
 
-func (m *experiment) token(e standin.Event) {
-	f := m.pending[e.ID]
-	if f == nil {
+func (s *simulation) token(e standin.Event) {
+	p := s.pending[e.ID]
+	if p == nil {
 		return
 	}
-	f.tokens++
-	if f.tokens == 1 && f.outcome.first == 0 {
-		f.outcome.first = m.Now() - f.outcome.job.at
-		f.engine.queue.MarkPrefilled(f.number)
-		if f.entry.policy.Admission {
-			m.pump(f.engine)
+	p.tokens++
+	if p.tokens == 1 && p.outcome.firstToken == 0 {
+		p.outcome.firstToken = s.Now() - p.outcome.job.arrivesAt
+		p.engine.queue.MarkPrefilled(p.number)
+		if p.entry.policy.Admission {
+			s.startJobs(p.engine)
 		}
-		m.prompts += f.outcome.job.prompt
-		for _, state := range f.engine.model.States() {
-			if state.ID == f.id {
-				m.cached += state.Cached
+		s.promptTokens += p.outcome.job.promptTokens
+		for _, state := range p.engine.model.States() {
+			if state.ID == p.id {
+				s.cachedTokens += state.Cached
 			}
 		}
 	}
 	if e.Finished {
-		f.outcome.done = true
-		f.outcome.ended = m.Now() - f.outcome.job.at
-		m.budgets[f.outcome.job.class].RecordSuccess()
-		m.end(f)
+		p.outcome.done = true
+		p.outcome.ended = s.Now() - p.outcome.job.arrivesAt
+		s.budgets[p.outcome.job.class].RecordSuccess()
+		s.end(p)
 	}
 }
 
 // end frees what a request holds.
-func (m *experiment) end(f *pendingRequest) {
-	engine := f.engine
-	if engine == nil || engine.jobs[f.number] == nil {
+func (s *simulation) end(p *pendingRequest) {
+	engine := p.engine
+	if engine == nil || engine.jobs[p.number] == nil {
 		return
 	}
-	delete(engine.jobs, f.number)
-	delete(m.pending, f.id)
-	f.entry.sent[engine.name]--
-	engine.model.Release(f.id)
-	engine.queue.Remove(f.number)
-	if f.entry.policy.Admission {
-		m.pump(engine)
+	delete(engine.jobs, p.number)
+	delete(s.pending, p.id)
+	p.entry.inFlight[engine.name]--
+	engine.model.Release(p.id)
+	engine.queue.Remove(p.number)
+	if p.entry.policy.Admission {
+		s.startJobs(engine)
 	}
-	m.step(engine)
+	s.step(engine)
 }
 
-func (m *experiment) expire(f *pendingRequest) {
-	if f.outcome.done || f.outcome.refused {
+func (s *simulation) expire(p *pendingRequest) {
+	if p.outcome.done || p.outcome.refused {
 		return
 	}
-	f.outcome.late = true
-	m.end(f)
+	p.outcome.late = true
+	s.end(p)
 }
 
-// killSome ends a share of the engines; their requests go on elsewhere as far as
+// killEngines ends a share of the engines; their requests go on elsewhere as far as
 // the retry budget allows.
-func (m *experiment) killSome() {
-	count := int(m.conditions.KillShare * float64(len(m.engines)))
-	for _, engine := range m.engines[:count] {
+func (s *simulation) killEngines() {
+	count := int(s.conditions.KillShare * float64(len(s.engines)))
+	for _, engine := range s.engines[:count] {
 		engine.dead = true
 		for _, number := range slices.Sorted(maps.Keys(engine.jobs)) {
-			f := engine.jobs[number]
-			delete(m.pending, f.id)
-			f.entry.sent[engine.name]--
-			f.tried[engine.name] = true
-			if !m.budgets[f.outcome.job.class].Take() {
-				f.outcome.refused, f.outcome.retryAfter = true, time.Second
+			p := engine.jobs[number]
+			delete(s.pending, p.id)
+			p.entry.inFlight[engine.name]--
+			p.tried[engine.name] = true
+			if !s.budgets[p.outcome.job.class].Take() {
+				p.outcome.refused, p.outcome.retryAfter = true, time.Second
 				continue
 			}
-			f.outcome.retries++
-			f.tokens = 0
-			m.dispatch(f)
+			p.outcome.retries++
+			p.tokens = 0
+			s.dispatch(p)
 		}
 		engine.jobs = map[uint64]*pendingRequest{}
 	}
--- a/bench/virtual/virtual.go
+++ b/bench/virtual/virtual.go
@@ -10,9 +10,9 @@
 // Clock is a virtual clock and what is still to happen. The zero value is at time 0. Not
 // safe for concurrent use.
 type Clock struct {
-	now    time.Duration
-	events events
-	order  int
+	now          time.Duration
+	events       eventHeap
+	lastSequence int
 }
 
 // Now is the time since the clock's start.
@@ -21,38 +21,38 @@
 // AfterFunc makes something happen after a while. What is due at one time happens in the order
 // in which it was asked for.
 func (c *Clock) AfterFunc(d time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.events, event{c.now + d, c.order, do})
+	c.lastSequence++
+	heap.Push(&c.events, event{c.now + d, c.lastSequence, do})
 }
 
 // RunUntil lets happen what is due until a time, that included.
 func (c *Clock) RunUntil(until time.Duration) {
-	for len(c.events) > 0 && c.events[0].at <= until {
+	for len(c.events) > 0 && c.events[0].dueAt <= until {
 		next := heap.Pop(&c.events).(event)
-		c.now = next.at
+		c.now = next.dueAt
 		next.do()
 	}
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	dueAt    time.Duration
+	sequence int
+	do       func()
 }
 
-type events []event
+type eventHeap []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventHeap) Len() int { return len(q) }
+func (q eventHeap) Less(i, j int) bool {
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].sequence < q[j].sequence
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *events) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventHeap) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop implements heap.Interface.
-func (q *events) Pop() any {
+func (q *eventHeap) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -34,17 +34,17 @@
 
 // job is one request of a workload.
 type job struct {
-	id      int
-	at      time.Duration
-	class   admission.Class
-	account string
-	prompt  int
-	output  int
-	// prefix names the text that the first shared tokens have in common with
+	id           int
+	arrivesAt    time.Duration
+	class        admission.Class
+	account      string
+	promptTokens int
+	outputTokens int
+	// prefix names the text that the first sharedTokens tokens have in common with
 	// other requests.
-	prefix, shared int
-	allowed        time.Duration
-	retried        bool
+	prefix, sharedTokens int
+	timeout              time.Duration
+	retried              bool
 }
 
 // The mix of lengths, in tokens, besides the long ones: most prompts are short.
@@ -68,14 +68,14 @@
 // entry's work, which the demo and the scenarios show. For longer prompts the
 // engines have to be larger.
 const (
-	longLow       = 100_001
-	accounts      = 10
-	largeAccounts = 2
-	largeShare    = 0.35 // of the requests, for each large account
-	prefixPool    = 40
-	sharedChance  = 0.5
-	burstTime     = 0.1
-	burstPeriod   = 20 * time.Second
+	minLongPrompt      = 100_001
+	accounts           = 10
+	largeAccounts      = 2
+	largeShare         = 0.35 // of the requests, for each large account
+	prefixPool         = 40
+	sharedPrefixChance = 0.5
+	burstTimeShare     = 0.1
+	burstPeriod        = 20 * time.Second
 )
 
 // deadlines by class: how long a caller waits for the whole answer.
@@ -87,49 +87,49 @@
 // wait for answers, so that a late system does not slow its own load.
 func (w Workload) jobs() []job {
 	random := rand.New(rand.NewPCG(w.Seed, 7))
-	rate := w.Load * float64(w.Engines) / w.meanCost()
+	rate := w.Load * float64(w.Engines) / w.meanEngineSeconds()
 	var jobs []job
 	at := time.Duration(0)
 	for {
-		at += time.Duration(random.ExpFloat64() / (rate * w.intensity(at)) * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / (rate * w.rateFactor(at)) * float64(time.Second))
 		if at > w.Duration {
 			return jobs
 		}
-		jobs = append(jobs, w.draw(random, len(jobs), at))
+		jobs = append(jobs, w.drawJob(random, len(jobs), at))
 	}
 }
 
-// intensity is the rate at a time over the mean rate.
-func (w Workload) intensity(at time.Duration) float64 {
+// rateFactor is the rate at a time over the mean rate.
+func (w Workload) rateFactor(at time.Duration) float64 {
 	burst := max(1, w.Burst)
-	quiet := (1 - burstTime*burst) / (1 - burstTime)
+	quiet := (1 - burstTimeShare*burst) / (1 - burstTimeShare)
 	if quiet <= 0 {
 		quiet = 0.05
 	}
-	if float64(at%burstPeriod) < burstTime*float64(burstPeriod) {
+	if float64(at%burstPeriod) < burstTimeShare*float64(burstPeriod) {
 		return burst
 	}
 	return quiet
 }
 
-// meanCost is the engine time of a mean request, in seconds.
-func (w Workload) meanCost() float64 {
+// meanEngineSeconds is the engine time of a mean request, in seconds.
+func (w Workload) meanEngineSeconds() float64 {
 	random := rand.New(rand.NewPCG(99, 99))
 	sum := 0.0
 	const samples = 20_000
 	for i := range samples {
-		sum += w.cost(w.draw(random, i, 0))
+		sum += w.engineSeconds(w.drawJob(random, i, 0))
 	}
 	return sum / samples
 }
 
-func (w Workload) cost(j job) float64 {
+func (w Workload) engineSeconds(j job) float64 {
 	c := w.Engine.WithDefaults()
-	return float64(j.prompt)/float64(c.PrefillRate()) + float64(j.output)*c.DecodeTime.Seconds()
+	return float64(j.promptTokens)/float64(c.PrefillRate()) + float64(j.outputTokens)*c.DecodeTime.Seconds()
 }
 
-// memoryShare is an engine's memory over the longest prompt, as in the default size.
-const memoryShare = 4.0 / 3
+// memoryFactor is an engine's memory over the longest prompt, as in the default size.
+const memoryFactor = 4.0 / 3
 
 // EngineFor sizes the engines so that one holds the longest prompt; the default
 // size if that is enough.
@@ -137,10 +137,10 @@
 	if longest <= DefaultLongestPrompt {
 		return standin.Config{}
 	}
-	return standin.Config{MemoryTokens: int(memoryShare * float64(longest))}
+	return standin.Config{MemoryTokens: int(memoryFactor * float64(longest))}
 }
 
-func (w Workload) longest() int {
+func (w Workload) longestPrompt() int {
 	if w.LongestPrompt == 0 {
 		return DefaultLongestPrompt
 	}
@@ -151,27 +151,27 @@
 	return int(float64(low) * math.Pow(float64(high)/float64(low), random.Float64()))
 }
 
-func (w Workload) draw(random *rand.Rand, id int, at time.Duration) job {
-	j := job{id: id, at: at, output: 32 + random.IntN(200), account: drawAccount(random)}
+func (w Workload) drawJob(random *rand.Rand, id int, at time.Duration) job {
+	j := job{id: id, arrivesAt: at, outputTokens: 32 + random.IntN(200), account: drawAccount(random)}
 	if random.Float64() < w.LongShare {
-		j.prompt = logUniform(random, longLow, w.longest())
+		j.promptTokens = logUniform(random, minLongPrompt, w.longestPrompt())
 	} else {
 		pick := random.Float64()
 		for _, band := range lengthBands {
 			if pick -= band.share; pick < 0 {
-				j.prompt = logUniform(random, band.low, band.high)
+				j.promptTokens = logUniform(random, band.low, band.high)
 				break
 			}
 		}
-		if j.prompt == 0 {
-			j.prompt = lengthBands[0].low
+		if j.promptTokens == 0 {
+			j.promptTokens = lengthBands[0].low
 		}
 	}
-	j.class = drawClass(random, j.prompt)
-	j.allowed = deadlines[j.class]
-	if random.Float64() < sharedChance {
+	j.class = drawClass(random, j.promptTokens)
+	j.timeout = deadlines[j.class]
+	if random.Float64() < sharedPrefixChance {
 		j.prefix = 1 + random.IntN(prefixPool)
-		j.shared = min(j.prompt, 1024<<random.IntN(3))
+		j.sharedTokens = min(j.promptTokens, 1024<<random.IntN(3))
 	}
 	return j
 }
@@ -201,17 +201,17 @@
 
 // blocks gives the prefix-cache blocks of the request's prompt.
 func (j *job) blocks() []uint64 {
-	blocks := make([]uint64, j.prompt/standin.BlockTokens)
+	blocks := make([]uint64, j.promptTokens/standin.BlockTokens)
 	for i := range blocks {
 		blocks[i] = j.hash((i + 1) * standin.BlockTokens)
 	}
 	return blocks
 }
 
-// beginnings gives the hashes that routing knows a prompt by.
-func (j *job) beginnings() []uint64 {
+// prefixHashes gives the hashes that routing knows a prompt by.
+func (j *job) prefixHashes() []uint64 {
 	var hashes []uint64
-	for tokens := 1024; tokens <= j.prompt; tokens *= 2 {
+	for tokens := 1024; tokens <= j.promptTokens; tokens *= 2 {
 		hashes = append(hashes, j.hash(tokens))
 	}
 	return hashes
@@ -222,7 +222,7 @@
 
 // hash is the same for two requests exactly when their first tokens are.
 func (j *job) hash(tokens int) uint64 {
-	if tokens <= j.shared {
+	if tokens <= j.sharedTokens {
 		return xxhash.Sum64String("shared " + strconv.Itoa(j.prefix) + " " + strconv.Itoa(tokens))
 	}
 	return xxhash.Sum64String("own " + strconv.Itoa(j.id) + " " + strconv.Itoa(tokens))
@@ -232,7 +232,7 @@
 func withoutLong(jobs []job) []job {
 	var kept []job
 	for _, j := range jobs {
-		if j.prompt < longLow {
+		if j.promptTokens < minLongPrompt {
 			kept = append(kept, j)
 		}
 	}
