--- a/bench/emulator/baselines.go
+++ b/bench/emulator/baselines.go
@@ -8,10 +8,11 @@
 	"aspenyard.example/routing/direct"
 )
 
-// maxHelpers is how many engines may prefill parts of a prompt beside its first.
+// maxHelpers is the number of helpers that may prefill parts of a prompt under FixedSplit.
 const maxHelpers = 16
 
-// placeBaseline sends a request as the policies do that the product's is compared with.
+// placeBaseline places a request by one of the policies that the product's is compared with.
+// It refuses only prompts that are larger than the KV cache of one engine.
 func (r *request) placeBaseline() {
 	sim := r.sim
 	if r.promptTokens+maxOutputTokens > sim.config.Engine.KVCacheTokens {
@@ -36,33 +37,36 @@
 	})
 }
 
+// randomEngine returns an engine drawn at random.
 func (sim *simulation) randomEngine() *engine {
 	return sim.engines[sim.endpoints[sim.rand.IntN(len(sim.endpoints))].Incarnation]
 }
 
-// engineList gives the engines in the order of their list.
+// engineList returns the engines in the order of the endpoint list.
 func (sim *simulation) engineList() []*engine {
 	list := make([]*engine, 0, len(sim.endpoints))
-	for _, listed := range sim.endpoints {
-		list = append(list, sim.engines[listed.Incarnation])
+	for _, endpoint := range sim.endpoints {
+		list = append(list, sim.engines[endpoint.Incarnation])
 	}
 	return list
 }
 
-// shuffledEngines gives the engines in a random order, so that equal ones are not taken in turn.
+// shuffledEngines returns the engines in random order, so that ties between equally loaded
+// engines do not always go to the same one.
 func (sim *simulation) shuffledEngines() []*engine {
 	list := sim.engineList()
 	sim.rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-// leastOutstanding gives the first engine to which the entry has sent leastOutstanding that has not ended.
+// leastOutstanding returns the first engine at which this entry has the fewest requests in
+// flight.
 func (e *entry) leastOutstanding(list []*engine) *engine {
 	return slices.MinFunc(list, func(a, b *engine) int { return cmp.Compare(e.inFlight[a], e.inFlight[b]) })
 }
 
-// fixedSplit gives an engine of the half for prompts that are not long, or of the other half one
-// and its helpers.
+// fixedSplit returns an engine of the half for short prompts, or, for a long prompt, an engine
+// of the other half and its helpers.
 func (e *entry) fixedSplit(r *request) (*engine, []*engine) {
 	list := r.sim.engineList()
 	half := max(len(list)/2, 1)
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -1,7 +1,7 @@
-// Package emulator plays the placing of requests over several entries before model engines
-// in virtual time: the real policy with its ledgers, what entries tell each other, and a
-// model of engines. It exists so that a test can play a load and check what callers get,
-// without a network and the same way each time.
+// Package emulator simulates, in virtual time, how several entries place requests on engines.
+// It runs the real placement policy with its load trackers, the heartbeats between entries,
+// and a model of the engines. A test can run a load and check what callers get without a
+// network and with the same result each time.
 package emulator
 
 import (
@@ -17,37 +17,38 @@
 	"aspenyard.example/routing/direct"
 )
 
-// Kind is a kind of request.
+// Kind describes one kind of request.
 type Kind struct {
 	Name string
-	// MeanTokens is the mean prompt, Spread its standard deviation over the mean, MostTokens
-	// the longest.
+	// MeanTokens is the mean prompt length, Spread its standard deviation divided by the
+	// mean, and MaxTokens the longest prompt.
 	MeanTokens, Spread float64
 	MaxTokens          int
-	// Events is how many a stream has.
+	// Events is the number of events of each stream.
 	Events int
-	// RequestsPerSecond is how many come.
+	// RequestsPerSecond is the mean arrival rate.
 	RequestsPerSecond float64
-	// Target is the time to the first event, MaxPause that between events.
+	// Target is the longest time to the first event, and MaxPause the longest pause between
+	// events, with which a request counts as on time.
 	Target, MaxPause time.Duration
 }
 
-// LoadChange changes how many requests of each kind come, from a time on.
+// LoadChange changes the arrival rate of each kind from a time on.
 type LoadChange struct {
 	At time.Duration
-	// RateFactors multiply PerSecond, by kind.
+	// RateFactors multiply RequestsPerSecond, one factor for each kind.
 	RateFactors []float64
 }
 
-// Slowdown makes engines slow for a time.
+// Slowdown makes some engines slow for a time.
 type Slowdown struct {
 	From, To time.Duration
-	// Engines is how many, Pace how many times as long their work takes.
+	// Engines is the number of slow engines, and Factor multiplies the time of their work.
 	Engines int
 	Factor  float64
 }
 
-// Config is a site and its load.
+// Config describes a simulated site, its load and its policy.
 type Config struct {
 	Seed             uint64
 	Entries, Engines int
@@ -55,80 +56,84 @@
 	Kinds            []Kind
 	LoadChanges      []LoadChange
 	Slowdowns        []Slowdown
-	// Duration is for how long requests come.
+	// Duration is the time during which requests arrive; those in flight then still end.
 	Duration time.Duration
-	// SlowdownKnownAfter is how long after it the entries know that an engine has turned slow; 0:
-	// never.
+	// SlowdownKnownAfter is the delay after which the entries know that an engine has become
+	// slow or normal again; 0: they never do.
 	SlowdownKnownAfter time.Duration
-	// Policy places requests; empty: the product's.
+	// Policy places the requests; empty means Product.
 	Policy Policy
-	// Disabled are mechanisms of the product's policy that are taken out.
+	// Disabled lists mechanisms of the product's policy that are switched off.
 	Disabled []Mechanism
-	// HeartbeatInterval is the time between two words of an entry to the others; 0: 100 ms.
+	// HeartbeatInterval is the time between an entry's heartbeats to the others; 0: 100 ms.
 	HeartbeatInterval time.Duration
-	// HeartbeatLoss is the part of these words that is lost, 0 to 1.
+	// HeartbeatLoss is the share of heartbeats that are lost, 0 to 1.
 	HeartbeatLoss float64
-	// Skew is how many times as much the busiest entry gets as the idlest; the others lie
-	// between. 0 or 1: callers come to all alike.
+	// Skew is the arrival rate of the busiest entry divided by that of the least busy; the
+	// others lie linearly between. 0 or 1: all entries get the same rate.
 	Skew float64
 }
 
-// Policy names a way of placing requests.
+// Policy names a placement policy.
 type Policy string
 
-// The product's policy and what it is compared with. The others send each prompt to one
-// engine, know only what their own entry has sent, hold nothing back, and refuse only what
-// is over one engine's memory.
+// The product's policy and the baselines. A baseline sends each prompt to one engine, except
+// for FixedSplit, knows only the requests of its own entry, queues nothing, and refuses only
+// prompts that are larger than the KV cache of one engine.
 const (
-	Product          Policy = "product"
-	Random           Policy = "random"
+	Product Policy = "product"
+	Random  Policy = "random"
+	// LeastOutstanding picks the engine with the fewest of the entry's requests in flight.
 	LeastOutstanding Policy = "least_outstanding"
-	TwoChoices       Policy = "two_choices"
-	// FixedSplit keeps one half of the engines for prompts that are not long and prefills
-	// long ones in parts on the other.
+	// TwoChoices draws two engines and picks the one with fewer requests in flight.
+	TwoChoices Policy = "two_choices"
+	// FixedSplit uses one half of the engines for short prompts and the other half for long
+	// ones, which it prefills in parts.
 	FixedSplit Policy = "fixed_split"
 )
 
-// Policies lists all.
+// Policies returns all policies, Product first.
 func Policies() []Policy {
 	return []Policy{Product, Random, LeastOutstanding, TwoChoices, FixedSplit}
 }
 
-// Mechanism names a part of the product's policy.
+// Mechanism names a part of the product's policy that can be switched off.
 type Mechanism string
 
-// What can be taken out.
+// The mechanisms of the product's policy.
 const (
 	// Affinity: each entry prefers engines of its own.
 	Affinity Mechanism = "affinity"
-	// Heartbeats: entries tell each other what they have sent.
+	// Heartbeats: entries report their load to each other.
 	Heartbeats Mechanism = "heartbeats"
-	// Announcing: long prompts are told at once.
+	// Announcing: an entry sends a heartbeat as soon as it sends a long prompt.
 	Announcing Mechanism = "announcing"
-	// Waiting: long prompts wait while engines have enough to prefill.
+	// Waiting: long prompts are queued while the engines have enough to prefill.
 	Waiting Mechanism = "waiting"
-	// Refusing: what is expected too late is refused.
+	// Refusing: long prompts whose first token is expected too late are refused.
 	Refusing Mechanism = "refusing"
 )
 
-// Mechanisms lists all.
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{Affinity, Heartbeats, Announcing, Waiting, Refusing}
 }
 
+// enabled reports whether a mechanism is not switched off.
 func (c *Config) enabled(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
 
-// Result is what callers of one kind got.
+// Result counts the outcomes of the requests of one kind.
 type Result struct {
 	Kind string
-	// OnTime, LateFirst, LatePause and Refused sum up to Asked.
+	// Asked counts all requests; OnTime, LateFirst (first event after the target), LatePause
+	// (a pause longer than allowed) and Refused add up to it.
 	Asked, OnTime, LateFirst, LatePause, Refused int
-	// Largest is how many are longer than nine of ten, LargestServed how many of them were
-	// not refused.
+	// Largest counts the prompts in the longest tenth of the kind's length distribution,
+	// LargestServed those of them that were not refused.
 	Largest, LargestServed int
 }
 
-// Add adds what callers of the same kind got in another play.
+// Add adds the counts of the same kind from another run.
 func (r *Result) Add(other Result) {
 	r.Asked += other.Asked
 	r.OnTime += other.OnTime
@@ -139,22 +144,23 @@
 	r.LargestServed += other.LargestServed
 }
 
-// OnTimeShare is the part of requests that were on time.
+// OnTimeShare is the share of requests that were on time, 0 to 1.
 func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
 
 const (
-	// defaultHeartbeatInterval is the time between two words of an entry to the others.
+	// defaultHeartbeatInterval applies where Config.HeartbeatInterval is 0.
 	defaultHeartbeatInterval = 100 * time.Millisecond
-	// maxOutputTokens bound an answer, for the memory that it needs.
+	// maxOutputTokens is the output length for which KV cache is reserved.
 	maxOutputTokens = 1300
-	// maxPlacements is how many endpoints a request is placed on until one has room.
+	// maxPlacements is the number of placements that are tried for a request until its
+	// helpers have memory for it.
 	maxPlacements = 4
 	serviceName   = "m"
-	// minMessageDelay and maxMessageDelay bound how long a message takes.
+	// minMessageDelay and maxMessageDelay bound the delay of a message between two nodes.
 	minMessageDelay, maxMessageDelay = time.Millisecond, 4 * time.Millisecond
 )
 
-// simulation is one play.
+// simulation is the state of one run.
 type simulation struct {
 	virtual.Clock
 	config    *Config
@@ -167,16 +173,16 @@
 	results   []Result
 }
 
-// entry is one entry's view and policy.
+// entry is one simulated entry.
 type entry struct {
 	name string
-	// inFlight is what it has sent to each engine, for the baselines.
+	// inFlight counts its requests at each engine; only the baselines use it.
 	inFlight map[*engine]int
 	tracker  *direct.LoadTracker
 	policy   *direct.Policy
 }
 
-// request is one caller's request.
+// request is one simulated request.
 type request struct {
 	sim          *simulation
 	entry        *entry
@@ -188,11 +194,12 @@
 	load         *direct.RequestLoad
 	engine       *engine
 	queued       *direct.QueuedPrompt
-	// latestStart is until when it may be held back, from its arrival.
+	// latestStart is how long after its arrival the request may still leave the queue.
 	latestStart time.Duration
 }
 
-// Simulate plays a load and gives what callers of each kind got.
+// Simulate runs a load until its last request has ended and returns a result for each kind,
+// in the order of the kinds.
 func Simulate(c *Config) []Result {
 	sim := &simulation{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
 	sim.service = &directory.Service{Name: serviceName, Engine: &c.Engine}
@@ -205,19 +212,20 @@
 	return sim.results
 }
 
+// setUp creates the engines and entries and schedules heartbeats, arrivals and slowdowns.
 func (sim *simulation) setUp() {
 	for i := range sim.config.Engines {
-		listed := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: serviceName, Slots: sim.config.Engine.Slots}, Position: i}
-		sim.endpoints = append(sim.endpoints, listed)
-		sim.engines[listed.Incarnation] = &engine{sim: sim, spec: &sim.config.Engine, slowdown: 1}
+		endpoint := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: serviceName, Slots: sim.config.Engine.Slots}, Position: i}
+		sim.endpoints = append(sim.endpoints, endpoint)
+		sim.engines[endpoint.Incarnation] = &engine{sim: sim, spec: &sim.config.Engine, slowdown: 1}
 	}
 	for i := range sim.config.Entries {
-		ledger := direct.NewLoadTracker()
-		ledger.SetEntryCount(sim.config.Entries)
+		tracker := direct.NewLoadTracker()
+		tracker.SetEntryCount(sim.config.Entries)
 		if sim.config.enabled(Affinity) {
-			ledger.SetRank(i, sim.config.Entries)
+			tracker.SetRank(i, sim.config.Entries)
 		}
-		e := &entry{name: fmt.Sprint(i), inFlight: map[*engine]int{}, tracker: ledger, policy: direct.NewPolicy(ledger, rand.New(rand.NewPCG(sim.config.Seed, uint64(i+2))))}
+		e := &entry{name: fmt.Sprint(i), inFlight: map[*engine]int{}, tracker: tracker, policy: direct.NewPolicy(tracker, rand.New(rand.NewPCG(sim.config.Seed, uint64(i+2))))}
 		sim.entries = append(sim.entries, e)
 		if sim.config.enabled(Heartbeats) {
 			sim.AfterFunc(sim.heartbeatInterval()*time.Duration(i)/time.Duration(sim.config.Entries), func() { sim.sendHeartbeats(e) })
@@ -231,14 +239,15 @@
 	}
 }
 
-// scheduleSlowdown makes the last engines scheduleSlowdown, which are those for long prompts, and every other one.
+// scheduleSlowdown slows every other engine from the end of the list, where the engines for
+// long prompts are.
 func (sim *simulation) scheduleSlowdown(s *Slowdown) {
 	for i := range s.Engines {
-		listed := sim.endpoints[len(sim.endpoints)-1-2*i]
-		set := func(pace float64) {
-			sim.engines[listed.Incarnation].slowdown = pace
+		endpoint := sim.endpoints[len(sim.endpoints)-1-2*i]
+		set := func(factor float64) {
+			sim.engines[endpoint.Incarnation].slowdown = factor
 			if sim.config.SlowdownKnownAfter > 0 {
-				sim.AfterFunc(sim.config.SlowdownKnownAfter, func() { sim.reportSlowdown(listed.Incarnation, pace, s.To) })
+				sim.AfterFunc(sim.config.SlowdownKnownAfter, func() { sim.reportSlowdown(endpoint.Incarnation, factor, s.To) })
 			}
 		}
 		sim.AfterFunc(s.From, func() { set(s.Factor) })
@@ -246,19 +255,21 @@
 	}
 }
 
-// reportSlowdown tells all entries how slow an engine is, again and again while it lasts.
-func (sim *simulation) reportSlowdown(life directory.Incarnation, pace float64, until time.Duration) {
+// reportSlowdown tells all entries how slow an engine is, and repeats that each second until
+// the slowdown ends.
+func (sim *simulation) reportSlowdown(incarnation directory.Incarnation, factor float64, until time.Duration) {
 	for _, e := range sim.entries {
-		e.tracker.SetSlowdown(sim.wallTime(), life, pace)
+		e.tracker.SetSlowdown(sim.wallTime(), incarnation, factor)
 	}
-	if pace > 1 && sim.Now() < until {
-		sim.AfterFunc(time.Second, func() { sim.reportSlowdown(life, sim.engines[life].slowdown, until) })
+	if factor > 1 && sim.Now() < until {
+		sim.AfterFunc(time.Second, func() { sim.reportSlowdown(incarnation, sim.engines[incarnation].slowdown, until) })
 	}
 }
 
+// wallTime is the virtual time as the policy reads it.
 func (sim *simulation) wallTime() time.Time { return sim.epoch.Add(sim.Now()) }
 
-// sendHeartbeats tells the other entries of one's load, and again while requests come.
+// sendHeartbeats sends an entry's heartbeats while requests arrive.
 func (sim *simulation) sendHeartbeats(e *entry) {
 	sim.sendHeartbeat(e)
 	if sim.Now() < sim.config.Duration {
@@ -270,22 +281,24 @@
 	return cmp.Or(sim.config.HeartbeatInterval, defaultHeartbeatInterval)
 }
 
+// sendHeartbeat sends an entry's load to all others; each copy may be lost.
 func (sim *simulation) sendHeartbeat(e *entry) {
-	demands, opens := e.tracker.Demands(sim.wallTime()), e.tracker.Loads(sim.wallTime())
+	demands, loads := e.tracker.Demands(sim.wallTime()), e.tracker.Loads(sim.wallTime())
 	for _, other := range sim.entries {
 		lost := sim.config.HeartbeatLoss > 0 && sim.rand.Float64() < sim.config.HeartbeatLoss
 		if other != e && !lost {
-			sim.AfterFunc(sim.messageDelay(), func() { other.tracker.ReplacePeerLoad(sim.wallTime(), e.name, demands, opens) })
+			sim.AfterFunc(sim.messageDelay(), func() { other.tracker.ReplacePeerLoad(sim.wallTime(), e.name, demands, loads) })
 		}
 	}
 }
 
-// messageDelay is how long a message takes: those of several entries overtake each other.
+// messageDelay draws the delay of a message. As delays differ, messages may overtake each
+// other.
 func (sim *simulation) messageDelay() time.Duration {
 	return minMessageDelay + time.Duration(sim.rand.Int64N(int64(maxMessageDelay-minMessageDelay)))
 }
 
-// arrive begins a request of a kind and lets the next one come.
+// arrive starts a request of a kind and schedules the arrival of the next one.
 func (sim *simulation) arrive(kind int) {
 	if sim.Now() >= sim.config.Duration {
 		return
@@ -303,7 +316,7 @@
 	sim.AfterFunc(time.Duration(sim.rand.ExpFloat64()/max(rate, minRate)*float64(time.Second)), func() { sim.arrive(kind) })
 }
 
-// pickEntry gives the entry that a caller comes to.
+// pickEntry draws the entry at which a request arrives, weighted by Config.Skew.
 func (sim *simulation) pickEntry() *entry {
 	n := len(sim.entries)
 	if sim.config.Skew <= 1 || n == 1 {
@@ -319,40 +332,43 @@
 	return sim.entries[n-1]
 }
 
-// minRate lets a kind that does not come look again at the turns.
+// minRate is the least rate at which arrivals are scheduled, in requests a second, so that a
+// kind with rate 0 notices the next load change.
 const minRate = 0.5
 
+// rateFactor is the factor of the latest load change for a kind.
 func (sim *simulation) rateFactor(kind int) float64 {
 	factor := 1.0
-	for _, t := range sim.config.LoadChanges {
-		if sim.Now() >= t.At {
-			factor = t.RateFactors[kind]
+	for _, change := range sim.config.LoadChanges {
+		if sim.Now() >= change.At {
+			factor = change.RateFactors[kind]
 		}
 	}
 	return factor
 }
 
-// ninthDecileZ is how many standard deviations of a normal distribution nine of ten are
-// under.
+// ninthDecileZ is the 0.9 quantile of the standard normal distribution.
 const ninthDecileZ = 1.2816
 
-// inLargestTenth tells whether a prompt is longer than nine of ten of its kind.
+// inLargestTenth reports whether a prompt is in the longest tenth of its kind's distribution.
 func (k *Kind) inLargestTenth(tokens int) bool {
 	sigma := k.logSigma()
 	return float64(tokens) > k.MeanTokens*math.Exp(ninthDecileZ*sigma-sigma*sigma/2)
 }
 
-// logSigma is the standard deviation of the logarithm of a prompt's length.
+// logSigma is the standard deviation of the logarithm of the prompt length.
 func (k *Kind) logSigma() float64 { return math.Sqrt(math.Log(1 + k.Spread*k.Spread)) }
 
-// drawPromptTokens draws a prompt's length: log-normal, with the kind's mean and spread.
+// drawPromptTokens draws a prompt length from the log-normal distribution with the kind's
+// mean and spread, bounded by MaxTokens.
 func (sim *simulation) drawPromptTokens(k *Kind) int {
 	sigma := k.logSigma()
 	drawn := k.MeanTokens * math.Exp(sigma*sim.rand.NormFloat64()-sigma*sigma/2)
 	return min(max(int(drawn), 1), k.MaxTokens)
 }
 
-// start places a request; a long prompt is refused when it would be late, or waits.
+// start handles a request that has arrived. Short prompts are placed at once; a long prompt is
+// refused if its first token is expected too late, else queued.
 func (r *request) start() {
 	sim := r.sim
 	if sim.config.Policy != "" && sim.config.Policy != Product {
@@ -373,7 +389,8 @@
 	r.waitForRoom()
 }
 
-// waitForRoom holds the request back until there is room, and refuses it if that is too late.
+// waitForRoom polls until the engines have room for a queued prompt, and refuses it if there
+// is none by its latest start.
 func (r *request) waitForRoom() {
 	sim := r.sim
 	room := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
@@ -389,12 +406,13 @@
 	r.place()
 }
 
-// place sends a request to an engine, or to another one where its memory finds no room.
+// place places a request and sends it. A placement whose helpers lack memory is replaced by
+// one at another engine; the request is refused when none is left.
 func (r *request) place() {
 	sim := r.sim
-	placing := direct.Request{Service: sim.service, PromptTokens: r.promptTokens, OutputTokens: maxOutputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
+	placement := direct.Request{Service: sim.service, PromptTokens: r.promptTokens, OutputTokens: maxOutputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
 	for range maxPlacements {
-		plan := r.entry.policy.Place(sim.wallTime(), &placing, sim.endpoints)
+		plan := r.entry.policy.Place(sim.wallTime(), &placement, sim.endpoints)
 		if plan == nil || plan.Overloaded {
 			break
 		}
@@ -406,12 +424,12 @@
 			r.submit(plan, j)
 			return
 		}
-		placing.Tried[plan.Endpoint.Incarnation] = true
+		placement.Tried[plan.Endpoint.Incarnation] = true
 	}
 	r.result.Refused++
 }
 
-// submit gives a request to the first engine of its plan.
+// submit records the request's load and sends it to its plan's endpoint.
 func (r *request) submit(plan *direct.Plan, j *job) {
 	r.load = r.entry.tracker.Begin(r.sim.wallTime(), plan)
 	if plan.Long && r.sim.config.enabled(Announcing) && r.sim.config.enabled(Heartbeats) {
@@ -421,12 +439,14 @@
 	r.sim.AfterFunc(r.sim.messageDelay(), func() { r.engine.submit(j) })
 }
 
+// finishPrefill ends the prefill part of the request's load at its first event.
 func (r *request) finishPrefill() {
 	if r.load != nil {
 		r.load.FinishPrefill()
 	}
 }
 
+// finish ends the request's load and counts its outcome.
 func (r *request) finish(j *job) {
 	if r.load != nil {
 		r.load.End()
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -10,8 +10,8 @@
 	"aspenyard.example/directory"
 )
 
-// Numbers of a site of 21 engines behind four entries whose mix of short and long prompts
-// turns every ten seconds, as a user's does.
+// The site of most tests: 21 engines and four entries, where the mix of short and long prompts
+// changes every ten seconds, as on a user's site.
 const (
 	testEngineCount = 21
 	testEntryCount  = 4
@@ -32,8 +32,8 @@
 	}
 }
 
-// changingMix is a load whose mix turns from the usual one to long prompts, to short ones and
-// back.
+// changingMix is a load whose mix changes from the usual one to mostly long prompts, to short
+// ones and back to long ones.
 func changingMix(seed uint64) *Config {
 	return &Config{
 		Seed: seed, Entries: testEntryCount, Engines: testEngineCount, Engine: testEngine(), Kinds: testKinds(), Duration: 33 * time.Second,
@@ -41,7 +41,7 @@
 	}
 }
 
-// simulateSeeds sums what callers got over seeds.
+// simulateSeeds sums the results of seedCount runs with different seeds.
 func simulateSeeds(t *testing.T, config func(seed uint64) *Config) (short, medium, long Result) {
 	t.Helper()
 	sums := make([]Result, 3)
@@ -57,15 +57,16 @@
 	return sums[0], sums[1], sums[2]
 }
 
-// seedCount are played and summed: 33 s of requests each.
+// seedCount is the number of runs that a test sums.
 const seedCount = 6
 
-// Symptom: on a site whose mix turns, short streams pause for over 250 ms and long prompts
-// begin after seconds. Sequence: see turning. Cause, each seen with its mechanism taken
-// out: entries that do not know what memory others use (0.75 of long prompts on time), short
-// prompts on engines for long ones (0.75 of short ones), no waiting for engines with enough
-// to prefill (0.76 of short ones), no refusal of what would hold up others (0.73 of long
-// ones), parts of medium ones on engines for short ones (0.809 of short ones).
+// Guards against pauses of over 250 ms in short streams, and first tokens of long prompts after
+// seconds, when the mix changes as in changingMix. Each cause was seen with its mechanism
+// removed: entries do not know what memory others use (0.75 of long prompts on time); short
+// prompts run on engines for long ones (0.75 of short ones on time); long prompts do not wait
+// for engines with enough to prefill (0.76 of short ones); prompts that would delay others are
+// not refused (0.73 of long ones); parts of medium prompts run on engines for short ones (0.809
+// of short ones).
 func TestTargetsAreMetAsTheLoadMixChanges(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := simulateSeeds(t, changingMix)
@@ -74,7 +75,8 @@
 	is.True(long.OnTimeShare() > 0.78)
 }
 
-// largeLongPrompts is a load in which a third of the long prompts need more memory than one engine has.
+// largeLongPrompts is a load in which a third of the long prompts need more memory than one
+// engine has.
 func largeLongPrompts(seed uint64) *Config {
 	c := changingMix(seed)
 	c.LoadChanges = nil
@@ -82,8 +84,8 @@
 	return c
 }
 
-// Symptom: short streams pause whenever a prompt comes that needs more memory than one
-// engine has. Cause: its parts were prefilled on all engines (0.51 of short ones on time).
+// Guards against pauses of short streams whenever a prompt arrives that needs more memory than
+// one engine has. Its parts were prefilled on all engines (0.51 of short prompts on time).
 func TestShortStreamsAreNotDelayedByPromptsLargerThanOneEngine(t *testing.T) {
 	is := is.New(t)
 	short, _, long := simulateSeeds(t, largeLongPrompts)
@@ -91,8 +93,8 @@
 	is.True(long.OnTimeShare() > 0.85)
 }
 
-// largeSite is a load on 69 engines behind 24 entries, whose mix turns from long prompts to short
-// ones; the mean long prompt needs as much memory as one engine has.
+// largeSite is a load on 69 engines behind 24 entries whose mix changes from long prompts to
+// short ones. The mean long prompt needs as much memory as one engine has.
 func largeSite(seed uint64) *Config {
 	c := &Config{Seed: seed, Entries: 24, Engines: 69, Engine: testEngine(), Kinds: testKinds(), Duration: 20 * time.Second}
 	c.Engine.Slots, c.Engine.KVCacheTokens, c.Engine.Stride = 12, 197_200, 48
@@ -103,27 +105,28 @@
 	return c
 }
 
-// Symptom: after the mix has turned to short prompts most of these are late by their first
-// event, and long ones wait at their entries for as long as their target is, while engines
-// are idle half of the time. Sequence: prompts of over half of an engine's memory are sent
-// to engines on which two like them decode; the largest ones begin before shorter ones. Causes,
-// each seen with its change taken out: such prompts were not reserved for, so that they
-// waited at their first engine and all parts that they had elsewhere counted as prefill under
-// way for three to six seconds (0.599 of short ones on time, 0.911 of medium ones); all began
-// under the same limit, whatever they take of it (0.755 of long ones, 0.701 of short ones).
-// With neither: 0.488, 0.867 and 0.625. And short prompts of several entries met in one pass
-// of an engine, as these weighed engines drawn anew for each prompt (0.764 of short ones).
+// Guards against late first events of most short prompts after the mix has changed to them,
+// while long prompts queue at their entries for their whole target and engines are idle half of
+// the time. It happens when prompts that need over half of an engine's memory are sent to
+// engines where two such prompts decode, and the largest prompts start before shorter ones. Each
+// cause was seen with its fix removed. Without a reservation for such prompts they waited at
+// their engine, and all their parts at helpers counted as pending prefill for three to six
+// seconds (0.599 of short prompts on time, 0.911 of medium ones). With one limit for all prompts,
+// however much of it each takes: 0.755 of long ones and 0.701 of short ones. With neither fix:
+// 0.488 of short, 0.867 of medium and 0.625 of long ones. Short prompts of several entries
+// also met in one pass of an engine when entries compared engines drawn anew for each prompt
+// (0.764 of short ones).
 func TestPromptsAsLargeAsAnEngineDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := simulateSeeds(t, largeSite)
 	is.True(short.OnTimeShare() > 0.78)
 	is.True(medium.OnTimeShare() > 0.92)
 	is.True(long.OnTimeShare() > 0.79)
-	is.True(10*long.LargestServed > 2*long.Largest) // the longest tenth is not starved
+	is.True(10*long.LargestServed > 2*long.Largest) // more than a fifth of the longest tenth is served
 }
 
-// slowEngines is a load at a steady mix, in which a seventh or a fifth of the engines are slow
-// for a while.
+// slowEngines is a load with a constant mix, during which a fifth and later a seventh of the
+// engines are slow for a while.
 func slowEngines(seed uint64) *Config {
 	c := changingMix(seed)
 	c.LoadChanges = nil
@@ -132,15 +135,15 @@
 	return c
 }
 
-// Symptom: half of the long prompts are late while a few engines are slow. Cause: nobody
-// knew which, and every prompt in parts waited for them (0.48 on time).
+// Guards against half of the long prompts being late while a few engines are slow. No entry knew
+// which engines were slow, and every prompt in parts waited for them (0.48 on time).
 func TestSlowEnginesDoNotMakeLongPromptsLate(t *testing.T) {
 	is := is.New(t)
 	_, _, long := simulateSeeds(t, slowEngines)
 	is.True(long.OnTimeShare() > 0.66)
 }
 
-// The same seed gives the same play, and every request ends once.
+// The same seed gives the same results, and every request has exactly one outcome.
 func TestSimulationIsDeterministicAndEveryRequestEndsOnce(t *testing.T) {
 	is := is.New(t)
 	one, two := Simulate(changingMix(7)), Simulate(changingMix(7))
@@ -150,10 +153,10 @@
 	}
 }
 
-// highLoad is a load at which the engines for long prompts are in use most of the time: 65 of
-// them behind 22 entries, a mix that turns from long prompts to short ones and back, and prompts
-// that a seventeenth of which is longer than most streams may pause. All kinds come so many times
-// as often as usual.
+// highLoad is a load that keeps the engines for long prompts busy most of the time: 65 engines
+// behind 22 entries, a mix that changes from long prompts to short ones and back, and prompts so
+// long that prefilling a seventeenth of one takes longer than most streams may pause. load
+// multiplies the arrival rate of all kinds.
 func highLoad(load float64) func(seed uint64) *Config {
 	return func(seed uint64) *Config {
 		return &Config{
@@ -172,7 +175,8 @@
 	}
 }
 
-// Guards against long prompts of which the largest tenth is refused most of the time while others are served.
+// Guards against refusing most of the largest tenth of the long prompts while shorter ones are
+// served.
 func TestTheLargestPromptsAreServedBesideOthers(t *testing.T) {
 	for _, load := range []float64{0.5, 1, 2} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
@@ -186,7 +190,7 @@
 	}
 }
 
-// Guards against long prompts that are sent when they can only be late, into a rush of short ones.
+// Guards against sending long prompts that can only be late into a burst of short ones.
 func TestUnmeetableLongPromptsDoNotDelayABurstOfShortOnes(t *testing.T) {
 	is := is.New(t)
 	short, _, long := simulateSeeds(t, highLoad(1))
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -9,60 +9,64 @@
 	"aspenyard.example/routing/direct"
 )
 
-// job is a request as its first engine has it.
+// job is a request as the engine that it was sent to holds it.
 type job struct {
 	request *request
-	// memoryTokens is what it needs there, priority its priority.
+	// memoryTokens is the KV cache that the request needs at that engine. Jobs of lower
+	// priority values start first.
 	memoryTokens, priority int
 	helpers                []*engine
-	// reservingHelpers of the helpers are each asked to hold reservedTokens tokens, of which requiredTokens must
-	// be held; reservedAt do.
+	// The first reservingHelpers helpers are each asked to reserve KV cache for
+	// reservedTokens tokens; together they must reserve at least requiredTokens. reservedAt
+	// are the helpers that did.
 	reservingHelpers, reservedTokens, requiredTokens int
 	reservedAt                                       []*engine
 	partPrefill                                      time.Duration
-	// unfinishedParts are its parts that are not prefilled; eventsLeft those that are left to write.
+	// unfinishedParts counts the parts that are not prefilled yet, eventsLeft the events of
+	// the stream that are not written yet.
 	unfinishedParts, eventsLeft int
 	firstEventAt, lastEventAt   time.Duration
 }
 
-// promptPart is a promptPart of a prompt that waits to be prefilled.
+// promptPart is a part of a prompt that waits to be prefilled.
 type promptPart struct {
 	job         *job
 	prefillTime time.Duration
-	// tokens is its part of the prompt.
+	// tokens is the length of the part.
 	tokens int
 }
 
-// engine is a model engine. It works in passes: everything that waits to be prefilled goes
-// into the next one, and everyone who decodes writes one event at its end. Left out: the
-// limit of tokens in a pass, the way of messages, and what holding a part of the context
-// costs.
+// engine models an engine. While requests decode it works in passes: a pass prefills all
+// pending parts, and each decoding request writes one event at its end. While none decodes
+// it prefills the newest part first. The model leaves out the limit of tokens in a pass, the
+// delay of messages between engines, and the cost of holding a part of the context.
 type engine struct {
 	sim  *simulation
 	spec *directory.Engine
-	// slowdown is how many times as long as described its work takes.
+	// slowdown multiplies the time of all work; 1 is the speed of spec.
 	slowdown     float64
 	waiting      []*job // for a slot or memory
 	pendingParts []promptPart
 	decoding     []*job
-	usedTokens   int // memory in use, in tokens
-	usedSlots    int // in use
-	inPass       bool
-	// prefillingNewest is set while the newest part is read, since readingSince; readings is how
-	// many times one began to be.
+	usedTokens   int // KV cache in use, reservations included
+	usedSlots    int
+	inPass       bool // a pass is under way
+	// prefillingNewest is set while the newest part is prefilled outside a pass, which
+	// started at prefillSince. prefillCount counts such starts and identifies the current one.
 	prefillingNewest bool
 	prefillSince     time.Duration
 	prefillCount     int
 }
 
-// submit gives the engine a request.
+// submit queues a job by its priority.
 func (e *engine) submit(j *job) {
 	e.waiting = append(e.waiting, j)
 	slices.SortStableFunc(e.waiting, func(a, b *job) int { return cmp.Compare(a.priority, b.priority) })
 	e.admit()
 }
 
-// admit begins waiting requests as long as the first of them has a slot and memory.
+// admit starts waiting jobs, in order, until the first of them finds no free slot or too
+// little KV cache.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -78,14 +82,15 @@
 	}
 }
 
-// addPart gives the engine a part to read.
+// addPart adds a part to prefill, which interrupts the prefill of an older one.
 func (e *engine) addPart(p promptPart) {
 	e.interruptPrefill()
 	e.pendingParts = append(e.pendingParts, p)
 	e.startNext()
 }
 
-// startNext begins a pass, or to read, unless a pass is under way.
+// startNext starts a pass if requests decode here, else the prefill of the newest part. It
+// does nothing while a pass is under way.
 func (e *engine) startNext() {
 	if e.inPass {
 		return
@@ -96,14 +101,16 @@
 		return
 	}
 	e.inPass = true
-	reading := e.pendingParts
+	parts := e.pendingParts
 	e.pendingParts = nil
-	e.sim.AfterFunc(e.slowed(e.passTime(reading)), func() { e.endPass(reading) })
+	e.sim.AfterFunc(e.slowed(e.passTime(parts)), func() { e.endPass(parts) })
 }
 
+// slowed is the time that work of duration d takes at the engine's current speed.
 func (e *engine) slowed(d time.Duration) time.Duration { return time.Duration(e.slowdown * float64(d)) }
 
-// startPrefillOfNewest reads the newest part, unless another one comes before it is done.
+// startPrefillOfNewest starts the prefill of the newest part outside a pass. A part that
+// arrives before the end interrupts it.
 func (e *engine) startPrefillOfNewest() {
 	if len(e.pendingParts) == 0 {
 		return
@@ -111,8 +118,8 @@
 	e.prefillingNewest, e.prefillSince = true, e.sim.Now()
 	e.prefillCount++
 	number, newest := e.prefillCount, e.pendingParts[len(e.pendingParts)-1]
-	length := newest.prefillTime + time.Duration(e.prefillSteps(newest.tokens))*e.spec.StepTime
-	e.sim.AfterFunc(e.slowed(length), func() {
+	duration := newest.prefillTime + time.Duration(e.prefillSteps(newest.tokens))*e.spec.StepTime
+	e.sim.AfterFunc(e.slowed(duration), func() {
 		if !e.prefillingNewest || e.prefillCount != number {
 			return
 		}
@@ -124,7 +131,8 @@
 	})
 }
 
-// interruptPrefill leaves the rest of the part that is being read.
+// interruptPrefill stops the prefill of the newest part and keeps what is left of it for
+// later.
 func (e *engine) interruptPrefill() {
 	if !e.prefillingNewest {
 		return
@@ -135,17 +143,18 @@
 	newest.prefillTime = max(newest.prefillTime-done, 0)
 }
 
-// passTime is how long a pass takes: the steps that everyone who decodes needs for an event,
-// and the prefill.
-func (e *engine) passTime(reading []promptPart) time.Duration {
-	length := direct.DecodeTime(e.spec, len(e.decoding), e.usedTokens)
-	for _, p := range reading {
-		length += p.prefillTime
+// passTime is the duration of a pass at normal speed: the decode steps of one event, and the
+// prefill of the parts.
+func (e *engine) passTime(parts []promptPart) time.Duration {
+	duration := direct.DecodeTime(e.spec, len(e.decoding), e.usedTokens)
+	for _, p := range parts {
+		duration += p.prefillTime
 	}
-	return length
+	return duration
 }
 
-// prefillSteps is in how many steps tokens are prefilled that nobody's decoding adds steps to.
+// prefillSteps is the number of steps that prefill this many tokens while no request
+// decodes.
 func (e *engine) prefillSteps(tokens int) int {
 	if e.spec.ChunkTokens <= 0 {
 		return 1
@@ -153,35 +162,36 @@
 	return (tokens + e.spec.ChunkTokens - 1) / e.spec.ChunkTokens
 }
 
-// endPass ends a pass: parts are prefilled, and everyone who decodes writes an event.
-func (e *engine) endPass(reading []promptPart) {
+// endPass ends a pass: its parts are prefilled, and each decoding request writes an event.
+func (e *engine) endPass(parts []promptPart) {
 	e.inPass = false
-	e.finishParts(reading, slices.Clone(e.decoding))
+	e.finishParts(parts, slices.Clone(e.decoding))
 	e.admit()
 	e.startNext()
 }
 
-// finishParts ends parts that have been read, and the pass in which some requests decoded.
-func (e *engine) finishParts(reading []promptPart, writing []*job) {
-	for _, p := range reading {
+// finishParts marks parts as prefilled and writes an event of each job in decoded. A job
+// whose last part this was starts to decode at the engine that it was sent to.
+func (e *engine) finishParts(parts []promptPart, decoded []*job) {
+	for _, p := range parts {
 		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
 			continue
 		}
 		first := p.job.request.engine
 		first.decoding = append(first.decoding, p.job)
 		if len(p.job.helpers) == 0 {
-			writing = append(writing, p.job) // read and begun in one pass
+			decoded = append(decoded, p.job) // a prompt in one part gets its first event with the prefill
 		}
 		if first != e {
 			first.startNext()
 		}
 	}
-	for _, j := range writing {
+	for _, j := range decoded {
 		e.emitEvent(j)
 	}
 }
 
-// emitEvent passes one event of a stream on.
+// emitEvent writes the next event of a stream and ends the job after the last one.
 func (e *engine) emitEvent(j *job) {
 	now := e.sim.Now()
 	if j.firstEventAt == 0 {
@@ -201,27 +211,27 @@
 	j.request.finish(j)
 }
 
-// reserve takes the memory that a job needs at its helpers; where most of it is not free
-// nothing is taken.
+// reserve reserves KV cache at the job's helpers. It reserves nothing and reports false if
+// the helpers with enough free memory would reserve less than requiredTokens in total.
 func (j *job) reserve() bool {
 	holders := j.helpers[:j.reservingHelpers]
-	var taken []*engine
+	var accepting []*engine
 	for _, h := range holders {
 		if h.usedTokens+j.reservedTokens <= h.spec.KVCacheTokens {
-			taken = append(taken, h)
+			accepting = append(accepting, h)
 		}
 	}
-	if len(taken)*j.reservedTokens < j.requiredTokens {
+	if len(accepting)*j.reservedTokens < j.requiredTokens {
 		return false
 	}
-	j.reservedAt = taken
-	for _, h := range taken {
+	j.reservedAt = accepting
+	for _, h := range accepting {
 		h.usedTokens += j.reservedTokens
 	}
 	return true
 }
 
-// release gives the memory at the helpers back.
+// release frees the KV cache reserved at the helpers.
 func (j *job) release() {
 	for _, h := range j.reservedAt {
 		h.usedTokens -= j.reservedTokens
@@ -229,7 +239,7 @@
 	}
 }
 
-// newJob makes the job of a request by a plan.
+// newJob returns the job that carries out a request's plan, without its helpers.
 func newJob(r *request, plan *direct.Plan) *job {
 	j := &job{
 		request: r, memoryTokens: plan.EndpointMemoryTokens, priority: direct.EnginePriority(r.promptTokens, 1), partPrefill: plan.PartPrefill,
--- a/bench/emulator/engine_test.go
+++ b/bench/emulator/engine_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// addTestPart sends an engine a part of a prompt that others read parts of too.
+// addTestPart adds a part of a prompt that has a second part at another engine.
 func addTestPart(e *engine, prefill time.Duration) *job {
 	j := &job{unfinishedParts: 2}
 	e.addPart(promptPart{j, prefill, 1000})
 	return j
 }
 
-// Engines read the newest part first while nobody decodes there, and take up the older one
-// where they left it.
+// While no request decodes, an engine prefills the newest part first and then resumes the
+// older one where it was interrupted.
 func TestEnginePrefillsTheNewestPartFirst(t *testing.T) {
 	is := is.New(t)
 	sim := &simulation{config: &Config{Engine: testEngine()}}
--- a/bench/virtual/virtual.go
+++ b/bench/virtual/virtual.go
@@ -1,5 +1,5 @@
-// Package virtual runs what happens at times of a virtual clock, one after the other. It
-// exists so that a play of minutes takes a moment and comes out the same way each time.
+// Package virtual provides a discrete-event scheduler with a virtual clock. Simulations of
+// minutes run within moments on it and give the same result each time.
 package virtual
 
 import (
@@ -7,39 +7,43 @@
 	"time"
 )
 
-// Clock is a virtual clock and what is still to happen. The zero value is at time 0. Not
-// safe for concurrent use.
+// Clock is a virtual clock with its pending events. The zero value is ready to use and at
+// time 0. Not safe for concurrent use.
 type Clock struct {
 	now          time.Duration
 	events       eventHeap
 	lastSequence int
 }
 
-// Now is the time since the clock's start.
+// Now returns the virtual time since the clock's start.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// AfterFunc makes something happen after a while. What is due at one time happens in the order
-// in which it was asked for.
-func (c *Clock) AfterFunc(d time.Duration, do func()) {
+// AfterFunc schedules f to run d after the current virtual time. Functions that are due at the
+// same time run in the order in which they were scheduled.
+func (c *Clock) AfterFunc(d time.Duration, f func()) {
 	c.lastSequence++
-	heap.Push(&c.events, event{c.now + d, c.lastSequence, do})
+	heap.Push(&c.events, event{c.now + d, c.lastSequence, f})
 }
 
-// RunUntil lets happen what is due until a time, that included.
+// RunUntil runs the events that are due up to and including a time, and those that they
+// schedule up to then. The clock stops at the last event that ran.
 func (c *Clock) RunUntil(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].dueAt <= until {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.dueAt
-		next.do()
+		next.run()
 	}
 }
 
+// event is a scheduled function. sequence counts calls of AfterFunc and orders events that
+// are due at the same time.
 type event struct {
 	dueAt    time.Duration
 	sequence int
-	do       func()
+	run      func()
 }
 
+// eventHeap is a heap of events, the next one first.
 type eventHeap []event
 
 func (q eventHeap) Len() int { return len(q) }
