--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"aspenyard.example/settings"
 )
 
-// smallExperiment is an experiment of a few short plays.
+// smallExperiment is an experiment of a few short runs.
 func smallExperiment() *File {
 	site := (&RandomSites{Count: 1, Seed: 3}).generate()[0]
 	site.Name, site.Entries, site.Engines, site.Duration, site.LoadChanges = "one", 2, 6, settings.Duration(3*time.Second), nil
@@ -46,7 +46,7 @@
 		is.True(r.Worth > 0 && r.Worth <= 1)
 		is.Equal(len(r.OnTimeShares), 3)
 	}
-	is.Equal(rows[0].Difference, 0.0) // to itself
+	is.Equal(rows[0].Difference, 0.0) // from itself
 }
 
 func TestDifferencesArePairedBySiteAndSeed(t *testing.T) {
@@ -57,12 +57,12 @@
 		s.Add(&RunResult{Site: "one", Policy: "product", Seed: uint64(seed), Worth: worth})
 		s.Add(&RunResult{Site: "one", Policy: "random", Seed: uint64(seed), Worth: worth - 0.1})
 	}
-	s.Add(&RunResult{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no pair
+	s.Add(&RunResult{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no counterpart
 	row := s.Rows()[1]
 	is.Equal(row.Pairs, 2)
 	is.Equal(row.WorsePairs, 2)
 	is.True(row.Difference < -0.0999 && row.Difference > -0.1001)
-	is.True(row.StandardError < 1e-9) // the same in each pair, though the seeds differ
+	is.True(row.StandardError < 1e-9) // the difference is the same in each pair, though the worth differs
 }
 
 func TestEveryInvalidFieldIsReported(t *testing.T) {
@@ -92,7 +92,7 @@
 	is.True(sites[0].Engines != sites[1].Engines || sites[0].Entries != sites[1].Entries)
 }
 
-// What was played before an interrupt is kept.
+// Guards against losing the runs that were finished before an interrupt.
 func TestCancelledExperimentKeepsFinishedRuns(t *testing.T) {
 	is := is.New(t)
 	f := smallExperiment()
@@ -116,8 +116,8 @@
 	}
 }
 
-// The product's policy is not tuned to the sites of the examples alone: on drawn ones it
-// earns more than each baseline, in the mean and on nearly all.
+// Guards against a product policy that is tuned only to the sites of the examples: on random
+// sites it earns more than each baseline, in the mean and on at least 10 of 12.
 func TestProductBeatsBaselinesOnRandomSites(t *testing.T) {
 	is := is.New(t)
 	f := &File{Name: "drawn", Seeds: 1, Random: &RandomSites{Count: 12, Seed: 1}, Policies: []Policy{{Name: "product"}}}
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment plays sites, loads, faults and policies in virtual time and compares what
-// callers get. It exists so that a policy can be tried on many sites and seeds within a
-// minute, and is not tuned to the few that are played in full.
+// Package experiment simulates sites under several placement policies and compares the results.
+// A policy can thus be tried on many sites and seeds within a minute and is not tuned to the few
+// sites that are tested in full.
 package experiment
 
 import (
@@ -13,103 +13,104 @@
 	"aspenyard.example/settings"
 )
 
-// File is an experiment as it is written: each site is played with each seed under each
-// policy.
+// File describes an experiment: each site is simulated with each seed under each policy.
 type File struct {
-	// Name heads the page.
+	// Name is the heading of the report.
 	Name string `json:"name"`
-	// Seeds is how many plays of each site are made under each policy, 1 to 1,000.
+	// Seeds is the number of runs of each site under each policy, 1 to 1,000.
 	Seeds int `json:"seeds"`
-	// Sites are written out; Random are drawn.
+	// Sites are given in the file, Random are generated; an experiment may have both.
 	Sites  []Site       `json:"sites"`
 	Random *RandomSites `json:"random_sites"`
-	// Policies are compared with the first of them.
+	// Policies are the policies to compare; the first is the reference.
 	Policies []Policy `json:"policies"`
 }
 
-// Site is a site and its load.
+// Site describes a site and its load.
 type Site struct {
 	Name    string `json:"name"`
 	Entries int    `json:"entries"`
 	Engines int    `json:"engines"`
 	Engine  Engine `json:"engine"`
 	Kinds   []Kind `json:"kinds"`
-	// Duration is for how long requests come.
+	// Duration is the time during which requests arrive, 1 second to 1 hour.
 	Duration    settings.Duration `json:"length"`
 	LoadChanges []LoadChange      `json:"turns"`
-	// Slowdowns engines are known to the entries after PaceKnown; 0: never.
+	// Slowdowns become known to the entries after SlowdownKnownAfter; 0: never.
 	Slowdowns          []Slowdown        `json:"slow"`
 	SlowdownKnownAfter settings.Duration `json:"pace_known"`
-	// HeartbeatLoss is the part of the entries' words to each other that is lost.
+	// HeartbeatLoss is the share of heartbeats between entries that are lost, 0 to 1.
 	HeartbeatLoss float64 `json:"heartbeat_loss"`
-	// Skew is how many times as much the busiest entry gets as the idlest; 1 if left out.
+	// Skew is the arrival rate of the busiest entry divided by that of the least busy;
+	// default 1.
 	Skew float64 `json:"skew"`
 }
 
-// Engine describes a model engine.
+// Engine describes an engine.
 type Engine struct {
 	Slots         int `json:"slots"`
 	KVCacheTokens int `json:"memory_tokens"`
-	// Stride is how many steps a pass of requests that decode has. Step, StepPerRequest and
-	// StepPerThousand are the time of one, in microseconds: its own, for each request, and
-	// for each thousand tokens of context.
+	// Stride is the number of decode steps in a pass. StepMicros is the time of one step;
+	// StepMicrosPerRequest is added for each decoding request, and
+	// StepMicrosPerThousandTokens for each 1,000 tokens of context.
 	Stride                      int     `json:"stride"`
 	StepMicros                  float64 `json:"step_us"`
 	StepMicrosPerRequest        float64 `json:"step_per_request_us"`
 	StepMicrosPerThousandTokens float64 `json:"step_per_thousand_us"`
-	// PrefillTokensPerSecond is in tokens; PairsPerMillion is the time for a million pairs of
-	// tokens, in microseconds.
+	// AttentionMicrosPerMillionPairs is the prefill time for a million pairs of a prompt
+	// token and an earlier one.
 	PrefillTokensPerSecond         float64 `json:"prefill_per_second"`
 	AttentionMicrosPerMillionPairs float64 `json:"pairs_per_million_us"`
 }
 
-// Kind is a kind of request.
+// Kind describes one kind of request.
 type Kind struct {
 	Name string `json:"name"`
-	// MeanTokens is the mean prompt, Spread its standard deviation over the mean, MostTokens the
-	// longest.
+	// MeanTokens is the mean prompt length, Spread its standard deviation divided by the
+	// mean, and MaxTokens the longest prompt. Events is the number of events of a stream.
 	MeanTokens        float64 `json:"tokens"`
 	Spread            float64 `json:"spread"`
 	MaxTokens         int     `json:"most_tokens"`
 	Events            int     `json:"events"`
 	RequestsPerSecond float64 `json:"per_second"`
-	// Target is the time to the first event, PauseLimit that between events.
+	// Target is the longest time to the first event, and MaxPause the longest pause between
+	// events, with which a request counts as on time.
 	Target   settings.Duration `json:"target"`
 	MaxPause settings.Duration `json:"pause_limit"`
-	// Worth is what an answer in time earns, 1 if left out; a late one earns a quarter.
+	// Worth is what an answer on time earns, default 1; a late one earns a quarter of it.
 	Worth float64 `json:"worth"`
 }
 
-// LoadChange changes how many requests of each kind come.
+// LoadChange changes the arrival rate of each kind from a time on.
 type LoadChange struct {
 	At settings.Duration `json:"at"`
-	// RateFactors multiply per_second, by kind.
+	// RateFactors multiply per_second, one factor for each kind.
 	RateFactors []float64 `json:"factors"`
 }
 
-// Slowdown makes engines slow for a time.
+// Slowdown makes some engines slow for a time.
 type Slowdown struct {
 	From    settings.Duration `json:"from"`
 	To      settings.Duration `json:"to"`
 	Engines int               `json:"engines"`
-	// Factor is how many times as long their work takes.
+	// Factor multiplies the time of their work, 1 to 1,000.
 	Factor float64 `json:"pace"`
 }
 
-// Policy is one way of placing requests.
+// Policy is a placement policy in an experiment.
 type Policy struct {
 	Name   string          `json:"name"`
 	Policy emulator.Policy `json:"policy"`
-	// Disabled are mechanisms of the product's policy that are taken out.
+	// Disabled lists mechanisms of the product's policy that are switched off.
 	Disabled []emulator.Mechanism `json:"without"`
-	// SingleEntry plays as if all entries were one, which knows at once what all have sent: a
-	// bound for what entries can gain by telling each other more.
+	// SingleEntry simulates the site with one entry, which knows all requests at once. It
+	// bounds what entries could gain by exchanging more of their state.
 	SingleEntry bool `json:"one_view"`
-	// HeartbeatInterval is the time between two words of an entry to the others; 100ms if left out.
+	// HeartbeatInterval is the time between an entry's heartbeats; default 100ms.
 	HeartbeatInterval settings.Duration `json:"heartbeat"`
 }
 
-// Limits of what a file may ask for: an experiment of the largest takes some hours.
+// Limits of a file's values. An experiment with the largest values takes some hours.
 const (
 	maxSeeds        = 1000
 	maxEntries      = 1000
@@ -121,7 +122,8 @@
 	maxDuration     = time.Hour
 )
 
-// Decode reads a file. Error: settings.Faults, which name every field that is wrong.
+// Decode parses and checks a file. Its error is a settings.FieldErrors that names every invalid
+// field.
 func Decode(data []byte) (*File, error) {
 	f := &File{}
 	if err := settings.Decode(data, f); err != nil {
@@ -134,11 +136,11 @@
 func (f *File) Check() settings.FieldErrors {
 	var faults settings.FieldErrors
 	if f.Name == "" {
-		faults.Add("name", f.Name, "a text")
+		faults.Add("name", f.Name, "a non-empty text")
 	}
 	faults.CheckInt("seeds", int64(f.Seeds), 1, maxSeeds)
 	if len(f.Sites) == 0 && f.Random == nil {
-		faults.Add("sites", len(f.Sites), "one site or more, or random_sites")
+		faults.Add("sites", len(f.Sites), "at least one site, or random_sites")
 	}
 	names := map[string]bool{}
 	for i := range f.Sites {
@@ -150,7 +152,7 @@
 		f.Random.check("random_sites", &faults)
 	}
 	if len(f.Policies) == 0 {
-		faults.Add("policies", 0, "one policy or more")
+		faults.Add("policies", 0, "at least one policy")
 	}
 	names = map[string]bool{}
 	for i := range f.Policies {
@@ -161,9 +163,10 @@
 	return faults
 }
 
+// checkUnique adds an error if a name is empty or was seen before, and marks it as seen.
 func checkUnique(faults *settings.FieldErrors, field, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
-		faults.Add(field, name, "a text that no other has")
+		faults.Add(field, name, "a unique, non-empty text")
 	}
 	seen[name] = true
 }
@@ -177,24 +180,24 @@
 	faults.CheckNumber(field+".skew", s.Skew, 0, 1000)
 	s.Engine.check(field+".engine", faults)
 	if len(s.Kinds) == 0 {
-		faults.Add(field+".kinds", 0, "one kind or more")
+		faults.Add(field+".kinds", 0, "at least one kind")
 	}
 	for i := range s.Kinds {
 		s.Kinds[i].check(fmt.Sprintf("%s.kinds[%d]", field, i), faults)
 	}
-	for i, t := range s.LoadChanges {
+	for i, change := range s.LoadChanges {
 		at := fmt.Sprintf("%s.turns[%d]", field, i)
-		faults.CheckRange(at+".at", t.At.D(), 0, maxDuration)
-		if len(t.RateFactors) != len(s.Kinds) || slices.ContainsFunc(t.RateFactors, func(x float64) bool { return !(x >= 0 && x <= maxRate) }) {
-			faults.Add(at+".factors", t.RateFactors, "a number from 0 for each kind")
+		faults.CheckRange(at+".at", change.At.D(), 0, maxDuration)
+		if len(change.RateFactors) != len(s.Kinds) || slices.ContainsFunc(change.RateFactors, func(x float64) bool { return !(x >= 0 && x <= maxRate) }) {
+			faults.Add(at+".factors", change.RateFactors, "a number of at least 0 for each kind")
 		}
 	}
-	for i, slow := range s.Slowdowns {
+	for i, slowdown := range s.Slowdowns {
 		at := fmt.Sprintf("%s.slow[%d]", field, i)
-		faults.CheckRange(at+".from", slow.From.D(), 0, maxDuration)
-		faults.CheckRange(at+".to", slow.To.D(), slow.From.D(), maxDuration)
-		faults.CheckInt(at+".engines", int64(slow.Engines), 1, int64(max((s.Engines+1)/2, 1)))
-		faults.CheckNumber(at+".pace", slow.Factor, 1, 1000)
+		faults.CheckRange(at+".from", slowdown.From.D(), 0, maxDuration)
+		faults.CheckRange(at+".to", slowdown.To.D(), slowdown.From.D(), maxDuration)
+		faults.CheckInt(at+".engines", int64(slowdown.Engines), 1, int64(max((s.Engines+1)/2, 1)))
+		faults.CheckNumber(at+".pace", slowdown.Factor, 1, 1000)
 	}
 }
 
@@ -211,7 +214,7 @@
 
 func (k *Kind) check(field string, faults *settings.FieldErrors) {
 	if k.Name == "" {
-		faults.Add(field+".name", k.Name, "a text")
+		faults.Add(field+".name", k.Name, "a non-empty text")
 	}
 	faults.CheckNumber(field+".tokens", k.MeanTokens, 1, maxPromptTokens)
 	faults.CheckNumber(field+".spread", k.Spread, 0, 10)
@@ -229,13 +232,13 @@
 	}
 	for _, m := range p.Disabled {
 		if !slices.Contains(emulator.Mechanisms(), m) {
-			faults.Add(field+".without", m, fmt.Sprintf("some of %v", emulator.Mechanisms()))
+			faults.Add(field+".without", m, fmt.Sprintf("any of %v", emulator.Mechanisms()))
 		}
 	}
 	faults.CheckRange(field+".heartbeat", p.HeartbeatInterval.D(), 0, time.Minute)
 }
 
-// emulatorConfig is the play of a site under a policy.
+// emulatorConfig returns the configuration of one run of the site under a policy.
 func (s *Site) emulatorConfig(p *Policy, seed uint64) *emulator.Config {
 	c := &emulator.Config{
 		Seed: seed, Entries: s.Entries, Engines: s.Engines, Engine: s.Engine.directoryEngine(), Duration: s.Duration.D(), SlowdownKnownAfter: s.SlowdownKnownAfter.D(),
@@ -249,19 +252,20 @@
 			Name: k.Name, MeanTokens: k.MeanTokens, Spread: k.Spread, MaxTokens: k.MaxTokens, Events: k.Events, RequestsPerSecond: k.RequestsPerSecond, Target: k.Target.D(), MaxPause: k.MaxPause.D(),
 		})
 	}
-	for _, t := range s.LoadChanges {
-		c.LoadChanges = append(c.LoadChanges, emulator.LoadChange{At: t.At.D(), RateFactors: t.RateFactors})
+	for _, change := range s.LoadChanges {
+		c.LoadChanges = append(c.LoadChanges, emulator.LoadChange{At: change.At.D(), RateFactors: change.RateFactors})
 	}
-	for _, slow := range s.Slowdowns {
-		c.Slowdowns = append(c.Slowdowns, emulator.Slowdown{From: slow.From.D(), To: slow.To.D(), Engines: slow.Engines, Factor: slow.Factor})
+	for _, slowdown := range s.Slowdowns {
+		c.Slowdowns = append(c.Slowdowns, emulator.Slowdown{From: slowdown.From.D(), To: slowdown.To.D(), Engines: slowdown.Engines, Factor: slowdown.Factor})
 	}
 	return c
 }
 
+// directoryEngine converts the engine to the form that the placement policy uses.
 func (e *Engine) directoryEngine() directory.Engine {
-	us := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
+	micros := func(x float64) time.Duration { return time.Duration(x * float64(time.Microsecond)) }
 	return directory.Engine{
-		Slots: e.Slots, KVCacheTokens: e.KVCacheTokens, Stride: e.Stride, StepTime: us(e.StepMicros), StepTimePerRequest: us(e.StepMicrosPerRequest), StepTimePerContext: us(e.StepMicrosPerThousandTokens),
-		PrefillTokensPerSecond: e.PrefillTokensPerSecond, AttentionTimePerMillionPairs: us(e.AttentionMicrosPerMillionPairs),
+		Slots: e.Slots, KVCacheTokens: e.KVCacheTokens, Stride: e.Stride, StepTime: micros(e.StepMicros), StepTimePerRequest: micros(e.StepMicrosPerRequest), StepTimePerContext: micros(e.StepMicrosPerThousandTokens),
+		PrefillTokensPerSecond: e.PrefillTokensPerSecond, AttentionTimePerMillionPairs: micros(e.AttentionMicrosPerMillionPairs),
 	}
 }
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -8,28 +8,28 @@
 	"aspenyard.example/bench/emulator"
 )
 
-// lateWorth is what a late answer earns of its worth, as on the users' sites.
+// lateWorth is the share of its worth that a late answer earns, as on the users' sites.
 const lateWorth = 0.25
 
-// RunResult is what one site's callers got in one play.
+// RunResult is the result of one simulated run.
 type RunResult struct {
 	Site   string `json:"site"`
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
-	// Worth is what was earned of what was owed.
+	// Worth is the earned share of the worth of all requests, 0 to 1.
 	Worth float64           `json:"worth"`
 	Kinds []emulator.Result `json:"kinds"`
 }
 
-// task is one play that is to be made.
+// task is one run to make.
 type task struct {
 	site   *Site
 	policy *Policy
 	seed   uint64
 }
 
-// tasks lists all plays, those that are compared with each other next to each other, so that
-// an experiment which is broken off has whole pairs.
+// tasks returns all runs. Those that are compared with each other are adjacent, so that an
+// interrupted experiment has complete pairs.
 func (f *File) tasks() []task {
 	sites := f.allSites()
 	var list []task
@@ -43,6 +43,7 @@
 	return list
 }
 
+// allSites returns the given and the generated sites.
 func (f *File) allSites() []Site {
 	sites := f.Sites
 	if f.Random != nil {
@@ -51,23 +52,23 @@
 	return sites
 }
 
-// Run makes the plays of an experiment on all cores and tells each one that is done, in any
-// order, from one goroutine at a time, with how many there are. It returns early when ctx
-// ends; plays that are under way then are dropped.
-func (f *File) Run(ctx context.Context, done func(p *RunResult, of int)) error {
+// Run makes the runs of an experiment on all cores. It calls done with each result and the total
+// number of runs, in any order but never concurrently. It returns the context's error when ctx
+// ends, and drops the runs that are under way then.
+func (f *File) Run(ctx context.Context, done func(result *RunResult, total int)) error {
 	tasks := f.tasks()
 	next := make(chan task, len(tasks))
 	for _, t := range tasks {
 		next <- t
 	}
 	close(next)
-	plays := make(chan *RunResult)
+	results := make(chan *RunResult)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for t := range next {
 				select {
-				case plays <- t.run():
+				case results <- t.run():
 				case <-ctx.Done():
 					return
 				}
@@ -76,15 +77,15 @@
 	}
 	go func() {
 		workers.Wait()
-		close(plays)
+		close(results)
 	}()
 	for {
 		select {
-		case p, open := <-plays:
+		case result, open := <-results:
 			if !open {
 				return ctx.Err()
 			}
-			done(p, len(tasks))
+			done(result, len(tasks))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -92,24 +93,24 @@
 }
 
 func (t *task) run() *RunResult {
-	p := &RunResult{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Simulate(t.site.emulatorConfig(t.policy, t.seed))}
-	p.Worth = t.site.worth(p.Kinds)
-	return p
+	result := &RunResult{Site: t.site.Name, Policy: t.policy.Name, Seed: t.seed, Kinds: emulator.Simulate(t.site.emulatorConfig(t.policy, t.seed))}
+	result.Worth = t.site.worth(result.Kinds)
+	return result
 }
 
-// worth is what requests earned of what they were owed.
+// worth is the earned share of the worth of all requests, 0 to 1.
 func (s *Site) worth(results []emulator.Result) float64 {
-	owed, earned := 0.0, 0.0
+	total, earned := 0.0, 0.0
 	for i, r := range results {
 		worth := s.Kinds[i].Worth
 		if worth == 0 {
 			worth = 1
 		}
-		owed += worth * float64(r.Asked)
+		total += worth * float64(r.Asked)
 		earned += worth * (float64(r.OnTime) + lateWorth*float64(r.LateFirst+r.LatePause))
 	}
-	if owed == 0 {
+	if total == 0 {
 		return 0
 	}
-	return earned / owed
+	return earned / total
 }
--- a/bench/experiment/summary.go
+++ b/bench/experiment/summary.go
@@ -11,14 +11,14 @@
 	"aspenyard.example/bench/emulator"
 )
 
-// Summary compares policies over the plays of an experiment.
+// Summary compares policies over the runs of an experiment. Not safe for concurrent use.
 type Summary struct {
 	file    *File
 	results map[string]map[runKey]*RunResult // by policy
 	count   int
 }
 
-// runKey names what plays under several policies have in common.
+// runKey identifies the runs of one site and seed, which differ in their policy.
 type runKey struct {
 	site string
 	seed uint64
@@ -28,43 +28,45 @@
 	return cmp.Or(cmp.Compare(k.site, other.site), cmp.Compare(k.seed, other.seed))
 }
 
-// NewSummary makes an empty summary.
+// NewSummary returns an empty summary of an experiment.
 func NewSummary(f *File) *Summary {
 	return &Summary{file: f, results: map[string]map[runKey]*RunResult{}}
 }
 
-// Add takes a play in.
-func (s *Summary) Add(p *RunResult) {
-	if s.results[p.Policy] == nil {
-		s.results[p.Policy] = map[runKey]*RunResult{}
+// Add adds the result of a run.
+func (s *Summary) Add(result *RunResult) {
+	if s.results[result.Policy] == nil {
+		s.results[result.Policy] = map[runKey]*RunResult{}
 	}
-	s.results[p.Policy][runKey{p.Site, p.Seed}] = p
+	s.results[result.Policy][runKey{result.Site, result.Seed}] = result
 	s.count++
 }
 
-// Row is one policy on one site, or on all random ones.
+// Row is the result of one policy on one site, or on all random sites.
 type Row struct {
 	Site, Policy string
 	Runs         int
-	Worth        float64
-	// Difference is to the first policy over Pairs of plays, StandardError its standard error; Lost
-	// is in how many of the pairs the first policy did better.
+	// Worth is the mean worth of the runs, 0 to 1.
+	Worth float64
+	// Difference is the mean difference of the worth from that under the first policy, over
+	// Pairs of runs with the same site and seed, and StandardError its standard error.
+	// WorsePairs counts the pairs in which the first policy did better.
 	Difference, StandardError float64
 	Pairs, WorsePairs         int
-	// OnTimeShares are the parts of each kind's requests that were on time.
+	// OnTimeShares has an element for each kind of request.
 	OnTimeShares []KindShare
 }
 
-// KindShare is how many of a kind's requests were on time.
+// KindShare is the share of a kind's requests that were on time, 0 to 1.
 type KindShare struct {
 	Kind   string
 	OnTime float64
 }
 
-// randomSitesLabel stands for all random sites in a table.
+// randomSitesLabel is the site name of rows that cover all random sites.
 const randomSitesLabel = "random sites"
 
-// Rows gives a row for each site and policy; random sites are one.
+// Rows returns a row for each site and policy; the random sites share one row per policy.
 func (s *Summary) Rows() []Row {
 	var rows []Row
 	for i := range s.file.Sites {
@@ -72,43 +74,44 @@
 		rows = append(rows, s.rows(name, func(k runKey) bool { return k.site == name })...)
 	}
 	if s.file.Random != nil {
-		written := map[string]bool{}
+		given := map[string]bool{}
 		for i := range s.file.Sites {
-			written[s.file.Sites[i].Name] = true
+			given[s.file.Sites[i].Name] = true
 		}
-		rows = append(rows, s.rows(randomSitesLabel, func(k runKey) bool { return !written[k.site] })...)
+		rows = append(rows, s.rows(randomSitesLabel, func(k runKey) bool { return !given[k.site] })...)
 	}
 	return rows
 }
 
-func (s *Summary) rows(site string, among func(k runKey) bool) []Row {
+// rows returns a row for each policy that has runs among the selected ones.
+func (s *Summary) rows(site string, selected func(k runKey) bool) []Row {
 	var rows []Row
 	for i := range s.file.Policies {
-		if row := s.row(site, s.file.Policies[i].Name, among); row.Runs > 0 {
+		if row := s.row(site, s.file.Policies[i].Name, selected); row.Runs > 0 {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-// row sums a policy's plays, in the order of their keys: sums of floating-point numbers hang
-// on their order, and that of a map is another one each time.
-func (s *Summary) row(site, policy string, among func(k runKey) bool) Row {
+// row sums a policy's runs in the order of their keys. Floating-point sums depend on the order,
+// and that of a map differs each time.
+func (s *Summary) row(site, policy string, selected func(k runKey) bool) Row {
 	row := Row{Site: site, Policy: policy}
-	plays, base := s.results[policy], s.results[s.file.Policies[0].Name]
+	runs, reference := s.results[policy], s.results[s.file.Policies[0].Name]
 	var differences []float64
 	var kinds []emulator.Result
-	for _, key := range slices.SortedFunc(maps.Keys(plays), runKey.compare) {
-		if !among(key) {
+	for _, key := range slices.SortedFunc(maps.Keys(runs), runKey.compare) {
+		if !selected(key) {
 			continue
 		}
-		p := plays[key]
+		result := runs[key]
 		row.Runs++
-		row.Worth += p.Worth
-		if before := base[key]; before != nil {
-			differences = append(differences, p.Worth-before.Worth)
+		row.Worth += result.Worth
+		if paired := reference[key]; paired != nil {
+			differences = append(differences, result.Worth-paired.Worth)
 		}
-		kinds = addResults(kinds, p.Kinds)
+		kinds = addResults(kinds, result.Kinds)
 	}
 	row.Worth /= float64(max(row.Runs, 1))
 	row.compare(differences)
@@ -118,7 +121,7 @@
 	return row
 }
 
-// addResults adds results to sums by kind.
+// addResults adds results to the sums of their kinds and returns the sums.
 func addResults(sums, results []emulator.Result) []emulator.Result {
 	for _, r := range results {
 		i := slices.IndexFunc(sums, func(sum emulator.Result) bool { return sum.Kind == r.Kind })
@@ -130,7 +133,7 @@
 	return sums
 }
 
-// compare sets the mean of paired differences and its standard error.
+// compare sets the row's comparison from the differences of its pairs.
 func (r *Row) compare(differences []float64) {
 	n := float64(len(differences))
 	if n == 0 {
@@ -152,8 +155,8 @@
 	}
 }
 
-// Outperformed lists the random sites on which another policy earns more than the first by more
-// than twice the error, worst first.
+// Outperformed returns the rows of single random sites on which another policy earns more than
+// the first by more than twice the standard error, the largest difference first.
 func (s *Summary) Outperformed() []Row {
 	if s.file.Random == nil {
 		return nil
@@ -170,7 +173,7 @@
 	return list
 }
 
-// Table writes rows as a table in Markdown.
+// Table formats rows as a Markdown table.
 func Table(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| Site | Policy | Plays | Worth | Difference | Worse in | On time |\n|---|---|---|---|---|---|---|\n")
