--- a/bench/days/days_test.go
+++ b/bench/days/days_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// The page has a row for each score, oldest first, with the worst day and class, and plots
-// beside it.
+// The page has a row for each score, oldest first, with the worst day and class, and the plots
+// are written.
 func TestPageHasARowForEachScore(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -41,5 +41,5 @@
 		_, err := os.Stat(filepath.Join(dir, name))
 		is.NoErr(err)
 	}
-	is.True(WritePage(dir, nil) != nil) // nothing to tell is an error
+	is.True(WritePage(dir, nil) != nil) // no scores
 }
--- a/bench/days/played.go
+++ b/bench/days/played.go
@@ -1,17 +1,18 @@
 package days
 
-// DayReport is one played day as its users reported it.
+// DayReport is the users' own report of one day.
 type DayReport struct {
+	// Worth is the earned share of the day's worth, less the prices.
 	Worth   float64
 	Classes []Class
-	// Prices holds what was taken off, by what for, as a part of what was owed.
+	// Prices holds the deductions by their reason, as shares of the day's worth.
 	Prices map[string]float64
 }
 
-// Class is what became of the requests of one kind.
+// Class counts the outcomes of the requests of one kind.
 type Class struct {
 	Name                                 string
 	Asked, OnTime, Late, Refused, Failed int
-	// Earned is the part of what was owed.
+	// Earned is the earned share of the kind's worth.
 	Earned float64
 }
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -1,6 +1,6 @@
-// Package losses sorts the requests of gateways' logs that were late, refused or failed by
-// what they were lost to. It exists because a mean tells that callers are served badly and
-// not where to look: a policy is changed for the cause that loses most.
+// Package losses classifies the late, refused and failed requests in gateways' logs by cause. A
+// mean shows that callers are served badly but not why; the cause with the largest loss shows
+// which part of a policy to change.
 package losses
 
 import (
@@ -11,41 +11,43 @@
 	"aspenyard.example/result"
 )
 
-// Lateness tells in which way a served request was late.
+// Lateness is how a served request was late.
 type Lateness string
 
-// The ways of being late.
+// The values of Lateness.
 const (
-	OnTime    Lateness = ""
+	OnTime Lateness = ""
+	// LateFirst: the first event, or the answer of a plain service, was late.
 	LateFirst Lateness = "first"
+	// LatePause: a pause between events was too long.
 	LatePause Lateness = "pause"
 	LateBoth  Lateness = "both"
 )
 
-// Request is one request as its gateway logged it.
+// Request is a request as its gateway logged it.
 type Request struct {
 	ID, Node, Route string
-	// ArrivedAt is when it came, EndedAt when its answer had ended.
+	// ArrivedAt is when the request arrived, EndedAt when its answer ended.
 	ArrivedAt, EndedAt time.Time
 	// PromptTokens is 0 for requests of plain services.
 	PromptTokens int
-	// Code is the result code; Refused is set where it has not run and the caller may come
-	// back, NotOwed where the caller has no claim to an answer (unknown key or route, or it
-	// left).
+	// Code is the result code. Refused is set if the request did not run and the caller may
+	// retry. Excluded requests do not count, as their callers had no claim to an answer
+	// (unknown key or route) or disconnected.
 	Code              result.Code
 	Refused, Excluded bool
 	Late              Lateness
-	// TimeToFirstEvent is the time to the first event. PauseFrom and PauseTo bound the longest pause.
-	TimeToFirstEvent     time.Duration
+	TimeToFirstEvent  time.Duration
+	// PauseStart and PauseEnd bound the longest pause between events.
 	PauseStart, PauseEnd time.Time
-	// Endpoint is where it was sent last.
+	// Endpoint is the endpoint of the last attempt.
 	Endpoint string
-	// QueueTime is how long a long prompt was held back, ExpectedFirstToken when its first token was
-	// expected on arrival; 0 where neither was said.
+	// QueueTime is how long a long prompt was queued at the gateway. ExpectedFirstToken is the
+	// time to its first token as estimated on arrival. Each is 0 if it was not logged.
 	QueueTime, ExpectedFirstToken time.Duration
-	// RefusalReason is what it was refused for, as far as the log says.
+	// RefusalReason is why it was refused, as far as the log shows.
 	RefusalReason RefusalReason
-	// Resumed requests go on with a stream that broke off.
+	// Resumed is set if the request's stream broke and was resumed.
 	Resumed bool
 }
 
@@ -53,33 +55,40 @@
 type PrefillPart struct {
 	RequestID string
 	Endpoint  string
-	// SentAt is when it was sent, FirstTokenAt when its prompt's first token came.
+	// SentAt is when the part was sent. FirstTokenAt is when the first token of its prompt
+	// came or, if none came, when the request ended.
 	SentAt, FirstTokenAt time.Time
-	PrefillTime          time.Duration
-	Route                string
+	// PrefillTime is the estimated time to prefill the part.
+	PrefillTime time.Duration
+	Route       string
 }
 
-// Records are what the logs of all gateways of a deployment tell.
+// Records holds what the logs of all gateways of a deployment contain.
 type Records struct {
 	Requests []Request
 	Parts    []PrefillPart
-	// ProcessStarts are when processes started.
+	// ProcessStarts are the start times of the processes that wrote the logs.
 	ProcessStarts []time.Time
 }
 
-// Cause is what a request was lost to.
+// Cause is why a request was late, refused or failed, as reports show it.
 type Cause string
 
-// The causes.
+// The causes. Long pauses are put down to the route whose prefill caused most of the pause, as
+// causePausePrefix and the route's name.
 const (
-	CauseRefused      Cause = "refused"
-	CauseNotReady     Cause = "no configuration yet"
-	CauseFailed       Cause = "failed at its endpoint"
-	CauseDeadline     Cause = "deadline passed"
-	CauseRestart      Cause = "in the seconds after a start"
-	CauseResumed      Cause = "went on after a break"
-	CauseQueued       Cause = "first event: held back"
-	CauseNotStarted   Cause = "first event: not begun"
+	CauseRefused  Cause = "refused"
+	CauseNotReady Cause = "no configuration yet"
+	CauseFailed   Cause = "failed at its endpoint"
+	CauseDeadline Cause = "deadline passed"
+	CauseRestart  Cause = "in the seconds after a start"
+	// CauseResumed: the stream broke and was resumed.
+	CauseResumed Cause = "went on after a break"
+	// CauseQueued: the prompt was queued at its gateway for most of the time to first event.
+	CauseQueued Cause = "first event: held back"
+	// CauseNotStarted: the engine did not start the prefill at once.
+	CauseNotStarted Cause = "first event: not begun"
+	// CauseSlowPrefill: the engine had too much to prefill.
 	CauseSlowPrefill  Cause = "first event: read too late"
 	CauseLateAnswer   Cause = "answer of a plain service"
 	causePausePrefix        = "pause: parts of "
@@ -87,62 +96,69 @@
 )
 
 const (
-	// restartPeriod is for how long requests are put down to a start: connections that found
-	// nobody are opened anew within a second, and what came together is served in another.
+	// restartPeriod is the time after a process start in which late requests are attributed
+	// to the start. Refused connections are reopened within a second, and the requests that
+	// arrived together then are served within another.
 	restartPeriod = 2 * time.Second
-	// notStartedFactor is how many times as long as its own part and those before it a prompt
-	// takes that an engine did not begin at once.
+	// notStartedFactor decides whether an engine started a prompt at once: it did not if the
+	// first event took more than this many times the prefill of the prompt's own part and of
+	// the parts beside it.
 	notStartedFactor = 3
-	// queuedShare is the part of the time to the first event that counts as held back.
+	// queuedShare is the share of the time to first event above which time in the queue is
+	// the cause.
 	queuedShare = 0.5
 )
 
-// Loss is the requests of one route that were lost to one cause.
+// Loss is the loss of one route to one cause.
 type Loss struct {
 	Route string
 	Cause Cause
+	// Count is the number of requests.
 	Count int
-	// Share is their part of what the route is owed, weighed by size.
+	// Share is the lost share of the route's worth, 0 to 1, where requests are weighted by
+	// their prompt length.
 	Share float64
 }
 
-// RouteTotal is what a route was asked for.
+// RouteTotal sums the requests of one route.
 type RouteTotal struct {
 	Route string
-	// Asked leaves out what is not owed; MeanTokens is the mean prompt.
+	// Asked counts the requests that are not excluded. MeanPromptTokens is their mean prompt
+	// length.
 	Asked            int
 	MeanPromptTokens int
 	OnTime           int
 }
 
-// Report is where a deployment's worth was lost.
+// Report shows where a deployment lost worth.
 type Report struct {
-	// Start is when the first request came.
+	// Start is when the first request arrived.
 	Start  time.Time
 	Routes []RouteTotal
-	// Losses are sorted by route and share, the largest first.
+	// Losses are sorted by route and then by share, the largest first.
 	Losses []Loss
-	// SizeClasses is what callers got by the size of their prompts.
+	// SizeClasses groups the requests by route and prompt length.
 	SizeClasses []SizeClass
-	// LossBySecond holds, by cause, what was lost of the requests that began in each second.
+	// LossBySecond holds, for each cause, the lost weight of the requests that arrived in
+	// each second since Start.
 	LossBySecond map[Cause][]float64
 }
 
-// lateWorth is what a late answer is worth beside one on time; the users' sheets have a
+// lateWorth is the share of its worth that a late answer earns. The users' scoring has a
 // quarter to a third.
 const lateWorth = 0.25
 
-// Analyze makes the account.
-func Analyze(r *Records) *Report {
-	a := &Report{LossBySecond: map[Cause][]float64{}, SizeClasses: groupBySize(r)}
-	totals := routeTotals(r.Requests)
-	for i := range r.Requests {
-		if !r.Requests[i].Excluded && (a.Start.IsZero() || r.Requests[i].ArrivedAt.Before(a.Start)) {
-			a.Start = r.Requests[i].ArrivedAt
+// Analyze classifies the requests of the logs and returns the report.
+func Analyze(records *Records) *Report {
+	r := &Report{LossBySecond: map[Cause][]float64{}, SizeClasses: groupBySize(records)}
+	totals := routeTotals(records.Requests)
+	for i := range records.Requests {
+		if !records.Requests[i].Excluded && (r.Start.IsZero() || records.Requests[i].ArrivedAt.Before(r.Start)) {
+			r.Start = records.Requests[i].ArrivedAt
 		}
 	}
 	byEndpoint := map[string][]PrefillPart{}
-	for _, p := range r.Parts {
+	for _, p := range records.Parts {
 		byEndpoint[p.Endpoint] = append(byEndpoint[p.Endpoint], p)
 	}
 	type key struct {
@@ -151,14 +167,14 @@
 	}
 	sums := map[key]*Loss{}
 	weights := map[string]float64{}
-	for i := range r.Requests {
-		q := &r.Requests[i]
+	for i := range records.Requests {
+		q := &records.Requests[i]
 		if q.Excluded {
 			continue
 		}
 		weight := weightOf(q, totals[q.Route])
 		weights[q.Route] += weight
-		cause, lost := classify(q, r.ProcessStarts, byEndpoint[q.Endpoint])
+		cause, lost := classify(q, records.ProcessStarts, byEndpoint[q.Endpoint])
 		if lost == 0 {
 			continue
 		}
@@ -168,30 +184,32 @@
 		}
 		sums[k].Count++
 		sums[k].Share += weight * lost
-		a.addSecond(cause, q.ArrivedAt, weight*lost)
+		r.addSecond(cause, q.ArrivedAt, weight*lost)
 	}
 	for _, loss := range sums {
 		loss.Share /= weights[loss.Route]
-		a.Losses = append(a.Losses, *loss)
+		r.Losses = append(r.Losses, *loss)
 	}
-	slices.SortFunc(a.Losses, func(x, y Loss) int {
+	slices.SortFunc(r.Losses, func(x, y Loss) int {
 		return cmp.Or(cmp.Compare(x.Route, y.Route), cmp.Compare(y.Share, x.Share), cmp.Compare(x.Cause, y.Cause))
 	})
 	for _, t := range totals {
-		a.Routes = append(a.Routes, *t)
+		r.Routes = append(r.Routes, *t)
 	}
-	slices.SortFunc(a.Routes, func(x, y RouteTotal) int { return cmp.Compare(x.Route, y.Route) })
-	return a
+	slices.SortFunc(r.Routes, func(x, y RouteTotal) int { return cmp.Compare(x.Route, y.Route) })
+	return r
 }
 
-func (a *Report) addSecond(cause Cause, began time.Time, lost float64) {
-	second := int(began.Sub(a.Start).Seconds())
-	for len(a.LossBySecond[cause]) <= second {
-		a.LossBySecond[cause] = append(a.LossBySecond[cause], 0)
+// addSecond adds lost weight to the second in which a request arrived.
+func (r *Report) addSecond(cause Cause, arrivedAt time.Time, lost float64) {
+	second := int(arrivedAt.Sub(r.Start).Seconds())
+	for len(r.LossBySecond[cause]) <= second {
+		r.LossBySecond[cause] = append(r.LossBySecond[cause], 0)
 	}
-	a.LossBySecond[cause][second] += lost
+	r.LossBySecond[cause][second] += lost
 }
 
+// routeTotals sums the requests by route.
 func routeTotals(requests []Request) map[string]*RouteTotal {
 	totals := map[string]*RouteTotal{}
 	tokens := map[string]int{}
@@ -214,14 +232,15 @@
 	return totals
 }
 
-// Weights of a generation by its size, as the users' sheets have them: a part is the same
-// for all, the rest grows with the prompt.
+// Weights of a request, as in the users' scoring: a fixed part, and one that grows with the
+// prompt length relative to the route's mean.
 const (
 	fixedWeight = 0.3
 	sizeWeight  = 0.7
 	maxWeight   = 4
 )
 
+// weightOf is the weight of a request among those of its route.
 func weightOf(q *Request, t *RouteTotal) float64 {
 	if t.MeanPromptTokens == 0 {
 		return 1
@@ -231,8 +250,9 @@
 
 func served(q *Request) bool { return q.Code == result.OK }
 
-// classify gives what a request was lost to, and which part of its worth; 0: nothing.
-func classify(q *Request, starts []time.Time, there []PrefillPart) (Cause, float64) {
+// classify returns the cause for which a request lost worth and the lost share, 0 for none. parts
+// are the prefill parts at the request's endpoint.
+func classify(q *Request, starts []time.Time, parts []PrefillPart) (Cause, float64) {
 	switch {
 	case served(q) && q.Late == OnTime:
 		return "", 0
@@ -245,11 +265,12 @@
 	case q.PromptTokens == 0:
 		return CauseLateAnswer, 1 - lateWorth
 	case q.Late == LateFirst || q.Late == LateBoth:
-		return lateFirstCause(q, there), 1 - lateWorth
+		return lateFirstCause(q, parts), 1 - lateWorth
 	}
-	return latePauseCause(q, there), 1 - lateWorth
+	return latePauseCause(q, parts), 1 - lateWorth
 }
 
+// failureCause is the cause of a request that was not served.
 func failureCause(q *Request) Cause {
 	switch {
 	case q.Code == result.NotReady:
@@ -262,38 +283,39 @@
 	return CauseFailed
 }
 
+// duringRestart reports whether a request arrived shortly after a process start.
 func duringRestart(q *Request, starts []time.Time) bool {
 	return slices.ContainsFunc(starts, func(s time.Time) bool {
 		return !q.ArrivedAt.Before(s) && q.ArrivedAt.Sub(s) < restartPeriod
 	})
 }
 
-// lateFirstCause tells why a first event was late: the prompt was held back, an engine did not
-// begin it, or there was too much to read.
-func lateFirstCause(q *Request, there []PrefillPart) Cause {
+// lateFirstCause decides why a first event was late: the prompt was queued, its engine did not
+// start it, or the engine had too much to prefill.
+func lateFirstCause(q *Request, parts []PrefillPart) Cause {
 	if q.QueueTime > time.Duration(queuedShare*float64(q.TimeToFirstEvent)) {
 		return CauseQueued
 	}
-	ahead, own := time.Duration(0), time.Duration(0)
-	sent := q.ArrivedAt.Add(q.QueueTime)
-	for _, p := range there {
+	others, own := time.Duration(0), time.Duration(0)
+	sentAt := q.ArrivedAt.Add(q.QueueTime)
+	for _, p := range parts {
 		switch {
 		case p.RequestID == q.ID:
 			own = p.PrefillTime
-		case p.SentAt.Before(q.ArrivedAt.Add(q.TimeToFirstEvent)) && p.FirstTokenAt.After(sent):
-			ahead += p.PrefillTime
+		case p.SentAt.Before(q.ArrivedAt.Add(q.TimeToFirstEvent)) && p.FirstTokenAt.After(sentAt):
+			others += p.PrefillTime
 		}
 	}
-	if q.TimeToFirstEvent-q.QueueTime > notStartedFactor*(ahead+own) {
+	if q.TimeToFirstEvent-q.QueueTime > notStartedFactor*(others+own) {
 		return CauseNotStarted
 	}
 	return CauseSlowPrefill
 }
 
-// latePauseCause names the route whose parts were most of what was prefilled in a pause.
-func latePauseCause(q *Request, there []PrefillPart) Cause {
+// latePauseCause names the route with the most prefill at the endpoint during the pause.
+func latePauseCause(q *Request, parts []PrefillPart) Cause {
 	sums := map[string]time.Duration{}
-	for _, p := range there {
+	for _, p := range parts {
 		if p.RequestID != q.ID && p.SentAt.Before(q.PauseEnd) && p.FirstTokenAt.After(q.PauseStart) {
 			sums[p.Route] += p.PrefillTime
 		}
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -16,6 +16,7 @@
 
 var dayStart = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
+// at is a time of the test day, in seconds after its start.
 func at(seconds float64) time.Time {
 	return dayStart.Add(time.Duration(seconds * float64(time.Second)))
 }
@@ -25,17 +26,19 @@
 	return Request{ID: id, Route: "short", ArrivedAt: at(began), EndedAt: at(began + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
 }
 
+// part is a prefill part at endpoint e-1 between two times in seconds, with a prefill in ms.
 func part(request, route string, from, to float64, ms int) PrefillPart {
 	return PrefillPart{RequestID: request, Route: route, Endpoint: "e-1", SentAt: at(from), FirstTokenAt: at(to), PrefillTime: time.Duration(ms) * time.Millisecond}
 }
 
-// causeOf makes the account of a single late request, beside causeOf that anchors the start.
+// causeOf returns the cause that is reported for a request, empty for none. A second request fixes
+// the start of the report.
 func causeOf(q Request, starts []time.Time, parts ...PrefillPart) Cause {
-	a := Analyze(&Records{Requests: []Request{servedRequest("anchor", 0, 1000), q}, ProcessStarts: starts, Parts: parts})
-	if len(a.Losses) != 1 {
+	report := Analyze(&Records{Requests: []Request{servedRequest("anchor", 0, 1000), q}, ProcessStarts: starts, Parts: parts})
+	if len(report.Losses) != 1 {
 		return ""
 	}
-	return a.Losses[0].Cause
+	return report.Losses[0].Cause
 }
 
 func TestRequestsAreClassifiedByCause(t *testing.T) {
@@ -55,22 +58,22 @@
 		parts  []PrefillPart
 		want   Cause
 	}{
-		"on time":                 {servedRequest("q", 10, 1000), nil, nil, ""},
-		"refused":                 {late(OnTime, func(q *Request) { q.Code, q.Refused = 3004, true }), nil, nil, CauseRefused},
-		"no configuration":        {late(OnTime, func(q *Request) { q.Code, q.Refused = result.NotReady, true }), nil, nil, CauseNotReady},
-		"deadline":                {late(OnTime, func(q *Request) { q.Code = result.DeadlineExceeded }), nil, nil, CauseDeadline},
-		"failed":                  {late(OnTime, func(q *Request) { q.Code = 4003 }), nil, nil, CauseFailed},
-		"after a start":           {late(LateFirst, first), []time.Time{at(9)}, nil, CauseRestart},
-		"long after a start":      {late(LateFirst, first), []time.Time{at(7)}, []PrefillPart{part("q", "short", 10, 11, 400)}, CauseSlowPrefill},
-		"resumed":                 {late(LatePause, func(q *Request) { pause(q); q.Resumed = true }), nil, nil, CauseResumed},
-		"held back":               {late(LateFirst, func(q *Request) { first(q); q.QueueTime = 600 * time.Millisecond }), nil, nil, CauseQueued},
-		"not begun":               {late(LateFirst, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 100)}, CauseNotStarted},
-		"read too late":           {late(LateBoth, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 400)}, CauseSlowPrefill},
-		"pause":                   {late(LatePause, pause), nil, []PrefillPart{part("x", "long", 10.1, 10.5, 300), part("y", "short", 10.1, 10.5, 50), part("z", "long", 11, 12, 900)}, "pause: parts of long"},
-		"pause, its own part":     {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseUnknown},
-		"plain service":           {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateAnswer},
-		"nothing that was owed":   {late(OnTime, func(q *Request) { q.Code, q.Excluded = 2004, true }), nil, nil, ""},
-		"its start came after it": {late(LateFirst, first), []time.Time{at(10.5)}, nil, CauseNotStarted},
+		"on time":               {servedRequest("q", 10, 1000), nil, nil, ""},
+		"refused":               {late(OnTime, func(q *Request) { q.Code, q.Refused = 3004, true }), nil, nil, CauseRefused},
+		"no configuration":      {late(OnTime, func(q *Request) { q.Code, q.Refused = result.NotReady, true }), nil, nil, CauseNotReady},
+		"deadline":              {late(OnTime, func(q *Request) { q.Code = result.DeadlineExceeded }), nil, nil, CauseDeadline},
+		"failed":                {late(OnTime, func(q *Request) { q.Code = 4003 }), nil, nil, CauseFailed},
+		"after a start":         {late(LateFirst, first), []time.Time{at(9)}, nil, CauseRestart},
+		"long after a start":    {late(LateFirst, first), []time.Time{at(7)}, []PrefillPart{part("q", "short", 10, 11, 400)}, CauseSlowPrefill},
+		"resumed":               {late(LatePause, func(q *Request) { pause(q); q.Resumed = true }), nil, nil, CauseResumed},
+		"queued":                {late(LateFirst, func(q *Request) { first(q); q.QueueTime = 600 * time.Millisecond }), nil, nil, CauseQueued},
+		"not started":           {late(LateFirst, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 100)}, CauseNotStarted},
+		"slow prefill":          {late(LateBoth, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 400)}, CauseSlowPrefill},
+		"pause":                 {late(LatePause, pause), nil, []PrefillPart{part("x", "long", 10.1, 10.5, 300), part("y", "short", 10.1, 10.5, 50), part("z", "long", 11, 12, 900)}, "pause: parts of long"},
+		"pause, its own part":   {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseUnknown},
+		"plain service":         {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateAnswer},
+		"excluded":              {late(OnTime, func(q *Request) { q.Code, q.Excluded = 2004, true }), nil, nil, ""},
+		"process started later": {late(LateFirst, first), []time.Time{at(10.5)}, nil, CauseNotStarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -83,13 +86,13 @@
 	is := is.New(t)
 	big := servedRequest("b", 2.5, 3000)
 	big.Code, big.Refused = 3004, true
-	a := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), servedRequest("c", 1, 2000), big}})
-	is.Equal(a.Routes, []RouteTotal{{Route: "short", Asked: 3, MeanPromptTokens: 2000, OnTime: 2}})
-	is.Equal(len(a.Losses), 1)
+	report := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), servedRequest("c", 1, 2000), big}})
+	is.Equal(report.Routes, []RouteTotal{{Route: "short", Asked: 3, MeanPromptTokens: 2000, OnTime: 2}})
+	is.Equal(len(report.Losses), 1)
 	want := (0.3 + 0.7*1.5) / 3
-	is.True(a.Losses[0].Share > want-1e-9 && a.Losses[0].Share < want+1e-9)
-	is.Equal(len(a.LossBySecond[CauseRefused]), 3)
-	is.True(a.LossBySecond[CauseRefused][2] > 1.34)
+	is.True(report.Losses[0].Share > want-1e-9 && report.Losses[0].Share < want+1e-9)
+	is.Equal(len(report.LossBySecond[CauseRefused]), 3)
+	is.True(report.LossBySecond[CauseRefused][2] > 1.34)
 }
 
 func TestPromptsAreGroupedBySize(t *testing.T) {
@@ -124,8 +127,8 @@
 	dir := t.TempDir()
 	late := servedRequest("q", 1, 1000)
 	late.Late = LateFirst
-	a := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), late}})
-	is.NoErr(a.Write(dir, "day", &days.DayReport{Worth: 0.7, Classes: []days.Class{{Name: "kind", Asked: 2}}, Prices: map[string]float64{"orders": 0.01}}))
+	report := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), late}})
+	is.NoErr(report.Write(dir, "day", &days.DayReport{Worth: 0.7, Classes: []days.Class{{Name: "kind", Asked: 2}}, Prices: map[string]float64{"orders": 0.01}}))
 	page, err := os.ReadFile(filepath.Join(dir, "day.md"))
 	is.NoErr(err)
 	for _, text := range []string{"Worth 0.700", "| kind | 2 |", "| orders | 0.0100 |", "| short | 2 | 1000 | 1 |"} {
@@ -133,5 +136,5 @@
 	}
 	_, err = os.Stat(filepath.Join(dir, "day.svg"))
 	is.NoErr(err)
-	is.True(Analyze(&Records{}).Write(dir, "day", nil) != nil) // nothing to tell
+	is.True(Analyze(&Records{}).Write(dir, "day", nil) != nil) // no request counts
 }
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// RefusalReason is what a prompt was refused for, or failed to find.
+// RefusalReason is why a prompt was refused, as reports show it.
 type RefusalReason string
 
-// The refusals.
+// The reasons for a refusal.
 const (
 	NotRefused RefusalReason = ""
-	// RefusedTooLate: its first token was expected too late on arrival.
+	// RefusedTooLate: the first token was expected too late.
 	RefusedTooLate RefusalReason = "expected too late"
-	// RefusedLongParts: its parts would hold up others for too long.
+	// RefusedLongParts: the prompt's parts would delay other requests for too long.
 	RefusedLongParts RefusalReason = "parts too long"
-	// RefusedMemory: engines had not the memory that it needs.
+	// RefusedMemory: the engines lacked KV cache for the prompt.
 	RefusedMemory RefusalReason = "no memory"
-	// RefusedOther: endpoints refused it, or were gone.
+	// RefusedOther: endpoints refused the request or had gone.
 	RefusedOther RefusalReason = "other"
 )
 
-// refusalReasons in the order of the table's columns.
+// refusalReasons lists the reasons in the order of the table's columns.
 var refusalReasons = []RefusalReason{RefusedTooLate, RefusedLongParts, RefusedMemory, RefusedOther}
 
 const (
-	// sizeClassCount is in how many classes of equal number a route's prompts are divided by
-	// their size; the users judge the largest fifth and the largest tenth.
+	// sizeClassCount is the number of equally large classes into which a route's prompts are
+	// grouped by length. The users score the largest fifth and the largest tenth.
 	sizeClassCount = 5
-	// minRequestsBySize is how many requests a route has at least to be divided.
+	// minRequestsBySize is the least number of prompts of a route that is grouped.
 	minRequestsBySize = 20
 )
 
-// SizeClass is what callers of one route got whose prompts are of like size.
+// SizeClass sums the requests of one route whose prompts are of similar length.
 type SizeClass struct {
 	Route, Name string
-	// MinTokens and MaxTokens are the shortest and the longest prompt, in tokens.
-	MinTokens, MaxTokens         int
+	// MinTokens and MaxTokens are the shortest and the longest prompt.
+	MinTokens, MaxTokens int
+	// Asked counts all requests, and LateOrResumed those that were served but not on time.
 	Asked, OnTime, LateOrResumed int
-	// Refused counts by reason; Failed are those that were not served otherwise.
+	// Refused counts the refused requests by reason, Failed all others that were not served.
 	Refused map[RefusalReason]int
 	Failed  int
-	// QueueTime is how long the prompts were held back at their entries, ExpectedFirstToken when their
-	// first tokens were expected on arrival, TimeToFirstEvent when they came: medians of those that
-	// have one.
+	// QueueTime is the time in the queue of the gateway, ExpectedFirstToken the time to first
+	// token as estimated on arrival, and TimeToFirstEvent the measured one. Each is the median
+	// of the requests that have a value.
 	QueueTime, ExpectedFirstToken, TimeToFirstEvent time.Duration
-	// PrefillingShare is the part of all engines that had a part of a prompt to prefill when these
-	// prompts were refused or left the queue, and Ahead the mean prefill under way at an
-	// engine: means.
+	// PrefillingShare is the share of all engines that had a part to prefill when a prompt was
+	// refused or left the queue, and PendingPrefill the mean prefill pending at an engine then.
+	// Both are means over the prompts and leave out the prompt itself.
 	PrefillingShare float64
 	PendingPrefill  time.Duration
 }
 
-// groupBySize divides the prompts of each route by their size.
+// groupBySize groups the prompts of each route by length: in fifths, and the largest tenth.
 func groupBySize(r *Records) []SizeClass {
 	prompts := map[string][]*Request{}
 	for i := range r.Requests {
@@ -71,8 +72,8 @@
 		}
 		slices.SortFunc(list, func(a, b *Request) int { return cmp.Compare(a.PromptTokens, b.PromptTokens) })
 		for i := range sizeClassCount {
-			part := list[i*len(list)/sizeClassCount : (i+1)*len(list)/sizeClassCount]
-			classes = append(classes, sizeClass(route, fmt.Sprintf("fifth %d", i+1), part, engines))
+			class := list[i*len(list)/sizeClassCount : (i+1)*len(list)/sizeClassCount]
+			classes = append(classes, sizeClass(route, fmt.Sprintf("fifth %d", i+1), class, engines))
 		}
 		classes = append(classes, sizeClass(route, "largest tenth", list[len(list)*9/10:], engines))
 	}
@@ -80,9 +81,10 @@
 	return classes
 }
 
+// sizeClass sums a list of requests that is sorted by prompt length.
 func sizeClass(route, name string, list []*Request, engines *prefillActivity) SizeClass {
 	c := SizeClass{Route: route, Name: name, MinTokens: list[0].PromptTokens, MaxTokens: list[len(list)-1].PromptTokens, Asked: len(list), Refused: map[RefusalReason]int{}}
-	var held, expected, first []time.Duration
+	var queueTimes, expected, first []time.Duration
 	for _, q := range list {
 		switch {
 		case served(q) && q.Late == OnTime:
@@ -96,17 +98,18 @@
 		default:
 			c.Failed++
 		}
-		held = appendNonZero(held, q.QueueTime)
+		queueTimes = appendNonZero(queueTimes, q.QueueTime)
 		expected = appendNonZero(expected, q.ExpectedFirstToken)
 		first = appendNonZero(first, q.TimeToFirstEvent)
-		reading, ahead := engines.at(q.ArrivedAt.Add(q.QueueTime), q.ID)
-		c.PrefillingShare += reading / float64(len(list))
-		c.PendingPrefill += ahead / time.Duration(len(list))
+		prefilling, pending := engines.at(q.ArrivedAt.Add(q.QueueTime), q.ID)
+		c.PrefillingShare += prefilling / float64(len(list))
+		c.PendingPrefill += pending / time.Duration(len(list))
 	}
-	c.QueueTime, c.ExpectedFirstToken, c.TimeToFirstEvent = median(held), median(expected), median(first)
+	c.QueueTime, c.ExpectedFirstToken, c.TimeToFirstEvent = median(queueTimes), median(expected), median(first)
 	return c
 }
 
+// appendNonZero appends a duration that is known, which 0 is not.
 func appendNonZero(list []time.Duration, d time.Duration) []time.Duration {
 	if d == 0 {
 		return list
@@ -114,7 +117,7 @@
 	return append(list, d)
 }
 
-// median gives 0 for none.
+// median sorts a list and returns its median, 0 for an empty one.
 func median(list []time.Duration) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -123,7 +126,8 @@
 	return list[len(list)/2]
 }
 
-// prefillActivity tells what the engines that prompts were sent to had to prefill.
+// prefillActivity is what engines had to prefill over time. It knows the engines that parts were
+// sent to.
 type prefillActivity struct {
 	parts   []PrefillPart
 	engines int
@@ -137,28 +141,28 @@
 	return &prefillActivity{parts, len(engines)}
 }
 
-// at gives the part of the engines that had something to prefill at a time, of requests other
-// than one, and the mean prefill under way at all of them.
-func (a *prefillActivity) at(t time.Time, but string) (reading float64, ahead time.Duration) {
+// at returns the share of engines that had parts to prefill at a time, and the mean prefill
+// pending at an engine. It ignores the parts of one request.
+func (a *prefillActivity) at(t time.Time, ignored string) (prefilling float64, pending time.Duration) {
 	if a.engines == 0 {
 		return 0, 0
 	}
 	busy := map[string]bool{}
 	for _, p := range a.parts {
-		if p.RequestID != but && !t.Before(p.SentAt) && t.Before(p.FirstTokenAt) {
+		if p.RequestID != ignored && !t.Before(p.SentAt) && t.Before(p.FirstTokenAt) {
 			busy[p.Endpoint] = true
-			ahead += p.PrefillTime
+			pending += p.PrefillTime
 		}
 	}
-	return float64(len(busy)) / float64(a.engines), ahead / time.Duration(a.engines)
+	return float64(len(busy)) / float64(a.engines), pending / time.Duration(a.engines)
 }
 
-// writeSizes writes the table of what callers got by the size of their prompts.
+// writeSizes writes the table of size classes.
 func writeSizes(b *strings.Builder, classes []SizeClass) {
 	if len(classes) == 0 {
 		return
 	}
-	b.WriteString("\nPrompts by size: medians of how long they were held back, when their first tokens were expected on arrival and when\nthey came; the part of the engines that were prefilling when they were sent or refused, and the mean prefill under way there.\n\n")
+	b.WriteString("\nPrompts by length: the medians of the time in the queue, of the expected and of the measured time to first token; the share\nof engines that were prefilling when the prompts were sent or refused, and the mean prefill pending at an engine then.\n\n")
 	b.WriteString("| Route | Size | Tokens | Asked | On time | Late | Refused:")
 	for _, reason := range refusalReasons {
 		fmt.Fprintf(b, " %s |", reason)
