--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -24,22 +24,23 @@
 	"aspenyard.example/wire"
 )
 
-// Cost is one measured cost.
+// Cost is the measured cost of one operation or object.
 type Cost struct {
-	// Name says of what; Size at which size.
+	// Name is what was measured, Size the size of the system at which it was.
 	Name string `json:"name"`
 	Size string `json:"size"`
-	// Microseconds of one thread, Bytes on the wire or in the store, HeapBytes kept.
+	// Microseconds is the time on one thread, Bytes the size on the wire or in the store, and
+	// HeapBytes the live heap that is kept.
 	Microseconds float64 `json:"microseconds,omitempty"`
 	Bytes        int     `json:"bytes,omitempty"`
 	HeapBytes    int     `json:"heap_bytes,omitempty"`
 	Note         string  `json:"note,omitempty"`
 }
 
-// measureDuration is how long each operation is repeated.
+// measureDuration is how long microsPerCall repeats an operation.
 const measureDuration = 200 * time.Millisecond
 
-// microsPerCall gives the time of one call of f, in microseconds.
+// microsPerCall measures the mean time of a call of f, in microseconds.
 func microsPerCall(f func()) float64 {
 	calls := 0
 	start := time.Now()
@@ -50,7 +51,7 @@
 	return float64(time.Since(start).Nanoseconds()) / 1000 / float64(calls)
 }
 
-// heapGrowth gives the live heap's growth by what build returns.
+// heapGrowth measures the bytes by which what build returns enlarges the live heap.
 func heapGrowth(build func() any) int {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -62,9 +63,9 @@
 	return int(after.HeapAlloc) - int(before.HeapAlloc)
 }
 
-// Capacity measures the slopes that docs/CAPACITY.md is made of.
+// Capacity measures the costs on which docs/CAPACITY.md is based.
 func Capacity() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	for _, measure := range []func() ([]Cost, error){
 		heartbeatCosts, routingCosts, catalogueCosts, powerCosts, agentCosts, limiterCosts, claimCosts,
 	} {
@@ -72,12 +73,12 @@
 		if err != nil {
 			return nil, err
 		}
-		slopes = append(slopes, measured...)
+		costs = append(costs, measured...)
 	}
-	return slopes, nil
+	return costs, nil
 }
 
-// AgentHeartbeat is what agent i of a fleet sends, in a typical state.
+// AgentHeartbeat returns a typical heartbeat of agent i of a fleet.
 func AgentHeartbeat(i int, sequence uint64) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Node: fmt.Sprintf("worker-%05d", i), Role: membership.RoleAgent, DataCentre: "bogota-1", Addr: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250),
@@ -91,17 +92,18 @@
 	}
 }
 
-// fleetSizes are the endpoints per data centre at which slopes are taken.
+// fleetSizes are the numbers of endpoints in a data centre at which costs are measured.
 var fleetSizes = []int{100, 400, 1600}
 
+// heartbeatCosts measures an agent's heartbeat and an entry's work on heartbeats.
 func heartbeatCosts() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	one, err := proto.Marshal(AgentHeartbeat(1, 1))
 	if err != nil {
 		return nil, err
 	}
-	const headers = 28
-	slopes = append(slopes, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
+	const headers = 28 // UDP and IPv4
+	costs = append(costs, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
 	for _, size := range fleetSizes {
 		loop, err := idleEntry()
 		if err != nil {
@@ -129,15 +131,15 @@
 			loop.Receive(time.Now(), data)
 			loop.Step(time.Now())
 		})
-		slopes = append(slopes,
+		costs = append(costs,
 			Cost{Name: "heartbeat received and answered by an entry", Size: fmt.Sprint(size, " agents"), Microseconds: received},
 			Cost{Name: "tick of an entry: detector, view, routing snapshot", Size: fmt.Sprint(size, " agents"), Microseconds: tick - received, HeapBytes: kept / size, Note: "heap per agent"},
 		)
 	}
-	return slopes, nil
+	return costs, nil
 }
 
-// idleEntry makes an entry's control loop that does not run.
+// idleEntry returns the membership loop of an entry that is not started.
 func idleEntry() (*membership.Loop, error) {
 	s := settings.Entry{
 		Node:          settings.Node{Name: "entry-0", DataCentre: "bogota-1", Listen: "127.0.0.1:1", OperatorsListen: "127.0.0.1:2", Platform: "127.0.0.1:3"},
@@ -153,6 +155,7 @@
 	return e.Loop(), nil
 }
 
+// benchEndpoints returns endpoints in a typical state, as routing sees them.
 func benchEndpoints(n int) []routing.Endpoint {
 	endpoints := make([]routing.Endpoint, n)
 	for i := range endpoints {
@@ -164,8 +167,9 @@
 	return endpoints
 }
 
+// routingCosts measures the routing of a request.
 func routingCosts() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	for _, size := range fleetSizes {
 		policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
 		if err != nil {
@@ -180,13 +184,14 @@
 				Model: "model-a", PromptTokens: 4000, OutputTokens: 200, Prefix: prompts[i%2], DataCentre: "bogota-1",
 			}, endpoints)
 		})
-		slopes = append(slopes, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
+		costs = append(costs, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
 	}
 	prompt := Prompt(3, 100_000)
-	slopes = append(slopes, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: microsPerCall(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
-	return slopes, nil
+	costs = append(costs, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: microsPerCall(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
+	return costs, nil
 }
 
+// accountRecord returns the catalogue record of client account i.
 func accountRecord(i int) *catalogue.Record {
 	return &catalogue.Record{
 		Type: catalogue.TypeAccount, ID: fmt.Sprintf("account-%05d", i), Owner: "citara-ops", EditID: "0123456789abcdef01234567",
@@ -195,8 +200,9 @@
 	}
 }
 
+// catalogueCosts measures replicas and edits of the catalogue.
 func catalogueCosts() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	for _, accounts := range []int{480, 4_800, 48_000} {
 		replica := catalogue.NewReplica()
 		kept := heapGrowth(func() any { fillReplica(replica, accounts); return replica })
@@ -211,25 +217,26 @@
 		})
 		store := newMemoryStore()
 		copyPage(store, replica.View(), page)
-		editing := microsPerCall(func() {
+		edit := microsPerCall(func() {
 			current := recordRevision(store, page, record.Key())
 			_, _ = catalogue.Apply(context.Background(), store, catalogue.Edit{Record: accountRecord(7), Expect: current, ID: fmt.Sprint(rand.Uint64())}, 0)
 		})
 		size := fmt.Sprint(accounts, " accounts")
-		slopes = append(slopes,
+		costs = append(costs,
 			Cost{Name: "catalogue replica", Size: size, HeapBytes: kept},
 			Cost{Name: "one edit applied to a replica", Size: size, Microseconds: apply},
-			Cost{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: editing, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
+			Cost{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: edit, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
 		)
 	}
 	encoded, err := json.Marshal(accountRecord(7))
-	slopes = append(slopes, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
-	view := catalogue.NewReplica()
-	fillReplica(view, 48_000)
-	slopes = append(slopes, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: microsPerCall(func() { view.View().AccountByKey("account-00007.secret") })})
-	return slopes, err
+	costs = append(costs, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
+	replica := catalogue.NewReplica()
+	fillReplica(replica, 48_000)
+	costs = append(costs, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: microsPerCall(func() { replica.View().AccountByKey("account-00007.secret") })})
+	return costs, err
 }
 
+// fillReplica applies the records of that many accounts to a replica.
 func fillReplica(replica *catalogue.Replica, accounts int) {
 	var changes [catalogue.PageCount]catalogue.Change
 	for i := range accounts {
@@ -243,6 +250,7 @@
 	}
 }
 
+// copyPage writes one page of a catalogue view to an empty store.
 func copyPage(store *memoryStore, view *catalogue.View, number int) {
 	page := catalogue.Page{Records: map[string]*catalogue.Record{}}
 	for _, change := range view.ChangesSince(nil) {
@@ -257,6 +265,7 @@
 	_ = store.CompareAndSwap(context.Background(), catalogue.PageKey(number), data, 0)
 }
 
+// recordRevision is the revision of a record in the store, 0 if it is not there.
 func recordRevision(store *memoryStore, page int, key string) uint64 {
 	value, _ := store.Get(context.Background(), catalogue.PageKey(page))
 	decoded, err := catalogue.DecodePage(value.Data)
@@ -266,8 +275,9 @@
 	return decoded.Records[key].Revision
 }
 
+// powerCosts measures the planning of a site's power ledger.
 func powerCosts() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	for _, endpoints := range []int{25, 400, 1_200} {
 		ledger, err := power.DecodeLedger(nil)
 		if err != nil {
@@ -288,11 +298,12 @@
 		if err != nil {
 			return nil, err
 		}
-		slopes = append(slopes, Cost{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
+		costs = append(costs, Cost{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
 	}
-	return slopes, nil
+	return costs, nil
 }
 
+// agentCosts measures an agent's bookkeeping of requests.
 func agentCosts() ([]Cost, error) {
 	table := attempt.NewTable(1, time.Second, time.Hour)
 	queue := admission.NewQueue(admission.Config{MaxRunning: 1 << 20, MemoryTokens: 1 << 30, PrefillRate: 20_000, MaxWait: [3]time.Duration{time.Hour, time.Hour, time.Hour}})
@@ -324,6 +335,7 @@
 	}, nil
 }
 
+// limiterCosts measures the client accounts' limits.
 func limiterCosts() ([]Cost, error) {
 	limiter := admission.NewLimiter()
 	limits := admission.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrent: 1 << 30}
@@ -346,6 +358,7 @@
 	return []Cost{{Name: "one request through the limits", Size: "48000 accounts", Microseconds: cost, HeapBytes: kept / len(names), Note: "heap per active account"}}, nil
 }
 
+// claimCosts measures the claim of a call that is not repeatable.
 func claimCosts() ([]Cost, error) {
 	claim := &attempt.Claim{
 		Digest: attempt.Digest("excuse-filing", []byte("x")), Attempt: "0123456789abcdef01234567", RequestID: "0123456789abcdef01234567",
@@ -356,7 +369,7 @@
 	return []Cost{{Name: "claim with its outcome in the store", Size: "300-byte reply", Bytes: len(data), Note: "2 reads and 2 writes of the store a call"}}, err
 }
 
-// memoryStore is a store in this process, without faults.
+// memoryStore is an in-memory store that never fails.
 type memoryStore struct {
 	mu       sync.Mutex
 	revision uint64
@@ -384,7 +397,7 @@
 	return nil
 }
 
-// Watch implements infra.Store.
+// Watch implements infra.Store. It returns the current value at once.
 func (s *memoryStore) Watch(ctx context.Context, key string, _ uint64, _ time.Duration) (infra.Value, error) {
 	return s.Get(ctx, key)
 }
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -1,6 +1,6 @@
-// Package bench holds the experiments: a small fleet in one process for the demo
-// and for measuring the path, and the load on the real routing and admission
-// code before small stand-in engines.
+// Package bench holds the demo and the benchmarks. Some run a small fleet, with stand-ins for the
+// platform and the engines, in one process; others run the real routing, admission or power code
+// against models of the engines in virtual time.
 package bench
 
 import (
@@ -31,19 +31,20 @@
 	standinservice "aspenyard.example/standin/service"
 )
 
-// FleetConfig sizes a fleet.
+// FleetConfig is the size of a fleet.
 type FleetConfig struct {
 	Entries, Engines, Services int
-	// TimeScale is how much faster than real the engines run.
+	// TimeScale is the factor by which the engines run faster than real ones.
 	TimeScale float64
-	// Engine sizes each engine.
+	// Engine configures each engine.
 	Engine standinengine.Config
 }
 
-// Fleet is a whole system in this process, on free loopback ports: stand-ins,
-// agents and entries.
+// Fleet is a complete system in this process, on free loopback ports: stand-ins of the platform,
+// the engines and plain services, agents, and entries.
 type Fleet struct {
-	// Callers, Operators and Engines are addresses.
+	// Callers and Operators are the entries' addresses for callers and operators, Engines
+	// those of the engines.
 	Callers, Operators, Engines []string
 	client                      *http.Client
 }
@@ -57,8 +58,8 @@
 	dataCentre    = "dc1"
 )
 
-// KindFor names the fleet's kind of work for a prompt length: crew lookups,
-// replies, and audits of whole files.
+// KindFor returns the kind of work for a prompt length in tokens: urgent work up to 4,000, normal
+// up to 100,000, and bulk above.
 func KindFor(tokens int) string {
 	switch {
 	case tokens <= 4_000:
@@ -69,7 +70,7 @@
 	return "season-audit"
 }
 
-// StartFleet starts a fleet that runs until ctx ends, and waits until it serves.
+// StartFleet starts a fleet that runs until ctx ends, and waits until it is ready.
 func StartFleet(ctx context.Context, config FleetConfig, log *zap.Logger) (*Fleet, error) {
 	f := &Fleet{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	store, err := f.startPlatform(ctx, config)
@@ -104,7 +105,8 @@
 	return listener.Addr().String(), nil
 }
 
-// startPlatform starts the store with the catalogue already in it.
+// startPlatform starts the stand-in of the store, writes the catalogue to it and returns its
+// address.
 func (f *Fleet) startPlatform(ctx context.Context, _ FleetConfig) (string, error) {
 	addr, err := serve(ctx, standinconsul.New(standinconsul.Settings{}).Handler())
 	if err != nil {
@@ -120,7 +122,7 @@
 	return addr, nil
 }
 
-// FleetRecords is the catalogue that a fleet starts with.
+// FleetRecords returns the records of a fleet's catalogue.
 func FleetRecords() []*catalogue.Record {
 	work := func(id, class string) *catalogue.Record {
 		return &catalogue.Record{Type: catalogue.TypeWork, ID: id, Owner: "demo", Work: &catalogue.Work{
@@ -136,6 +138,7 @@
 	}
 }
 
+// startEngine starts an engine and its agent.
 func (f *Fleet) startEngine(ctx context.Context, config FleetConfig, store string, i int, log *zap.Logger) error {
 	server := standinengine.New(standinengine.Settings{Config: config.Engine, Models: []string{fleetModel}, TimeScale: config.TimeScale})
 	go server.Run(ctx)
@@ -147,6 +150,7 @@
 	return startAgent(ctx, store, fmt.Sprintf("engine-%d", i), addr, "engine", log)
 }
 
+// startService starts a plain service and its agent.
 func (f *Fleet) startService(ctx context.Context, store string, i int, log *zap.Logger) error {
 	addr, err := serve(ctx, standinservice.New(standinservice.Settings{}).Handler())
 	if err != nil {
@@ -155,6 +159,7 @@
 	return startAgent(ctx, store, fmt.Sprintf("service-%d", i), addr, "service", log)
 }
 
+// nodeSettings returns settings with free ports, on which the node listens later.
 func nodeSettings(store, name string) (settings.Node, error) {
 	listen, err := link.FreeAddr()
 	if err != nil {
@@ -164,6 +169,7 @@
 	return settings.Node{Name: name, DataCentre: dataCentre, Listen: listen, OperatorsListen: operators, Platform: store}, err
 }
 
+// startAgent lists an agent's VM and starts the agent beside an endpoint.
 func startAgent(ctx context.Context, store, name, endpoint, kind string, log *zap.Logger) error {
 	base, err := nodeSettings(store, name)
 	if err != nil {
@@ -183,6 +189,7 @@
 	return nil
 }
 
+// startEntry lists an entry's VM and starts the entry.
 func (f *Fleet) startEntry(ctx context.Context, store string, i int, log *zap.Logger) error {
 	base, err := nodeSettings(store, fmt.Sprintf("entry-%d", i))
 	if err != nil {
@@ -209,15 +216,15 @@
 	return nil
 }
 
-// listVM adds a VM to the platform's list.
+// listVM adds a VM to the platform's VM list.
 func listVM(ctx context.Context, store string, vm standinconsul.VM) error {
 	vms, err := consul.NewClient(store, time.Second).VMs(ctx)
 	if err != nil {
 		return err
 	}
 	list := []standinconsul.VM{vm}
-	for _, old := range vms {
-		list = append(list, standinconsul.VM{Name: old.Name, Role: old.Role, DataCentre: old.DataCentre, Addr: old.Addr})
+	for _, listed := range vms {
+		list = append(list, standinconsul.VM{Name: listed.Name, Role: listed.Role, DataCentre: listed.DataCentre, Addr: listed.Addr})
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
@@ -235,7 +242,7 @@
 	readyTimeout      = 30 * time.Second
 )
 
-// awaitReady waits until every entry has the catalogue and hears all agents.
+// awaitReady waits until every entry is ready and receives the heartbeats of all agents.
 func (f *Fleet) awaitReady(ctx context.Context, agents int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -251,6 +258,7 @@
 	return nil
 }
 
+// liveAgents counts the agents that entry i sees as live, 0 if it does not answer.
 func (f *Fleet) liveAgents(ctx context.Context, i int) int {
 	var status struct {
 		Members []struct{ Role, State string } `json:"members"`
@@ -267,6 +275,7 @@
 	return live
 }
 
+// get reads JSON from an operators' or engine's address into a value, or discards the body for nil.
 func (f *Fleet) get(ctx context.Context, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -287,8 +296,8 @@
 	return errors.WithStack(json.NewDecoder(response.Body).Decode(into))
 }
 
-// AwaitNoHeldTokens sums the engines' held memory once it is zero, or after a wait; the
-// error names the engines that still hold some.
+// AwaitNoHeldTokens waits until no engine holds KV cache. After readyTimeout it returns the sum
+// that is still held, in tokens, and an error that names the engines.
 func (f *Fleet) AwaitNoHeldTokens(ctx context.Context) (int, error) {
 	deadline := time.Now().Add(readyTimeout)
 	for {
@@ -300,9 +309,10 @@
 	}
 }
 
+// heldTokens sums the KV cache that engines hold now; the error names those that hold some.
 func (f *Fleet) heldTokens(ctx context.Context) (int, error) {
 	held := 0
-	var holders []string
+	var holding []string
 	for _, addr := range f.Engines {
 		var record standinengine.Record
 		if err := f.get(ctx, "http://"+addr+"/record", &record); err != nil {
@@ -310,16 +320,17 @@
 		}
 		held += record.HeldTokens
 		if record.HeldTokens > 0 {
-			holders = append(holders, fmt.Sprintf("%s: %d", addr, record.HeldTokens))
+			holding = append(holding, fmt.Sprintf("%s: %d", addr, record.HeldTokens))
 		}
 	}
 	if held > 0 {
-		return held, errors.New(strings.Join(holders, ", "))
+		return held, errors.New(strings.Join(holding, ", "))
 	}
 	return 0, nil
 }
 
-// Completion is one request to a fleet.
+// Completion is a completion request to a fleet. Entry is the index of the entry, modulo their
+// number.
 type Completion struct {
 	Entry     int
 	Kind      string
@@ -328,15 +339,15 @@
 	Deadline  time.Duration
 }
 
-// CompletionResult is what came back.
+// CompletionResult is a completion's text and its times since the request was sent.
 type CompletionResult struct {
 	Text       string
 	FirstToken time.Duration
 	Duration   time.Duration
 }
 
-// Complete sends a streamed completion and reads it to its end. An answer
-// without its end marker is an error.
+// Complete sends a completion request and reads the stream to its end. A stream without its end
+// marker is an error.
 func (f *Fleet) Complete(ctx context.Context, c Completion) (CompletionResult, error) {
 	body, err := json.Marshal(map[string]any{"model": c.Kind, "prompt": c.Prompt, "max_tokens": c.MaxTokens, "stream": true})
 	if err != nil {
@@ -346,14 +357,15 @@
 	return Stream(ctx, f.client, "http://"+f.Callers[c.Entry%len(f.Callers)]+"/v1/completions", header, body)
 }
 
-// Stream posts a completion and reads its server-sent events.
+// Stream posts a completion request and reads its server-sent events. Any HTTP status but 200 and
+// an error event are errors.
 func Stream(ctx context.Context, client *http.Client, url string, header http.Header, body []byte) (CompletionResult, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return CompletionResult{}, errors.WithStack(err)
 	}
 	request.Header = header
-	started := time.Now()
+	sentAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
 		return CompletionResult{}, errors.WithStack(err)
@@ -363,38 +375,39 @@
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 1024))
 		return CompletionResult{}, errors.Errorf("HTTP status %d: %s", response.StatusCode, bytes.TrimSpace(text))
 	}
-	return readEvents(response.Body, started)
+	return readEvents(response.Body, sentAt)
 }
 
-func readEvents(body io.Reader, started time.Time) (CompletionResult, error) {
-	var answer CompletionResult
+// readEvents reads a stream up to its end marker.
+func readEvents(body io.Reader, sentAt time.Time) (CompletionResult, error) {
+	var result CompletionResult
 	var text strings.Builder
 	reader := bufio.NewReader(body)
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return answer, errors.New("the stream ended without its end marker")
+			return result, errors.New("the stream ended without its end marker")
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !found {
 			continue
 		}
 		if data == "[DONE]" {
-			answer.Text, answer.Duration = text.String(), time.Since(started)
-			return answer, nil
+			result.Text, result.Duration = text.String(), time.Since(sentAt)
+			return result, nil
 		}
 		var event struct {
 			Error   *struct{ Message string }
 			Choices []struct{ Text string }
 		}
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
-			return answer, errors.WithStack(err)
+			return result, errors.WithStack(err)
 		}
 		if event.Error != nil {
-			return answer, errors.New(event.Error.Message)
+			return result, errors.New(event.Error.Message)
 		}
-		if answer.FirstToken == 0 {
-			answer.FirstToken = time.Since(started)
+		if result.FirstToken == 0 {
+			result.FirstToken = time.Since(sentAt)
 		}
 		for _, choice := range event.Choices {
 			text.WriteString(choice.Text)
--- a/bench/gatewaydemo.go
+++ b/bench/gatewaydemo.go
@@ -13,13 +13,13 @@
 	standinplatform "aspenyard.example/standin/platform"
 )
 
-// GatewayDemoResult is what callers of a demonstration got.
+// GatewayDemoResult is the result of a gateway demonstration.
 type GatewayDemoResult struct {
 	Workers  int `json:"workers"`
 	Requests int `json:"requests"`
-	// Complete is how many streams came whole, as the workers' own text has it.
+	// Complete counts the streams whose text equals that of the workers.
 	Complete int `json:"whole"`
-	// CutByWorkers is how many of the workers' answers broke off in the midst of an event.
+	// CutByWorkers counts the answers that workers aborted within an event.
 	CutByWorkers int `json:"cut_by_workers"`
 }
 
@@ -28,13 +28,13 @@
 	demoEvents          = 20
 	demoEventInterval   = 10 * time.Millisecond
 	demoRequestInterval = 20 * time.Millisecond
-	// demoCutEvery makes a worker break off in the midst of an event now and then.
+	// For every demoCutEvery-th request a worker aborts an answer within an event.
 	demoCutEvery = 8
 )
 
-// GatewayDemo runs a gateway before the stand-in of the users' platform and five of its
-// workers, which now and then break off in the midst of an event, sends streams and
-// compares what comes back with the workers' own text.
+// GatewayDemo runs a gateway with a stand-in of the users' platform and five workers. It sends
+// requests for streams, of which the workers abort some within an event, and checks that callers
+// still get the workers' complete text.
 func GatewayDemo(ctx context.Context, requests int) (GatewayDemoResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,10 +62,10 @@
 		}
 		sending.Go(func() {
 			id := fmt.Sprint("q", i)
-			whole := streamIsComplete(ctx, client, g.CallersAddr(), id)
+			complete := streamIsComplete(ctx, client, g.CallersAddr(), id)
 			mu.Lock()
 			defer mu.Unlock()
-			if whole {
+			if complete {
 				result.Complete++
 			}
 		})
@@ -75,6 +75,7 @@
 	return result, nil
 }
 
+// streamIsComplete sends a request and reports whether its stream is complete.
 func streamIsComplete(ctx context.Context, client *http.Client, addr, id string) bool {
 	response, err := client.Do(standinplatform.CallerRequest(addr, id, id).WithContext(ctx))
 	if err != nil {
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -20,11 +20,11 @@
 	standinplatform "aspenyard.example/standin/platform"
 )
 
-// GatewayPathResult is what the way through a gateway costs.
+// GatewayPathResult is the latency that a gateway adds.
 type GatewayPathResult struct {
 	Pairs int `json:"pairs"`
-	// The times to the first event of the worker called directly and through the
-	// gateway, alternating in one run, and the difference of the pairs, in microseconds.
+	// The times to first event, in microseconds, of calls to the worker directly and through
+	// the gateway, which alternate, and the difference within each pair.
 	DirectP50  int64 `json:"direct_p50_us"`
 	ThroughP50 int64 `json:"through_p50_us"`
 	AddedP50   int64 `json:"added_p50_us"`
@@ -34,14 +34,14 @@
 const (
 	gatewayEvents = 8
 	gatewayBody   = 1200
-	// benchRetryAllowance lets a single entry repeat a few requests at once.
+	// benchRetryAllowance lets a single gateway retry a few requests at once.
 	benchRetryAllowance = 3200
 	// gatewayReadyTimeout bounds the wait for the gateway's first configuration.
 	gatewayReadyTimeout = 10 * time.Second
 )
 
-// GatewayPath measures over this many pairs, with a gateway, the stand-in of the
-// platform's store and one worker in this process.
+// GatewayPath measures the latency of a gateway over pairs of calls. The gateway, a stand-in of the
+// platform's store and one worker run in this process.
 func GatewayPath(ctx context.Context, pairs int) (GatewayPathResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -60,24 +60,25 @@
 	direct, through, added := newHistogram(), newHistogram(), newHistogram()
 	body := strings.Repeat("x", gatewayBody)
 	for i := range pairs {
-		one, err := firstEvent(ctx, client, standinplatform.DirectRequest(worker, fmt.Sprint("d", i), body))
+		directTime, err := firstEvent(ctx, client, standinplatform.DirectRequest(worker, fmt.Sprint("d", i), body))
 		if err != nil {
 			return result, err
 		}
-		two, err := firstEvent(ctx, client, standinplatform.CallerRequest(g.CallersAddr(), fmt.Sprint("g", i), body))
+		throughTime, err := firstEvent(ctx, client, standinplatform.CallerRequest(g.CallersAddr(), fmt.Sprint("g", i), body))
 		if err != nil {
 			return result, err
 		}
-		_ = direct.RecordValue(one.Microseconds())
-		_ = through.RecordValue(two.Microseconds())
-		_ = added.RecordValue(max(0, (two - one).Microseconds()))
+		_ = direct.RecordValue(directTime.Microseconds())
+		_ = through.RecordValue(throughTime.Microseconds())
+		_ = added.RecordValue(max(0, (throughTime - directTime).Microseconds()))
 	}
 	result.DirectP50, result.ThroughP50 = direct.ValueAtQuantile(50), through.ValueAtQuantile(50)
 	result.AddedP50, result.AddedP95 = added.ValueAtQuantile(50), added.ValueAtQuantile(95)
 	return result, nil
 }
 
-// startGateway runs a gateway until ctx ends and waits until it is ready.
+// startGateway starts a gateway for the workers, which runs until ctx ends, and waits until it is
+// ready.
 func startGateway(ctx context.Context, workers ...*standinplatform.Worker) (*gateway.Gateway, error) {
 	store := standinplatform.NewStore()
 	store.Put("op/config", standinplatform.SmallConfig(1, workers[0].Service))
@@ -96,8 +97,8 @@
 		return nil, err
 	}
 	dial := gateway.Dialer(time.Second)
-	orders := platform.NewEndpointClient(dial)
-	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.HeaderCodec{}, Source: platform.NewStore(s.Store, dial), Reserver: orders, SlowdownReader: orders, Log: zap.NewNop()})
+	endpoints := platform.NewEndpointClient(dial)
+	g := gateway.New(gateway.Config{Settings: s, Dialect: platform.HeaderCodec{}, Source: platform.NewStore(s.Store, dial), Reserver: endpoints, SlowdownReader: endpoints, Log: zap.NewNop()})
 	failed := make(chan error, 1)
 	go func() { failed <- g.Serve(ctx, make(chan os.Signal), nil) }()
 	for deadline := time.Now().Add(gatewayReadyTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -110,10 +111,10 @@
 			return g, nil
 		}
 	}
-	return nil, errors.New("the gateway is not ready")
+	return nil, errors.New("the gateway did not become ready in time")
 }
 
-// firstEvent makes a request and gives the time to its first event; the rest is read.
+// firstEvent sends a request, reads the answer to its end and returns the time to its first byte.
 func firstEvent(ctx context.Context, client *http.Client, r *http.Request) (time.Duration, error) {
 	start := time.Now()
 	response, err := client.Do(r.WithContext(ctx))
@@ -121,8 +122,8 @@
 		return 0, errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	var one [1]byte
-	if _, err := io.ReadFull(response.Body, one[:]); err != nil {
+	var firstByte [1]byte
+	if _, err := io.ReadFull(response.Body, firstByte[:]); err != nil {
 		return 0, errors.WithStack(err)
 	}
 	took := time.Since(start)
@@ -130,7 +131,7 @@
 		return 0, errors.WithStack(err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return 0, errors.Errorf("status %d", response.StatusCode)
+		return 0, errors.Errorf("HTTP status %d", response.StatusCode)
 	}
 	return took, nil
 }
--- a/bench/idle.go
+++ b/bench/idle.go
@@ -11,20 +11,22 @@
 	"aspenyard.example/burn"
 )
 
-// IdleResult is what one process spends over a time.
+// IdleResult is the resource use of one process.
 type IdleResult struct {
 	Addr string `json:"addr"`
-	// CorePercent is processor time in percent of a core.
+	// CorePercent is the processor time in percent of one core.
 	CorePercent float64 `json:"core_percent"`
-	// ResidentBytes and AnonymousBytes are memory now: all, and what is not files.
+	// ResidentBytes is the resident memory at the end, AnonymousBytes the part of it that is
+	// not backed by files.
 	ResidentBytes  float64 `json:"resident_bytes"`
 	AnonymousBytes float64 `json:"anonymous_bytes"`
-	// SentPerSecond and ReceivedPerSecond are the control loop's bytes.
+	// SentPerSecond and ReceivedPerSecond are the bytes of the process's membership loop.
 	SentPerSecond     float64 `json:"control_sent_bytes_per_second"`
 	ReceivedPerSecond float64 `json:"control_received_bytes_per_second"`
 }
 
-// Idle reads the metrics of running processes twice, by their operators' addresses.
+// Idle measures running processes, given by their operators' addresses: it reads their metrics
+// before and after a time.
 func Idle(addrs []string, length time.Duration) ([]IdleResult, error) {
 	before := make([]map[string]float64, len(addrs))
 	for i, addr := range addrs {
@@ -51,7 +53,7 @@
 	return results, nil
 }
 
-// scrape reads the metrics without labels of one process.
+// scrape reads the metrics of one process that have a single time series.
 func scrape(addr string) (map[string]float64, error) {
 	client := &http.Client{Timeout: 5 * time.Second}
 	response, err := client.Get("http://" + addr + "/metrics")
--- a/bench/input_test.go
+++ b/bench/input_test.go
@@ -19,6 +19,7 @@
 	bowline        = `"prompt":"tie a bowline"`
 )
 
+// testFleet starts a fleet of one entry, two engines and a plain service.
 func testFleet(t *testing.T) *Fleet {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -30,13 +31,14 @@
 	return fleet
 }
 
-// badInput is one request that must be refused at once with its code.
+// badInput is a request that must be refused with a result code without being run.
 type badInput struct {
 	name, path, body string
 	header           map[string]string
 	code             int
 }
 
+// badInputs returns the invalid requests of callers.
 func badInputs() []badInput {
 	completion := func(name, old, changed string, code int) badInput {
 		return badInput{name: name, path: "/v1/completions", body: strings.Replace(goodCompletion, old, changed, 1), code: code}
@@ -80,12 +82,13 @@
 		t.Run(c.name, func(t *testing.T) { checkBadInput(t, fleet, c) })
 	}
 	checkNothingLeft(t, fleet)
-	// The system still works.
+	// The fleet still serves valid requests.
 	is := is.New(t)
 	_, err := fleet.Complete(context.Background(), Completion{Kind: "line-plan", Prompt: "tie", MaxTokens: 4, Deadline: time.Minute})
 	is.NoErr(err)
 }
 
+// checkBadInput sends a request and checks its result code, and that nothing ran.
 func checkBadInput(t *testing.T, fleet *Fleet, c badInput) {
 	is := is.New(t)
 	request, err := http.NewRequest(http.MethodPost, "http://"+fleet.Callers[0]+c.path, strings.NewReader(c.body))
@@ -115,8 +118,8 @@
 	is.Equal(response.Header.Get("X-Request-Id"), body.Error.RequestID)
 }
 
-// checkNothingLeft looks at every process: no request in progress, nothing queued
-// or running, no memory held.
+// checkNothingLeft checks that no request is in flight at the entry, nothing is queued or running
+// at the agents, and no engine holds memory.
 func checkNothingLeft(t *testing.T, fleet *Fleet) {
 	is := is.New(t)
 	_, err := fleet.AwaitNoHeldTokens(context.Background())
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -8,24 +8,25 @@
 	"aspenyard.example/admission"
 )
 
-// LimitsResult is how well a client account's rate held over several entries.
+// LimitsResult shows how well several entries together keep the rate limit of a client account.
 type LimitsResult struct {
 	Entries int    `json:"entries"`
 	Case    string `json:"case"`
-	// Overshoot is the most admitted in any ten seconds over the limit's worth of
-	// them; Unused is the part of the limit that offered requests could have used
-	// and did not, over the whole run after the first ten seconds.
+	// Overshoot is the largest number of requests admitted in any ten seconds, divided by
+	// the limit for ten seconds, less 1. Unused is the share of the limit that the offered
+	// requests left unused though they could have used it, after the first ten seconds.
 	Overshoot float64 `json:"overshoot"`
 	Unused    float64 `json:"unused"`
-	// EqualUnused is the same for equal parts without lending.
+	// EqualUnused is the same without lending, with an equal share for each entry.
 	EqualUnused float64 `json:"equal_unused"`
 }
 
-// limitsCases are where an account's traffic arrives.
+// limitsCases name how the traffic of an account is distributed over the entries. In "home dies"
+// it arrives at one entry, and the entry that lends the shares is replaced half way through.
 var limitsCases = []string{"even", "one entry", "skewed", "moving", "home dies"}
 
 const (
-	limitPerSecond   = 100.0 // requests a second
+	limitPerSecond   = 100.0 // requests
 	offeredPerSecond = 200.0
 	limitsDuration   = 60 * time.Second
 	limitsStep       = 5 * time.Millisecond
@@ -33,8 +34,8 @@
 	movePeriod       = 15 * time.Second
 )
 
-// Limits measures the account limits with the real limiter and lending in virtual
-// time.
+// Limits runs the real limiter and lending in virtual time and measures how the limit is kept, for
+// each number of entries and each case.
 func Limits(seed uint64, entryCounts []int) []LimitsResult {
 	var results []LimitsResult
 	for _, entries := range entryCounts {
@@ -48,7 +49,7 @@
 	return results
 }
 
-// limitsRun is one entry fleet under one case.
+// limitsRun is the state of one run.
 type limitsRun struct {
 	name     string
 	entries  int
@@ -57,10 +58,11 @@
 	limiters []*admission.Limiter
 	shares   []*admission.Borrower
 	lender   *admission.Lender
-	admitted []int // by second
-	offered  []int
+	admitted []int // requests by second
+	offered  []int // requests by second
 }
 
+// runLimits runs one case.
 func runLimits(seed uint64, entries int, name string, lending bool) LimitsResult {
 	epoch := time.Unix(1_780_000_000, 0)
 	r := &limitsRun{name: name, entries: entries, lending: lending, random: rand.New(rand.NewPCG(seed, uint64(entries))), lender: admission.NewLender(epoch)}
@@ -74,7 +76,7 @@
 	for at := time.Duration(0); at < limitsDuration; at += limitsStep {
 		now := epoch.Add(at)
 		if name == "home dies" && at == limitsDuration/2 {
-			// The next home begins without knowing what was lent.
+			// A new home does not know what the previous one has lent.
 			r.lender = admission.NewLender(now)
 		}
 		if lending && at >= nextBorrow {
@@ -86,20 +88,22 @@
 	return r.result()
 }
 
+// borrow requests a share of the limit for each entry that had requests.
 func (r *limitsRun) borrow(now time.Time) {
 	for i, limiter := range r.limiters {
-		arrived := limiter.TakeDemand(now, time.Hour)["account"]
-		if arrived == 0 {
+		demand := limiter.TakeDemand(now, time.Hour)["account"]
+		if demand == 0 {
 			continue
 		}
-		share := r.lender.Lend(now, "account", strconv.Itoa(i), arrived/admission.BorrowInterval.Seconds())
+		share := r.lender.Lend(now, "account", strconv.Itoa(i), demand/admission.BorrowInterval.Seconds())
 		r.shares[i].SetLoan(now, "account", share)
 	}
 }
 
+// arrivals offers the requests of one step, a number whose mean is the offered rate.
 func (r *limitsRun) arrivals(now time.Time, at time.Duration) {
-	for chance := offeredPerSecond * limitsStep.Seconds(); chance > 0; chance-- {
-		if chance < 1 && r.random.Float64() >= chance {
+	for expected := offeredPerSecond * limitsStep.Seconds(); expected > 0; expected-- {
+		if expected < 1 && r.random.Float64() >= expected {
 			return
 		}
 		i := r.target(at)
@@ -131,9 +135,10 @@
 	return r.random.IntN(r.entries)
 }
 
+// result sums up the run.
 func (r *limitsRun) result() LimitsResult {
 	result := LimitsResult{Entries: r.entries, Case: r.name}
-	could, did := 0.0, 0.0
+	usable, used := 0.0, 0.0
 	for second := limitsWindow; second <= len(r.admitted); second++ {
 		sum := 0
 		for _, n := range r.admitted[second-limitsWindow : second] {
@@ -142,9 +147,9 @@
 		result.Overshoot = max(result.Overshoot, float64(sum)/(limitPerSecond*limitsWindow)-1)
 	}
 	for second := limitsWindow; second < len(r.admitted); second++ {
-		could += min(limitPerSecond, float64(r.offered[second]))
-		did += min(limitPerSecond, float64(r.admitted[second]))
+		usable += min(limitPerSecond, float64(r.offered[second]))
+		used += min(limitPerSecond, float64(r.admitted[second]))
 	}
-	result.Unused = 1 - did/could
+	result.Unused = 1 - used/usable
 	return result
 }
--- a/bench/path.go
+++ b/bench/path.go
@@ -16,23 +16,22 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// PathResult is what the way through entry and agent costs.
+// PathResult is the latency that entry and agent add, and the throughput of the path.
 type PathResult struct {
 	Pairs int `json:"pairs"`
-	// The times to first token of the engine called directly and through entry and
-	// agent, alternating in one run, and the difference of the pairs, in microseconds.
+	// The times to first token, in microseconds, of calls to the engine directly and through
+	// entry and agent, which alternate, and the difference within each pair.
 	DirectP50  int64 `json:"direct_p50_us"`
 	ThroughP50 int64 `json:"through_p50_us"`
 	AddedP50   int64 `json:"added_p50_us"`
 	AddedP95   int64 `json:"added_p95_us"`
-	// RequestsPerSecond and TokensPerSecond are of this whole process (entry,
-	// agent, engine stand-in and caller) on one processor: a lower bound for the
-	// entry alone.
+	// RequestsPerSecond and TokensPerSecond are those of this whole process (entry, agent,
+	// engine stand-in and caller) on one processor, a lower bound for the entry alone.
 	RequestsPerSecond float64 `json:"requests_per_second_one_core"`
 	TokensPerSecond   float64 `json:"tokens_per_second_one_core"`
 }
 
-// quickEngine takes next to no time, so that what is measured is the path.
+// quickEngine configures engines that take almost no time, so that the path is what is measured.
 var quickEngine = standin.Config{StepTime: time.Microsecond, PrefillTime: time.Nanosecond, DecodeTime: time.Nanosecond, MaxRunning: 256}
 
 const (
@@ -43,7 +42,8 @@
 	streamOutput = 2000
 )
 
-// Path measures over this many pairs, and the rates for the time given.
+// Path measures the latency over pairs of calls, and then the throughput of short and of long
+// answers for rateTime each.
 func Path(ctx context.Context, pairs int, rateTime time.Duration) (PathResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,29 +67,30 @@
 	return result, err
 }
 
+// pairs measures the latencies and sets them in the result.
 func (f *Fleet) pairs(ctx context.Context, result *PathResult) error {
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3) }
 	direct, through, added := newHistogram(), newHistogram(), newHistogram()
 	for i := range result.Pairs {
 		prompt := Prompt(uint64(i), pathTokens)
-		one, err := f.direct(ctx, i, prompt)
+		directCall, err := f.direct(ctx, i, prompt)
 		if err != nil {
 			return err
 		}
-		two, err := f.Complete(ctx, Completion{Kind: "line-plan", Prompt: prompt, MaxTokens: pathOutput, Deadline: pathDeadline})
+		throughCall, err := f.Complete(ctx, Completion{Kind: "line-plan", Prompt: prompt, MaxTokens: pathOutput, Deadline: pathDeadline})
 		if err != nil {
 			return err
 		}
-		_ = direct.RecordValue(one.FirstToken.Microseconds())
-		_ = through.RecordValue(two.FirstToken.Microseconds())
-		_ = added.RecordValue(max(0, (two.FirstToken - one.FirstToken).Microseconds()))
+		_ = direct.RecordValue(directCall.FirstToken.Microseconds())
+		_ = through.RecordValue(throughCall.FirstToken.Microseconds())
+		_ = added.RecordValue(max(0, (throughCall.FirstToken - directCall.FirstToken).Microseconds()))
 	}
 	result.DirectP50, result.ThroughP50 = direct.ValueAtQuantile(50), through.ValueAtQuantile(50)
 	result.AddedP50, result.AddedP95 = added.ValueAtQuantile(50), added.ValueAtQuantile(95)
 	return nil
 }
 
-// direct asks the engine itself.
+// direct sends a completion request to the engine itself.
 func (f *Fleet) direct(ctx context.Context, i int, prompt string) (CompletionResult, error) {
 	body, err := json.Marshal(standin.CompletionRequest{
 		RequestID: fmt.Sprint("direct-", i), Model: fleetModel, Prompt: prompt, MaxTokens: pathOutput, Stream: true,
@@ -97,12 +98,13 @@
 	if err != nil {
 		return CompletionResult{}, errors.WithStack(err)
 	}
-	// A fencing number above any agent's, so that the engine takes the order.
+	// The engine accepts the request because its fencing number is above any agent's.
 	header := http.Header{"X-Fencing-Number": {"9000000000000000000"}}
 	return Stream(ctx, f.client, "http://"+f.Engines[0]+"/v1/completions", header, body)
 }
 
-// rate gives requests and tokens a second with a few callers at once.
+// rate measures requests and tokens a second with pathCallers callers at once, and returns the
+// last error of any of them.
 func (f *Fleet) rate(ctx context.Context, length time.Duration, output int) (requests, tokens float64, err error) {
 	prompt := Prompt(1, pathTokens)
 	var mu sync.Mutex
--- a/bench/plot.go
+++ b/bench/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// PlotPolicies draws the short requests' p95 time to first token over the load,
-// one line a policy, as SVG or PNG by the file's ending.
+// PlotPolicies plots the short requests' p95 time to first token against the load, with a line for
+// each policy. The extension of path selects the format, such as SVG or PNG.
 func PlotPolicies(results []PolicyResult, path string) error {
 	p := plot.New()
 	p.Title.Text = "Short prompts (up to 4k tokens) with long ones present"
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -12,37 +12,38 @@
 	"aspenyard.example/routing"
 )
 
-// PolicyResult is what one policy did with one workload.
+// PolicyResult is the result of one policy under one workload.
 type PolicyResult struct {
 	Policy string  `json:"policy"`
 	Seed   uint64  `json:"seed"`
 	Load   float64 `json:"load"`
-	// FirstToken holds the times to first token by length band.
+	// FirstToken holds the times to first token by band of prompt length.
 	FirstToken []BandResult `json:"first_token"`
-	// ShortSlowdown is the short requests' p95 (and mean) time to first token over
-	// that of the same arrivals without the long prompts.
+	// ShortSlowdown is the p95 time to first token of short requests divided by that of the
+	// same arrivals without the long prompts; ShortSlowdownMean is the same of the means.
 	ShortSlowdown     float64 `json:"short_slowdown_p95"`
 	ShortSlowdownMean float64 `json:"short_slowdown_mean"`
-	// Goodput is the part of what was offered that ended within its deadline, by
+	// Goodput is the share of the offered requests that ended within their deadline, by
 	// class.
 	Goodput map[string]float64 `json:"goodput"`
-	// Refused is the part that was refused; RetrySucceeded the part of those that
-	// came back as told and then ended well.
+	// Refused is the share of requests that were refused. Retried counts the retries that
+	// callers made when Retry-After had passed, and RetrySucceeded is the share of those that
+	// ended within their deadline.
 	Refused        float64 `json:"refused"`
 	RetrySucceeded float64 `json:"retry_succeeded"`
 	Retried        int     `json:"retried"`
-	// PrefixReused is the part of prompt tokens served from prefix caches.
+	// PrefixReused is the share of prompt tokens served from prefix caches.
 	PrefixReused float64 `json:"prefix_reused"`
-	// Fairness is the small accounts' worst goodput over the large accounts' best.
+	// Fairness is the lowest goodput of a small account divided by the highest of a large one.
 	Fairness float64 `json:"fairness"`
 	// LateAdmitted counts admitted requests that did not end by their deadline.
 	LateAdmitted int `json:"late_admitted"`
-	// KillRetries counts attempts made again after engines died.
+	// KillRetries counts the retries of requests whose engine was killed.
 	KillRetries int `json:"kill_retries"`
 	Requests    int `json:"requests"`
 }
 
-// BandResult is one length band's times to first token, in milliseconds.
+// BandResult holds the times to first token of one band of prompt lengths, in milliseconds.
 type BandResult struct {
 	Band  string  `json:"band"`
 	Count int     `json:"count"`
@@ -51,12 +52,13 @@
 	P99   float64 `json:"p99_ms"`
 }
 
-// LengthBands names the length bands.
+// LengthBands names the bands of prompt lengths, in tokens.
 var LengthBands = []string{"up to 4k", "up to 16k", "up to 100k", "above 100k"}
 
 var classNames = []string{"urgent", "normal", "bulk"}
 
-// RunPolicy measures one policy under a workload.
+// RunPolicy measures one policy under a workload. It runs the workload twice, with and without its
+// long prompts.
 func RunPolicy(policy string, w Workload, c Conditions) (PolicyResult, error) {
 	jobs := w.jobs()
 	with, err := simulate(policy, jobs, w, c)
@@ -74,6 +76,7 @@
 	return r, nil
 }
 
+// ratio is a divided by b, 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -81,9 +84,8 @@
 	return a / b
 }
 
-// shortFirstToken is a quantile, or with a negative one the mean, of the short
-// requests' times to first token, in milliseconds. A request that never had one
-// counts with its whole time allowed.
+// shortFirstToken is a quantile of the short requests' times to first token in milliseconds, or the
+// mean for a negative q. A request without a first token counts with its timeout.
 func shortFirstToken(s *simulation, q float64) float64 {
 	var times []float64
 	sum := 0.0
@@ -104,6 +106,7 @@
 	return quantile(times, q)
 }
 
+// summary returns the figures of one run.
 func (s *simulation) summary() PolicyResult {
 	r := PolicyResult{Goodput: map[string]float64{}, Requests: len(s.outcomes), PrefixReused: ratio(float64(s.cachedTokens), float64(s.promptTokens))}
 	offered, good := map[string]int{}, map[string]int{}
@@ -144,7 +147,7 @@
 	return r
 }
 
-// fairness compares the worst small account with the best large one.
+// fairness is PolicyResult.Fairness, from the offered and the successful requests by account.
 func fairness(byAccount map[string][2]int) float64 {
 	small, large := 1.0, 0.0
 	for name, counts := range byAccount {
@@ -158,6 +161,7 @@
 	return ratio(small, large)
 }
 
+// bands returns the times to first token by band, without refused requests and retries.
 func (s *simulation) bands() []BandResult {
 	var results []BandResult
 	for band, name := range LengthBands {
@@ -180,7 +184,7 @@
 	return results
 }
 
-// MeanResult averages the results of one policy over seeds, figure by figure.
+// MeanResult averages the figures of one policy's results over seeds; counts are summed.
 func MeanResult(results []PolicyResult) PolicyResult {
 	n := float64(len(results))
 	mean := PolicyResult{Policy: results[0].Policy, Load: results[0].Load, Goodput: map[string]float64{}, FirstToken: make([]BandResult, len(LengthBands))}
@@ -210,7 +214,7 @@
 	return mean
 }
 
-// PolicyTable prints results as text, one policy a line.
+// PolicyTable formats results as text, sorted by load, with a line for each.
 func PolicyTable(results []PolicyResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-18s %5s | %s | %8s | %s | %7s %7s | %6s %6s | %s\n", "policy", "load",
@@ -228,5 +232,5 @@
 	return b.String()
 }
 
-// PolicyNames lists the policies in the order of the tables.
+// PolicyNames returns the names of the routing policies in the order of the tables.
 func PolicyNames() []string { return routing.PolicyNames() }
--- a/bench/power.go
+++ b/bench/power.go
@@ -7,19 +7,20 @@
 	"aspenyard.example/power"
 )
 
-// PowerResult is how much of a site's cap was used.
+// PowerResult shows how much of a site's power cap was used.
 type PowerResult struct {
 	Case string `json:"case"`
-	// Unused is the part of the cap, above the floors, that waiting work could have
-	// used and did not; EqualIdle the same with a static equal split.
+	// Unused is the share of the cap above the endpoints' floors that the demand could have
+	// used but did not; EqualUnused is the same with a static equal split.
 	Unused      float64 `json:"idle"`
 	EqualUnused float64 `json:"equal_idle"`
-	// Writes is the ledger's writes a round; Exceeded counts rounds above the cap.
+	// Writes is the number of ledger writes a round, Exceeded the number of rounds in which
+	// the draw was above the cap.
 	Writes   float64 `json:"writes_per_round"`
 	Exceeded int     `json:"exceeded"`
 }
 
-// powerCases are how the work is spread over the endpoints.
+// powerCases name how the demand is distributed over the endpoints.
 var powerCases = []string{"even", "half idle", "one in five busy", "moving", "bursts"}
 
 const (
@@ -28,11 +29,11 @@
 	powerSlots     = 32
 	powerFloor     = 1000
 	powerMax       = 5000
-	powerCap       = 75_000
+	powerCap       = 75_000 // in watts, as powerFloor and powerMax
 	moveRounds     = 50
 )
 
-// benchWorker is an endpoint whose work follows its demand, within its grant.
+// benchWorker is an endpoint that runs as much of its demand, in slots, as its power grant allows.
 type benchWorker struct {
 	limit  *power.Limit
 	demand int
@@ -47,8 +48,8 @@
 	}
 }
 
-// Power runs the real ledger over rounds of changing demand. Each round is a
-// keeper's: reports, plan, grants; what agents confirm is seen in the next.
+// Power runs the real power ledger over rounds of changing demand, for each case. A round is that of
+// a power coordinator: reports, plan, grants. What the agents confirm is reported in the next one.
 func Power(seed uint64) ([]PowerResult, error) {
 	var results []PowerResult
 	for _, name := range powerCases {
@@ -61,6 +62,7 @@
 	return results, nil
 }
 
+// runPower runs one case.
 func runPower(seed uint64, name string) (PowerResult, error) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	ledger, err := power.DecodeLedger(nil)
@@ -90,8 +92,8 @@
 			grant := ledger.Grants[fmt.Sprint("worker-", i)]
 			w.limit.Apply(grant.Incarnation, grant.Revision, grant.Watts)
 		}
-		could, did, equal, draw := sumUsage(workers)
-		usable, used, equalUsed = usable+could, used+did, equalUsed+equal
+		roundUsable, roundUsed, roundEqual, draw := sumUsage(workers)
+		usable, used, equalUsed = usable+roundUsable, used+roundUsed, equalUsed+roundEqual
 		if draw > powerCap {
 			result.Exceeded++
 		}
@@ -101,24 +103,24 @@
 	return result, nil
 }
 
-// sumUsage sums, in watts above the floors, what the work could use of the cap, what
-// it used, and what it would have used with equal parts; and the whole draw.
-func sumUsage(workers []*benchWorker) (could, did, equal float64, draw uint64) {
+// sumUsage sums the watts above the floors that the demand could use within the cap, that it used,
+// and that it would use with equal shares of the cap, and the total draw in watts.
+func sumUsage(workers []*benchWorker) (usable, used, equal float64, draw uint64) {
 	const perSlot = (powerMax - powerFloor) / powerSlots
 	const equalSlots = (powerCap/powerEndpoints - powerFloor) / perSlot
-	wanted := 0
+	demand := 0
 	for _, w := range workers {
-		wanted += w.demand
-		did += float64(w.running() * perSlot)
+		demand += w.demand
+		used += float64(w.running() * perSlot)
 		equal += float64(min(w.demand, equalSlots) * perSlot)
 		draw += w.limit.WorstCaseDraw(w.running())
 	}
-	could = min(float64(wanted*perSlot), powerCap-powerEndpoints*powerFloor)
-	return could, did, equal, draw
+	usable = min(float64(demand*perSlot), powerCap-powerEndpoints*powerFloor)
+	return usable, used, equal, draw
 }
 
-// demandOf is an endpoint's demand in a round, in batch places.
-func demandOf(random *rand.Rand, name string, round, i, before int) int {
+// demandOf is the demand of endpoint i in a round, in slots.
+func demandOf(random *rand.Rand, name string, round, i, previous int) int {
 	switch name {
 	case "half idle":
 		if i%2 == 0 {
@@ -134,7 +136,7 @@
 		}
 	case "bursts":
 		if random.IntN(10) != 0 {
-			return before
+			return previous
 		}
 		return random.IntN(powerSlots + 1)
 	case "even":
--- a/bench/prompt.go
+++ b/bench/prompt.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// promptWords make prompts that look like text; each has three letters and a
-// space, one token of the stand-ins' count.
+// promptWords are the words of generated prompts. Each has four bytes, which the stand-ins count as
+// one token.
 var promptWords = []string{"tie ", "bow ", "fog ", "law ", "jury", "quay", "rope", "act ", "day ", "tug "}
 
-// Prompt makes a prompt of this many tokens, the same for the same seed.
+// Prompt returns a prompt of this many tokens, the same for the same seed.
 func Prompt(seed uint64, tokens int) string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var b strings.Builder
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -15,11 +15,12 @@
 	"aspenyard.example/result"
 )
 
-// RefusalResult is how quickly callers are refused, for one prompt length.
+// RefusalResult holds the times to refuse requests of one prompt length.
 type RefusalResult struct {
 	PromptTokens int `json:"prompt_tokens"`
 	Count        int `json:"count"`
-	// From the caller's call to the whole answer, in microseconds.
+	// P50, P95 and Max are the times from sending the request to the end of the answer, in
+	// microseconds.
 	P50 int64 `json:"p50_us"`
 	P95 int64 `json:"p95_us"`
 	Max int64 `json:"max_us"`
@@ -27,13 +28,14 @@
 
 const (
 	refusalEngines = 4
-	// refusalOutput takes about 50 s, longer than refusalDeadline: every endpoint
-	// refuses, so that a caller waits for as many agents as an entry ever asks.
+	// refusalOutput is the requested output in tokens. It would take about 50 s, longer than
+	// refusalDeadline, so that every endpoint refuses and the entry asks as many agents as
+	// it may.
 	refusalOutput   = 2000
 	refusalDeadline = 10 * time.Second
 )
 
-// Refusals measures refusals, one after the other, for each prompt length.
+// Refusals measures the time of that many refusals for each prompt length, one after the other.
 func Refusals(ctx context.Context, count int, lengths []int) ([]RefusalResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +61,7 @@
 	return results, nil
 }
 
-// refusal makes a call that must be refused and returns how long that took.
+// refusal sends a request that must be refused and returns the time until the answer ended.
 func (f *Fleet) refusal(ctx context.Context, prompt string) (time.Duration, error) {
 	body, err := json.Marshal(map[string]any{"model": "excuse-draft", "prompt": prompt, "max_tokens": refusalOutput, "stream": true})
 	if err != nil {
@@ -70,21 +72,21 @@
 		return 0, errors.WithStack(err)
 	}
 	request.Header = http.Header{"Authorization": {"Bearer " + fleetKey}, "X-Request-Deadline": {refusalDeadline.String()}}
-	began := time.Now()
+	sentAt := time.Now()
 	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
 	var answer bytes.Buffer
 	_, err = answer.ReadFrom(response.Body)
-	took := time.Since(began)
+	took := time.Since(sentAt)
 	_ = response.Body.Close()
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
 	code := response.Header.Get("X-Result-Code")
 	if code != strconv.Itoa(int(result.DeadlineUnmeetable)) || response.Header.Get("Retry-After") == "" {
-		return 0, errors.Errorf("the call was not refused as it must be: code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), answer.String())
+		return 0, errors.Errorf("the request was not refused as expected: result code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), answer.String())
 	}
 	return took, nil
 }
--- a/bench/run.go
+++ b/bench/run.go
@@ -13,32 +13,34 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// Conditions of a run, beside its workload.
+// Conditions are the parameters of a run beside its workload.
 type Conditions struct {
-	// Entries share the arrivals; each has its own view.
+	// Entries is the number of entries. They take requests in turn, and each has its own view
+	// of the endpoints.
 	Entries int
-	// ReportInterval and ReportDelay time the load reports.
+	// ReportInterval is the time between load reports, ReportDelay the time until a report
+	// reaches the entries.
 	ReportInterval, ReportDelay time.Duration
-	// KillShare of the engines dies half way through.
+	// KillShare is the share of the engines that are killed half way through the run.
 	KillShare float64
-	// RetryShare of the refused requests come back once, when they were told to.
+	// RetryShare is the share of refused requests that are retried, once, after the
+	// Retry-After of the refusal.
 	RetryShare float64
 }
 
-// outcome is what became of one request.
+// outcome is the outcome of one request.
 type outcome struct {
 	job job
-	// firstToken is the time to firstToken token; ended the time to the end.
+	// firstToken is the time to first token, ended the time to the end of the answer.
 	firstToken, ended time.Duration
 	done              bool
 	refused           bool
 	retryAfter        time.Duration
 	retries           int
-	late              bool // its deadline passed before its end
+	late              bool // the deadline passed before the end
 }
 
-// simulation runs the real routing and admission code before model engines in
-// virtual time.
+// simulation runs the real routing and admission code against models of the engines in virtual time.
 type simulation struct {
 	virtual.Clock
 	workload   Workload
@@ -50,12 +52,13 @@
 	outcomes   []*outcome
 	random     *rand.Rand
 	budgets    map[admission.Class]*admission.RetryBudget
-	// cachedTokens and promptTokens count prompt tokens served from the prefix cache and all.
+	// cachedTokens counts the prompt tokens served from prefix caches, promptTokens all prompt
+	// tokens.
 	cachedTokens, promptTokens int
 	lastNumber                 uint64
 }
 
-// benchEntry is one entry's knowledge.
+// benchEntry is one entry's view of the endpoints, with its requests in flight at each.
 type benchEntry struct {
 	policy   *routing.Policy
 	view     []routing.Endpoint
@@ -65,7 +68,7 @@
 // Count implements routing.Outstanding.
 func (e *benchEntry) Count(endpoint string) int { return e.inFlight[endpoint] }
 
-// benchEngine is one engine with its agent's queue.
+// benchEngine is one engine with the queue of its agent.
 type benchEngine struct {
 	index    int
 	name     string
@@ -76,7 +79,8 @@
 	jobs     map[uint64]*pendingRequest
 }
 
-// pendingRequest is one request on its way.
+// pendingRequest is a request that has not ended. number identifies its attempt in the agent's queue,
+// id in the engine.
 type pendingRequest struct {
 	outcome *outcome
 	entry   *benchEntry
@@ -87,9 +91,10 @@
 	tokens  int
 }
 
+// wallTime is the virtual time as routing and admission read it.
 func (s *simulation) wallTime() time.Time { return s.epoch.Add(s.Now()) }
 
-// simulate runs the jobs under a policy and returns what became of each.
+// simulate runs the jobs under a policy and returns the simulation with their outcomes.
 func simulate(policy string, jobs []job, w Workload, c Conditions) (*simulation, error) {
 	s := &simulation{
 		workload: w, conditions: c, epoch: time.Unix(1_780_000_000, 0), pending: map[string]*pendingRequest{},
@@ -125,7 +130,7 @@
 	return s, nil
 }
 
-// drainTime is how long after the last arrival a run goes on.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 3 * time.Minute
 
 func newBenchEngine(i int, config standin.Config) *benchEngine {
@@ -140,8 +145,8 @@
 
 const benchModel = "model"
 
-// describe is the endpoint as its report has it: the agent's for the policy that
-// uses the agents' queue, else the engine's own.
+// describe returns the endpoint with its load as reported: by the agent for a policy that uses the
+// agents' queues, else by the engine.
 func (e *benchEngine) describe(policy *routing.Policy, at time.Time) routing.Endpoint {
 	c := e.model.Config()
 	endpoint := routing.Endpoint{
@@ -159,14 +164,15 @@
 	return endpoint
 }
 
-// report takes every engine's load now and shows it to the entries after the lag.
+// report sends the current load of every engine to the entries, which receive it after the report
+// delay.
 func (s *simulation) report() {
 	for _, entry := range s.entries {
 		for i, engine := range s.engines {
-			shown := engine.describe(entry.policy, s.wallTime())
+			endpoint := engine.describe(entry.policy, s.wallTime())
 			s.AfterFunc(s.conditions.ReportDelay, func() {
-				if !entry.view[i].Reported.After(shown.Reported) {
-					entry.view[i] = shown
+				if !entry.view[i].Reported.After(endpoint.Reported) {
+					entry.view[i] = endpoint
 				}
 			})
 		}
@@ -174,6 +180,7 @@
 	s.AfterFunc(s.conditions.ReportInterval, s.report)
 }
 
+// arrive starts a request at one of the entries.
 func (s *simulation) arrive(j job) {
 	p := &pendingRequest{outcome: &outcome{job: j}, entry: s.entries[j.id%len(s.entries)], tried: map[string]bool{}}
 	s.outcomes = append(s.outcomes, p.outcome)
@@ -181,7 +188,8 @@
 	s.AfterFunc(j.timeout, func() { s.expire(p) })
 }
 
-// dispatch routes a request, as an entry does.
+// dispatch routes a request as an entry does: it offers it to endpoints until one accepts it or none
+// is left to ask.
 func (s *simulation) dispatch(p *pendingRequest) {
 	j := p.outcome.job
 	request := routing.Request{
@@ -212,6 +220,7 @@
 	s.refuse(p, refusal)
 }
 
+// find returns the engine of this name.
 func (s *simulation) find(name string) *benchEngine {
 	for _, engine := range s.engines {
 		if engine.name == name {
@@ -221,6 +230,7 @@
 	return nil
 }
 
+// refuse records a refusal and schedules the caller's retry, if it makes one.
 func (s *simulation) refuse(p *pendingRequest, decision admission.Decision) {
 	p.outcome.refused = true
 	p.outcome.retryAfter = decision.RetryAfter
@@ -235,7 +245,7 @@
 	})
 }
 
-// offer hands a request to an engine: through the agent's queue, or straight.
+// offer sends a request to an engine: through the agent's queue if the policy uses it, else directly.
 func (s *simulation) offer(p *pendingRequest, engine *benchEngine, key uint64) admission.Decision {
 	j := p.outcome.job
 	s.lastNumber++
@@ -262,6 +272,7 @@
 	return decision
 }
 
+// startJobs sends to the engine the requests that its agent's queue starts now.
 func (s *simulation) startJobs(engine *benchEngine) {
 	for {
 		number, found := engine.queue.StartNext()
@@ -273,6 +284,7 @@
 	}
 }
 
+// submit gives a request to its engine; one that the engine can never hold is refused.
 func (s *simulation) submit(p *pendingRequest, priority int) {
 	j := p.outcome.job
 	s.pending[p.id] = p
@@ -285,7 +297,7 @@
 	s.step(p.engine)
 }
 
-// step runs an engine's batch steps, one after the other, while it has work.
+// step runs an engine's batch steps one after the other while it has work.
 func (s *simulation) step(engine *benchEngine) {
 	if engine.stepping || engine.dead || !engine.model.Busy() {
 		return
@@ -304,6 +316,7 @@
 	})
 }
 
+// token handles one token of a stream.
 func (s *simulation) token(e standin.Event) {
 	p := s.pending[e.ID]
 	if p == nil {
@@ -331,7 +344,7 @@
 	}
 }
 
-// end frees what a request holds.
+// end releases what a request holds at its engine and its agent.
 func (s *simulation) end(p *pendingRequest) {
 	engine := p.engine
 	if engine == nil || engine.jobs[p.number] == nil {
@@ -348,6 +361,7 @@
 	s.step(engine)
 }
 
+// expire ends a request whose deadline has passed.
 func (s *simulation) expire(p *pendingRequest) {
 	if p.outcome.done || p.outcome.refused {
 		return
@@ -356,8 +370,8 @@
 	s.end(p)
 }
 
-// killEngines ends a share of the engines; their requests go on elsewhere as far as
-// the retry budget allows.
+// killEngines kills a share of the engines. Their requests are retried elsewhere as far as the retry
+// budget allows, and refused otherwise.
 func (s *simulation) killEngines() {
 	count := int(s.conditions.KillShare * float64(len(s.engines)))
 	for _, engine := range s.engines[:count] {
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -13,21 +13,21 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// Workload describes the requests of one experiment.
+// Workload describes the requests of one run and the engines.
 type Workload struct {
 	Seed uint64
-	// Engines is the number of engines that Load is relative to.
+	// Engines is the number of engines.
 	Engines int
-	// Load is the offered work over the engines' capacity.
+	// Load is the offered work divided by the engines' capacity.
 	Load float64
-	// LongShare is the part of requests above 100,000 tokens; 0.02 is one in 50.
+	// LongShare is the share of requests above 100,000 tokens; 0.02 is one in 50.
 	LongShare float64
-	// Burst is how much higher the rate is in a burst, which takes a tenth of the
-	// time; 1: no bursts.
+	// Burst is the arrival rate in bursts, which take a tenth of the time, divided by the mean
+	// rate; 1: no bursts.
 	Burst float64
-	// Duration is the virtual time over which requests arrive.
+	// Duration is the virtual time during which requests arrive.
 	Duration time.Duration
-	// LongestPrompt is the longest prompt in tokens; 0: DefaultLongest.
+	// LongestPrompt is the longest prompt in tokens; 0: DefaultLongestPrompt.
 	LongestPrompt int
 	Engine        standin.Config
 }
@@ -40,14 +40,14 @@
 	account      string
 	promptTokens int
 	outputTokens int
-	// prefix names the text that the first sharedTokens tokens have in common with
-	// other requests.
+	// prefix identifies the text that the first sharedTokens tokens share with other
+	// requests; 0: none.
 	prefix, sharedTokens int
-	timeout              time.Duration
-	retried              bool
+	timeout              time.Duration // from arrival to the end of the answer
+	retried              bool          // the caller has retried after a refusal
 }
 
-// The mix of lengths, in tokens, besides the long ones: most prompts are short.
+// lengthBands is the mix of prompt lengths, in tokens, without the long ones.
 var lengthBands = []struct {
 	share     float64
 	low, high int
@@ -59,32 +59,30 @@
 const (
 	MinLongestPrompt = 110_000
 	MaxLongestPrompt = 1_000_000
-	// DefaultLongestPrompt is what an engine of the default size holds alone, with room
-	// to spare.
+	// DefaultLongestPrompt fits an engine of the default size with room to spare.
 	DefaultLongestPrompt = 300_000
 )
 
-// Prompts that need several engines are left out here: the span of a prompt is the
-// entry's work, which the demo and the scenarios show. For longer prompts the
-// engines have to be larger.
+// Parameters of the requests. Prompts that need several engines are left out: splitting a prompt is
+// the entry's work, which the demo and the scenarios cover. Longer prompts need larger engines here.
 const (
 	minLongPrompt      = 100_001
 	accounts           = 10
 	largeAccounts      = 2
-	largeShare         = 0.35 // of the requests, for each large account
+	largeShare         = 0.35 // share of the requests of each large account
 	prefixPool         = 40
 	sharedPrefixChance = 0.5
 	burstTimeShare     = 0.1
 	burstPeriod        = 20 * time.Second
 )
 
-// deadlines by class: how long a caller waits for the whole answer.
+// deadlines are how long callers of each class wait for the whole answer.
 var deadlines = map[admission.Class]time.Duration{
 	admission.Urgent: 15 * time.Second, admission.Normal: 90 * time.Second, admission.Bulk: 10 * time.Minute,
 }
 
-// jobs draws the requests of a workload, in order of arrival. The arrivals do not
-// wait for answers, so that a late system does not slow its own load.
+// jobs draws the requests of a workload, in order of arrival. Arrivals do not depend on answers (an
+// open loop), so that a slow system does not reduce its own load.
 func (w Workload) jobs() []job {
 	random := rand.New(rand.NewPCG(w.Seed, 7))
 	rate := w.Load * float64(w.Engines) / w.meanEngineSeconds()
@@ -99,7 +97,7 @@
 	}
 }
 
-// rateFactor is the rate at a time over the mean rate.
+// rateFactor is the arrival rate at a time divided by the mean rate.
 func (w Workload) rateFactor(at time.Duration) float64 {
 	burst := max(1, w.Burst)
 	quiet := (1 - burstTimeShare*burst) / (1 - burstTimeShare)
@@ -112,7 +110,8 @@
 	return quiet
 }
 
-// meanEngineSeconds is the engine time of a mean request, in seconds.
+// meanEngineSeconds is the mean engine time of a request in seconds, estimated from a sample with
+// its own fixed seed.
 func (w Workload) meanEngineSeconds() float64 {
 	random := rand.New(rand.NewPCG(99, 99))
 	sum := 0.0
@@ -123,16 +122,18 @@
 	return sum / samples
 }
 
+// engineSeconds is the engine time of a request in seconds.
 func (w Workload) engineSeconds(j job) float64 {
 	c := w.Engine.WithDefaults()
 	return float64(j.promptTokens)/float64(c.PrefillRate()) + float64(j.outputTokens)*c.DecodeTime.Seconds()
 }
 
-// memoryFactor is an engine's memory over the longest prompt, as in the default size.
+// memoryFactor is an engine's memory divided by the longest prompt, the same as for the default
+// size.
 const memoryFactor = 4.0 / 3
 
-// EngineFor sizes the engines so that one holds the longest prompt; the default
-// size if that is enough.
+// EngineFor returns engines of which one holds a prompt of the given tokens: those of the default size
+// if they do, else larger ones.
 func EngineFor(longest int) standin.Config {
 	if longest <= DefaultLongestPrompt {
 		return standin.Config{}
@@ -140,6 +141,7 @@
 	return standin.Config{MemoryTokens: int(memoryFactor * float64(longest))}
 }
 
+// longestPrompt is LongestPrompt with its default.
 func (w Workload) longestPrompt() int {
 	if w.LongestPrompt == 0 {
 		return DefaultLongestPrompt
@@ -147,10 +149,12 @@
 	return w.LongestPrompt
 }
 
+// logUniform draws a number whose logarithm is uniformly distributed.
 func logUniform(random *rand.Rand, low, high int) int {
 	return int(float64(low) * math.Pow(float64(high)/float64(low), random.Float64()))
 }
 
+// drawJob draws a request that arrives at a time.
 func (w Workload) drawJob(random *rand.Rand, id int, at time.Duration) job {
 	j := job{id: id, arrivesAt: at, outputTokens: 32 + random.IntN(200), account: drawAccount(random)}
 	if random.Float64() < w.LongShare {
@@ -176,6 +180,7 @@
 	return j
 }
 
+// drawAccount draws the client account of a request.
 func drawAccount(random *rand.Rand) string {
 	pick := random.Float64()
 	for i := range largeAccounts {
@@ -186,7 +191,7 @@
 	return "small-" + strconv.Itoa(random.IntN(accounts-largeAccounts))
 }
 
-// drawClass gives the class: the shorter, the more urgent.
+// drawClass draws the class of a request; shorter prompts are more often urgent.
 func drawClass(random *rand.Rand, prompt int) admission.Class {
 	urgent := []float64{0.7, 0.3, 0.05, 0}[admission.Band(prompt)]
 	bulk := []float64{0.05, 0.1, 0.3, 0.5}[admission.Band(prompt)]
@@ -199,7 +204,7 @@
 	return admission.Normal
 }
 
-// blocks gives the prefix-cache blocks of the request's prompt.
+// blocks returns the hashes of the prompt's blocks in the prefix cache.
 func (j *job) blocks() []uint64 {
 	blocks := make([]uint64, j.promptTokens/standin.BlockTokens)
 	for i := range blocks {
@@ -208,7 +213,7 @@
 	return blocks
 }
 
-// prefixHashes gives the hashes that routing knows a prompt by.
+// prefixHashes returns the hashes of the prompt's prefixes as routing uses them.
 func (j *job) prefixHashes() []uint64 {
 	var hashes []uint64
 	for tokens := 1024; tokens <= j.promptTokens; tokens *= 2 {
@@ -217,10 +222,11 @@
 	return hashes
 }
 
-// key is the same when a refused request comes back.
+// key identifies the request; a retry has the same key.
 func (j *job) key() uint64 { return xxhash.Sum64String(strconv.Itoa(j.id)) }
 
-// hash is the same for two requests exactly when their first tokens are.
+// hash is the hash of the prompt's first tokens. It is equal for two requests if and only if these
+// tokens are.
 func (j *job) hash(tokens int) uint64 {
 	if tokens <= j.sharedTokens {
 		return xxhash.Sum64String("shared " + strconv.Itoa(j.prefix) + " " + strconv.Itoa(tokens))
@@ -228,7 +234,7 @@
 	return xxhash.Sum64String("own " + strconv.Itoa(j.id) + " " + strconv.Itoa(tokens))
 }
 
-// withoutLong drops the long prompts and keeps all other arrivals as they are.
+// withoutLong returns the jobs without the long prompts; the other arrivals do not change.
 func withoutLong(jobs []job) []job {
 	var kept []job
 	for _, j := range jobs {
@@ -239,10 +245,11 @@
 	return kept
 }
 
-func quantile(sorted []float64, q float64) float64 {
-	if len(sorted) == 0 {
+// quantile sorts the values and returns their quantile q, 0 if there are none.
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	sort.Float64s(sorted)
-	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
+	sort.Float64s(values)
+	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
