--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -98,14 +98,14 @@
 // heartbeatCosts measures an agent's heartbeat and an entry's work on heartbeats.
 func heartbeatCosts() ([]Cost, error) {
 	var costs []Cost
-	one, err := proto.Marshal(AgentHeartbeat(1, 1))
+	heartbeat, err := proto.Marshal(AgentHeartbeat(1, 1))
 	if err != nil {
 		return nil, err
 	}
 	const headers = 28 // UDP and IPv4
-	costs = append(costs, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
+	costs = append(costs, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(heartbeat) + headers, Note: "with UDP and IP headers"})
 	for _, size := range fleetSizes {
-		loop, err := idleEntry()
+		loop, err := newIdleLoop()
 		if err != nil {
 			return nil, err
 		}
@@ -139,8 +139,8 @@
 	return costs, nil
 }
 
-// idleEntry returns the membership loop of an entry that is not started.
-func idleEntry() (*membership.Loop, error) {
+// newIdleLoop returns the membership loop of an entry that is not started.
+func newIdleLoop() (*membership.Loop, error) {
 	s := settings.Entry{
 		Node:          settings.Node{Name: "entry-0", DataCentre: "bogota-1", Listen: "127.0.0.1:1", OperatorsListen: "127.0.0.1:2", Platform: "127.0.0.1:3"},
 		CallersListen: "127.0.0.1:4",
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -420,7 +420,7 @@
 		for _, h := range plan.Helpers {
 			j.helpers = append(j.helpers, sim.engines[h.Incarnation])
 		}
-		if j.reserve() {
+		if j.reserveMemory() {
 			r.submit(plan, j)
 			return
 		}
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -146,9 +146,9 @@
 // The same seed gives the same results, and every request has exactly one outcome.
 func TestSimulationIsDeterministicAndEveryRequestEndsOnce(t *testing.T) {
 	is := is.New(t)
-	one, two := Simulate(changingMix(7)), Simulate(changingMix(7))
-	is.Equal(one, two)
-	for _, r := range one {
+	first, second := Simulate(changingMix(7)), Simulate(changingMix(7))
+	is.Equal(first, second)
+	for _, r := range first {
 		is.Equal(r.Asked, r.OnTime+r.LateFirst+r.LatePause+r.Refused)
 	}
 }
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -207,13 +207,13 @@
 	e.decoding = slices.DeleteFunc(e.decoding, func(other *job) bool { return other == j })
 	e.usedSlots--
 	e.usedTokens -= j.memoryTokens
-	j.release()
+	j.releaseMemory()
 	j.request.finish(j)
 }
 
-// reserve reserves KV cache at the job's helpers. It reserves nothing and reports false if
+// reserveMemory reserves KV cache at the job's helpers. It reserves nothing and reports false if
 // the helpers with enough free memory would reserve less than requiredTokens in total.
-func (j *job) reserve() bool {
+func (j *job) reserveMemory() bool {
 	holders := j.helpers[:j.reservingHelpers]
 	var accepting []*engine
 	for _, h := range holders {
@@ -231,8 +231,8 @@
 	return true
 }
 
-// release frees the KV cache reserved at the helpers.
-func (j *job) release() {
+// releaseMemory frees the KV cache reserved at the helpers.
+func (j *job) releaseMemory() {
 	for _, h := range j.reservedAt {
 		h.usedTokens -= j.reservedTokens
 		h.admit()
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -36,9 +36,9 @@
 
 func TestExperimentIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	one, two := runExperiment(t, smallExperiment()), runExperiment(t, smallExperiment())
-	is.Equal(Table(one.Rows()), Table(two.Rows()))
-	rows := one.Rows()
+	first, second := runExperiment(t, smallExperiment()), runExperiment(t, smallExperiment())
+	is.Equal(Table(first.Rows()), Table(second.Rows()))
+	rows := first.Rows()
 	is.Equal(len(rows), 3)
 	for _, r := range rows {
 		is.Equal(r.Runs, 3)
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -247,7 +247,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i := range f.Callers {
-		for f.liveAgents(ctx, i) < agents || f.get(ctx, "http://"+f.Callers[i]+"/readyz", nil) != nil {
+		for f.liveAgents(ctx, i) < agents || f.getJSON(ctx, "http://"+f.Callers[i]+"/readyz", nil) != nil {
 			select {
 			case <-ctx.Done():
 				return errors.Errorf("entry %d was not ready within %s", i, readyTimeout)
@@ -263,7 +263,7 @@
 	var status struct {
 		Members []struct{ Role, State string } `json:"members"`
 	}
-	if f.get(ctx, "http://"+f.Operators[i]+"/v1/status", &status) != nil {
+	if f.getJSON(ctx, "http://"+f.Operators[i]+"/v1/status", &status) != nil {
 		return 0
 	}
 	live := 0
@@ -275,8 +275,8 @@
 	return live
 }
 
-// get reads JSON from an operators' or engine's address into a value, or discards the body for nil.
-func (f *Fleet) get(ctx context.Context, url string, into any) error {
+// getJSON reads JSON from an operators' or engine's address into a value, or discards the body for nil.
+func (f *Fleet) getJSON(ctx context.Context, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.WithStack(err)
@@ -315,7 +315,7 @@
 	var holding []string
 	for _, addr := range f.Engines {
 		var record standinengine.Record
-		if err := f.get(ctx, "http://"+addr+"/record", &record); err != nil {
+		if err := f.getJSON(ctx, "http://"+addr+"/record", &record); err != nil {
 			return 0, err
 		}
 		held += record.HeldTokens
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	gatewayEvents = 8
-	gatewayBody   = 1200
+	gatewayEvents    = 8
+	gatewayBodyBytes = 1200
 	// benchRetryAllowance lets a single gateway retry a few requests at once.
 	benchRetryAllowance = 3200
 	// gatewayReadyTimeout bounds the wait for the gateway's first configuration.
@@ -58,7 +58,7 @@
 	client := &http.Client{Transport: &http.Transport{}}
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3) }
 	direct, through, added := newHistogram(), newHistogram(), newHistogram()
-	body := strings.Repeat("x", gatewayBody)
+	body := strings.Repeat("x", gatewayBodyBytes)
 	for i := range pairs {
 		directTime, err := firstEvent(ctx, client, standinplatform.DirectRequest(worker, fmt.Sprint("d", i), body))
 		if err != nil {
--- a/bench/input_test.go
+++ b/bench/input_test.go
@@ -81,7 +81,7 @@
 	for _, c := range badInputs() {
 		t.Run(c.name, func(t *testing.T) { checkBadInput(t, fleet, c) })
 	}
-	checkNothingLeft(t, fleet)
+	checkNothingInFlight(t, fleet)
 	// The fleet still serves valid requests.
 	is := is.New(t)
 	_, err := fleet.Complete(context.Background(), Completion{Kind: "line-plan", Prompt: "tie", MaxTokens: 4, Deadline: time.Minute})
@@ -118,9 +118,9 @@
 	is.Equal(response.Header.Get("X-Request-Id"), body.Error.RequestID)
 }
 
-// checkNothingLeft checks that no request is in flight at the entry, nothing is queued or running
+// checkNothingInFlight checks that no request is in flight at the entry, nothing is queued or running
 // at the agents, and no engine holds memory.
-func checkNothingLeft(t *testing.T, fleet *Fleet) {
+func checkNothingInFlight(t *testing.T, fleet *Fleet) {
 	is := is.New(t)
 	_, err := fleet.AwaitNoHeldTokens(context.Background())
 	is.NoErr(err)
@@ -130,7 +130,7 @@
 			Running, Queued int
 		} `json:"members"`
 	}
-	is.NoErr(fleet.get(context.Background(), "http://"+fleet.Operators[0]+"/v1/status", &status))
+	is.NoErr(fleet.getJSON(context.Background(), "http://"+fleet.Operators[0]+"/v1/status", &status))
 	is.Equal(status.Active, 0)
 	for _, m := range status.Members {
 		is.Equal(m.Running+m.Queued, 0)
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -26,12 +26,12 @@
 var limitsCases = []string{"even", "one entry", "skewed", "moving", "home dies"}
 
 const (
-	limitPerSecond   = 100.0 // requests
-	offeredPerSecond = 200.0
-	limitsDuration   = 60 * time.Second
-	limitsStep       = 5 * time.Millisecond
-	limitsWindow     = 10 // seconds
-	movePeriod       = 15 * time.Second
+	limitPerSecond      = 100.0 // requests
+	offeredPerSecond    = 200.0
+	limitsDuration      = 60 * time.Second
+	limitsStep          = 5 * time.Millisecond
+	limitsWindowSeconds = 10
+	movePeriod          = 15 * time.Second
 )
 
 // Limits runs the real limiter and lending in virtual time and measures how the limit is kept, for
@@ -83,7 +83,7 @@
 			nextBorrow = at + admission.BorrowInterval
 			r.borrow(now)
 		}
-		r.arrivals(now, at)
+		r.offerRequests(now, at)
 	}
 	return r.result()
 }
@@ -100,13 +100,13 @@
 	}
 }
 
-// arrivals offers the requests of one step, a number whose mean is the offered rate.
-func (r *limitsRun) arrivals(now time.Time, at time.Duration) {
+// offerRequests offers the requests of one step, a number whose mean is the offered rate.
+func (r *limitsRun) offerRequests(now time.Time, at time.Duration) {
 	for expected := offeredPerSecond * limitsStep.Seconds(); expected > 0; expected-- {
 		if expected < 1 && r.random.Float64() >= expected {
 			return
 		}
-		i := r.target(at)
+		i := r.entryOf(at)
 		share := 1 / float64(r.entries)
 		if r.lending {
 			share = r.shares[i].Share(now, "account", r.entries)
@@ -120,8 +120,8 @@
 	}
 }
 
-// target is the entry at which a request arrives.
-func (r *limitsRun) target(at time.Duration) int {
+// entryOf is the entry at which a request arrives.
+func (r *limitsRun) entryOf(at time.Duration) int {
 	switch r.name {
 	case "one entry", "home dies":
 		return 0
@@ -139,14 +139,14 @@
 func (r *limitsRun) result() LimitsResult {
 	result := LimitsResult{Entries: r.entries, Case: r.name}
 	usable, used := 0.0, 0.0
-	for second := limitsWindow; second <= len(r.admitted); second++ {
+	for second := limitsWindowSeconds; second <= len(r.admitted); second++ {
 		sum := 0
-		for _, n := range r.admitted[second-limitsWindow : second] {
+		for _, n := range r.admitted[second-limitsWindowSeconds : second] {
 			sum += n
 		}
-		result.Overshoot = max(result.Overshoot, float64(sum)/(limitPerSecond*limitsWindow)-1)
+		result.Overshoot = max(result.Overshoot, float64(sum)/(limitPerSecond*limitsWindowSeconds)-1)
 	}
-	for second := limitsWindow; second < len(r.admitted); second++ {
+	for second := limitsWindowSeconds; second < len(r.admitted); second++ {
 		usable += min(limitPerSecond, float64(r.offered[second]))
 		used += min(limitPerSecond, float64(r.admitted[second]))
 	}
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -184,7 +184,7 @@
 		}
 		sums[k].Count++
 		sums[k].Share += weight * lost
-		r.addSecond(cause, q.ArrivedAt, weight*lost)
+		r.addToSecond(cause, q.ArrivedAt, weight*lost)
 	}
 	for _, loss := range sums {
 		loss.Share /= weights[loss.Route]
@@ -200,8 +200,8 @@
 	return r
 }
 
-// addSecond adds lost weight to the second in which a request arrived.
-func (r *Report) addSecond(cause Cause, arrivedAt time.Time, lost float64) {
+// addToSecond adds lost weight to the second in which a request arrived.
+func (r *Report) addToSecond(cause Cause, arrivedAt time.Time, lost float64) {
 	second := int(arrivedAt.Sub(r.Start).Seconds())
 	for len(r.LossBySecond[cause]) <= second {
 		r.LossBySecond[cause] = append(r.LossBySecond[cause], 0)
@@ -225,7 +225,7 @@
 		t.Asked++
 		tokens[q.Route] += q.PromptTokens
 		t.MeanPromptTokens = tokens[q.Route] / t.Asked
-		if served(q) && q.Late == OnTime {
+		if isServed(q) && q.Late == OnTime {
 			t.OnTime++
 		}
 	}
@@ -248,15 +248,15 @@
 	return min(fixedWeight+sizeWeight*float64(q.PromptTokens)/float64(t.MeanPromptTokens), maxWeight)
 }
 
-func served(q *Request) bool { return q.Code == result.OK }
+func isServed(q *Request) bool { return q.Code == result.OK }
 
 // classify returns the cause for which a request lost worth and the lost share, 0 for none. parts
 // are the prefill parts at the request's endpoint.
 func classify(q *Request, starts []time.Time, parts []PrefillPart) (Cause, float64) {
 	switch {
-	case served(q) && q.Late == OnTime:
+	case isServed(q) && q.Late == OnTime:
 		return "", 0
-	case !served(q):
+	case !isServed(q):
 		return failureCause(q), 1
 	case duringRestart(q, starts):
 		return CauseRestart, 1 - lateWorth
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -16,19 +16,19 @@
 
 var dayStart = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-// at is a time of the test day, in seconds after its start.
-func at(seconds float64) time.Time {
+// testTime is a time of the logged day, in seconds after its start.
+func testTime(seconds float64) time.Time {
 	return dayStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
 // servedRequest is a request for a stream at endpoint e-1 that was served on time.
 func servedRequest(id string, began float64, tokens int) Request {
-	return Request{ID: id, Route: "short", ArrivedAt: at(began), EndedAt: at(began + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
+	return Request{ID: id, Route: "short", ArrivedAt: testTime(began), EndedAt: testTime(began + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
 }
 
 // part is a prefill part at endpoint e-1 between two times in seconds, with a prefill in ms.
 func part(request, route string, from, to float64, ms int) PrefillPart {
-	return PrefillPart{RequestID: request, Route: route, Endpoint: "e-1", SentAt: at(from), FirstTokenAt: at(to), PrefillTime: time.Duration(ms) * time.Millisecond}
+	return PrefillPart{RequestID: request, Route: route, Endpoint: "e-1", SentAt: testTime(from), FirstTokenAt: testTime(to), PrefillTime: time.Duration(ms) * time.Millisecond}
 }
 
 // causeOf returns the cause that is reported for a request, empty for none. A second request fixes
@@ -51,7 +51,7 @@
 		return q
 	}
 	first := func(q *Request) { q.TimeToFirstEvent = time.Second }
-	pause := func(q *Request) { q.PauseStart, q.PauseEnd = at(10.2), at(10.6) }
+	pause := func(q *Request) { q.PauseStart, q.PauseEnd = testTime(10.2), testTime(10.6) }
 	for name, c := range map[string]struct {
 		q      Request
 		starts []time.Time
@@ -63,8 +63,8 @@
 		"no configuration":      {late(OnTime, func(q *Request) { q.Code, q.Refused = result.NotReady, true }), nil, nil, CauseNotReady},
 		"deadline":              {late(OnTime, func(q *Request) { q.Code = result.DeadlineExceeded }), nil, nil, CauseDeadline},
 		"failed":                {late(OnTime, func(q *Request) { q.Code = 4003 }), nil, nil, CauseFailed},
-		"after a start":         {late(LateFirst, first), []time.Time{at(9)}, nil, CauseRestart},
-		"long after a start":    {late(LateFirst, first), []time.Time{at(7)}, []PrefillPart{part("q", "short", 10, 11, 400)}, CauseSlowPrefill},
+		"after a start":         {late(LateFirst, first), []time.Time{testTime(9)}, nil, CauseRestart},
+		"long after a start":    {late(LateFirst, first), []time.Time{testTime(7)}, []PrefillPart{part("q", "short", 10, 11, 400)}, CauseSlowPrefill},
 		"resumed":               {late(LatePause, func(q *Request) { pause(q); q.Resumed = true }), nil, nil, CauseResumed},
 		"queued":                {late(LateFirst, func(q *Request) { first(q); q.QueueTime = 600 * time.Millisecond }), nil, nil, CauseQueued},
 		"not started":           {late(LateFirst, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 100)}, CauseNotStarted},
@@ -73,7 +73,7 @@
 		"pause, its own part":   {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseUnknown},
 		"plain service":         {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateAnswer},
 		"excluded":              {late(OnTime, func(q *Request) { q.Code, q.Excluded = 2004, true }), nil, nil, ""},
-		"process started later": {late(LateFirst, first), []time.Time{at(10.5)}, nil, CauseNotStarted},
+		"process started later": {late(LateFirst, first), []time.Time{testTime(10.5)}, nil, CauseNotStarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -97,7 +97,7 @@
 
 func TestPromptsAreGroupedBySize(t *testing.T) {
 	is := is.New(t)
-	r := &Records{Parts: []PrefillPart{part("x", "long", 0, 100, 400), {RequestID: "x", Endpoint: "e-2", SentAt: at(0), FirstTokenAt: at(1), PrefillTime: 200 * time.Millisecond}}}
+	r := &Records{Parts: []PrefillPart{part("x", "long", 0, 100, 400), {RequestID: "x", Endpoint: "e-2", SentAt: testTime(0), FirstTokenAt: testTime(1), PrefillTime: 200 * time.Millisecond}}}
 	for i := range 40 {
 		q := servedRequest("q", float64(10+i), 1000*(i+1))
 		switch {
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -87,9 +87,9 @@
 	var queueTimes, expected, first []time.Duration
 	for _, q := range list {
 		switch {
-		case served(q) && q.Late == OnTime:
+		case isServed(q) && q.Late == OnTime:
 			c.OnTime++
-		case served(q):
+		case isServed(q):
 			c.LateOrResumed++
 		case q.RefusalReason != NotRefused:
 			c.Refused[q.RefusalReason]++
--- a/bench/path.go
+++ b/bench/path.go
@@ -35,11 +35,11 @@
 var quickEngine = standin.Config{StepTime: time.Microsecond, PrefillTime: time.Nanosecond, DecodeTime: time.Nanosecond, MaxRunning: 256}
 
 const (
-	pathTokens   = 1000
-	pathOutput   = 8
-	pathCallers  = 16
-	pathDeadline = time.Minute
-	streamOutput = 2000
+	pathPromptTokens = 1000
+	pathOutputTokens = 8
+	pathCallers      = 16
+	pathDeadline     = time.Minute
+	longOutputTokens = 2000
 )
 
 // Path measures the latency over pairs of calls, and then the throughput of short and of long
@@ -52,32 +52,32 @@
 		return PathResult{}, err
 	}
 	result := PathResult{Pairs: pairs}
-	if err := fleet.pairs(ctx, &result); err != nil {
+	if err := fleet.measurePairs(ctx, &result); err != nil {
 		return result, err
 	}
 	before := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(before)
-	requests, _, err := fleet.rate(ctx, rateTime, pathOutput)
+	requests, _, err := fleet.measureRate(ctx, rateTime, pathOutputTokens)
 	if err != nil {
 		return result, err
 	}
 	result.RequestsPerSecond = requests
-	_, tokens, err := fleet.rate(ctx, rateTime, streamOutput)
+	_, tokens, err := fleet.measureRate(ctx, rateTime, longOutputTokens)
 	result.TokensPerSecond = tokens
 	return result, err
 }
 
-// pairs measures the latencies and sets them in the result.
-func (f *Fleet) pairs(ctx context.Context, result *PathResult) error {
+// measurePairs measures the latencies and sets them in the result.
+func (f *Fleet) measurePairs(ctx context.Context, result *PathResult) error {
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3) }
 	direct, through, added := newHistogram(), newHistogram(), newHistogram()
 	for i := range result.Pairs {
-		prompt := Prompt(uint64(i), pathTokens)
-		directCall, err := f.direct(ctx, i, prompt)
+		prompt := Prompt(uint64(i), pathPromptTokens)
+		directCall, err := f.completeDirect(ctx, i, prompt)
 		if err != nil {
 			return err
 		}
-		throughCall, err := f.Complete(ctx, Completion{Kind: "line-plan", Prompt: prompt, MaxTokens: pathOutput, Deadline: pathDeadline})
+		throughCall, err := f.Complete(ctx, Completion{Kind: "line-plan", Prompt: prompt, MaxTokens: pathOutputTokens, Deadline: pathDeadline})
 		if err != nil {
 			return err
 		}
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// direct sends a completion request to the engine itself.
-func (f *Fleet) direct(ctx context.Context, i int, prompt string) (CompletionResult, error) {
+// completeDirect sends a completion request to the engine itself.
+func (f *Fleet) completeDirect(ctx context.Context, i int, prompt string) (CompletionResult, error) {
 	body, err := json.Marshal(standin.CompletionRequest{
-		RequestID: fmt.Sprint("direct-", i), Model: fleetModel, Prompt: prompt, MaxTokens: pathOutput, Stream: true,
+		RequestID: fmt.Sprint("direct-", i), Model: fleetModel, Prompt: prompt, MaxTokens: pathOutputTokens, Stream: true,
 	})
 	if err != nil {
 		return CompletionResult{}, errors.WithStack(err)
@@ -103,10 +103,10 @@
 	return Stream(ctx, f.client, "http://"+f.Engines[0]+"/v1/completions", header, body)
 }
 
-// rate measures requests and tokens a second with pathCallers callers at once, and returns the
+// measureRate measures requests and tokens a second with pathCallers callers at once, and returns the
 // last error of any of them.
-func (f *Fleet) rate(ctx context.Context, length time.Duration, output int) (requests, tokens float64, err error) {
-	prompt := Prompt(1, pathTokens)
+func (f *Fleet) measureRate(ctx context.Context, length time.Duration, output int) (requests, tokens float64, err error) {
+	prompt := Prompt(1, pathPromptTokens)
 	var mu sync.Mutex
 	var calling sync.WaitGroup
 	count := 0
--- a/bench/policy.go
+++ b/bench/policy.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return PolicyResult{}, err
 	}
-	without, err := simulate(policy, withoutLong(jobs), w, c)
+	without, err := simulate(policy, withoutLongPrompts(jobs), w, c)
 	if err != nil {
 		return PolicyResult{}, err
 	}
--- a/bench/power.go
+++ b/bench/power.go
@@ -33,15 +33,15 @@
 	moveRounds     = 50
 )
 
-// benchWorker is an endpoint that runs as much of its demand, in slots, as its power grant allows.
-type benchWorker struct {
+// simulatedEndpoint is an endpoint that runs as much of its demand, in slots, as its power grant allows.
+type simulatedEndpoint struct {
 	limit  *power.Limit
 	demand int
 }
 
-func (w *benchWorker) running() int { return min(w.demand, w.limit.Slots()) }
+func (w *simulatedEndpoint) running() int { return min(w.demand, w.limit.Slots()) }
 
-func (w *benchWorker) report(name string) power.Report {
+func (w *simulatedEndpoint) report(name string) power.Report {
 	return power.Report{
 		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.demand),
 		LimitWatts: w.limit.EnforcedWatts(w.running()), Revision: w.limit.Revision(),
@@ -69,9 +69,9 @@
 	if err != nil {
 		return PowerResult{}, err
 	}
-	workers := make([]*benchWorker, powerEndpoints)
+	workers := make([]*simulatedEndpoint, powerEndpoints)
 	for i := range workers {
-		workers[i] = &benchWorker{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
+		workers[i] = &simulatedEndpoint{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
 		workers[i].limit.SetCapped(true)
 	}
 	result := PowerResult{Case: name}
@@ -105,7 +105,7 @@
 
 // sumUsage sums the watts above the floors that the demand could use within the cap, that it used,
 // and that it would use with equal shares of the cap, and the total draw in watts.
-func sumUsage(workers []*benchWorker) (usable, used, equal float64, draw uint64) {
+func sumUsage(workers []*simulatedEndpoint) (usable, used, equal float64, draw uint64) {
 	const perSlot = (powerMax - powerFloor) / powerSlots
 	const equalSlots = (powerCap/powerEndpoints - powerFloor) / perSlot
 	demand := 0
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -28,11 +28,11 @@
 
 const (
 	refusalEngines = 4
-	// refusalOutput is the requested output in tokens. It would take about 50 s, longer than
+	// refusalOutputTokens is the requested output in tokens. It would take about 50 s, longer than
 	// refusalDeadline, so that every endpoint refuses and the entry asks as many agents as
 	// it may.
-	refusalOutput   = 2000
-	refusalDeadline = 10 * time.Second
+	refusalOutputTokens = 2000
+	refusalDeadline     = 10 * time.Second
 )
 
 // Refusals measures the time of that many refusals for each prompt length, one after the other.
@@ -47,7 +47,7 @@
 	for _, tokens := range lengths {
 		histogram := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 		for i := range count {
-			took, err := fleet.refusal(ctx, Prompt(uint64(i), tokens))
+			took, err := fleet.measureRefusal(ctx, Prompt(uint64(i), tokens))
 			if err != nil {
 				return nil, err
 			}
@@ -61,9 +61,9 @@
 	return results, nil
 }
 
-// refusal sends a request that must be refused and returns the time until the answer ended.
-func (f *Fleet) refusal(ctx context.Context, prompt string) (time.Duration, error) {
-	body, err := json.Marshal(map[string]any{"model": "excuse-draft", "prompt": prompt, "max_tokens": refusalOutput, "stream": true})
+// measureRefusal sends a request that must be refused and returns the time until the answer ended.
+func (f *Fleet) measureRefusal(ctx context.Context, prompt string) (time.Duration, error) {
+	body, err := json.Marshal(map[string]any{"model": "excuse-draft", "prompt": prompt, "max_tokens": refusalOutputTokens, "stream": true})
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
--- a/bench/run.go
+++ b/bench/run.go
@@ -122,7 +122,7 @@
 		j := jobs[i]
 		s.AfterFunc(j.arrivesAt, func() { s.arrive(j) })
 	}
-	s.AfterFunc(0, s.report)
+	s.AfterFunc(0, s.sendReports)
 	if c.KillShare > 0 {
 		s.AfterFunc(w.Duration/2, s.killEngines)
 	}
@@ -164,9 +164,9 @@
 	return endpoint
 }
 
-// report sends the current load of every engine to the entries, which receive it after the report
+// sendReports sends the current load of every engine to the entries, which receive it after the report
 // delay.
-func (s *simulation) report() {
+func (s *simulation) sendReports() {
 	for _, entry := range s.entries {
 		for i, engine := range s.engines {
 			endpoint := engine.describe(entry.policy, s.wallTime())
@@ -177,7 +177,7 @@
 			})
 		}
 	}
-	s.AfterFunc(s.conditions.ReportInterval, s.report)
+	s.AfterFunc(s.conditions.ReportInterval, s.sendReports)
 }
 
 // arrive starts a request at one of the entries.
@@ -203,7 +203,7 @@
 		if picked == nil {
 			break
 		}
-		engine := s.find(picked.Name)
+		engine := s.engineByName(picked.Name)
 		decision := admission.Decision{Code: result.NoEndpoint, RetryAfter: time.Second}
 		if !engine.dead {
 			decision = s.offer(p, engine, request.Key)
@@ -220,8 +220,8 @@
 	s.refuse(p, refusal)
 }
 
-// find returns the engine of this name.
-func (s *simulation) find(name string) *benchEngine {
+// engineByName returns the engine of this name.
+func (s *simulation) engineByName(name string) *benchEngine {
 	for _, engine := range s.engines {
 		if engine.name == name {
 			return engine
@@ -290,7 +290,7 @@
 	s.pending[p.id] = p
 	sequence := &standin.Sequence{ID: p.id, Priority: priority, PromptTokens: j.promptTokens, MaxTokens: j.outputTokens, Blocks: j.blocks()}
 	if p.engine.model.Submit(sequence) != nil {
-		s.end(p)
+		s.release(p)
 		s.refuse(p, admission.Decision{Code: result.PromptTooLong})
 		return
 	}
@@ -310,14 +310,14 @@
 			return
 		}
 		for _, e := range events {
-			s.token(e)
+			s.handleToken(e)
 		}
 		s.step(engine)
 	})
 }
 
-// token handles one token of a stream.
-func (s *simulation) token(e standin.Event) {
+// handleToken handles one token of a stream.
+func (s *simulation) handleToken(e standin.Event) {
 	p := s.pending[e.ID]
 	if p == nil {
 		return
@@ -340,12 +340,12 @@
 		p.outcome.done = true
 		p.outcome.ended = s.Now() - p.outcome.job.arrivesAt
 		s.budgets[p.outcome.job.class].RecordSuccess()
-		s.end(p)
+		s.release(p)
 	}
 }
 
-// end releases what a request holds at its engine and its agent.
-func (s *simulation) end(p *pendingRequest) {
+// release frees what a request holds at its engine and its agent.
+func (s *simulation) release(p *pendingRequest) {
 	engine := p.engine
 	if engine == nil || engine.jobs[p.number] == nil {
 		return
@@ -367,7 +367,7 @@
 		return
 	}
 	p.outcome.late = true
-	s.end(p)
+	s.release(p)
 }
 
 // killEngines kills a share of the engines. Their requests are retried elsewhere as far as the retry
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -234,8 +234,8 @@
 	return xxhash.Sum64String("own " + strconv.Itoa(j.id) + " " + strconv.Itoa(tokens))
 }
 
-// withoutLong returns the jobs without the long prompts; the other arrivals do not change.
-func withoutLong(jobs []job) []job {
+// withoutLongPrompts returns the jobs without the long prompts; the other arrivals do not change.
+func withoutLongPrompts(jobs []job) []job {
 	var kept []job
 	for _, j := range jobs {
 		if j.promptTokens < minLongPrompt {
