--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -24,33 +24,34 @@
 	"aspenyard.example/wire"
 )
 
-// Cost is one measured cost.
+// Cost is the measured cost of one operation or object.
 type Cost struct {
-	// Name says of what; Size at which size.
+	// Name is what was measured, Size the size of the system at which it was.
 	Name string `json:"name"`
 	Size string `json:"size"`
-	// Microseconds of one thread, Bytes on the wire or in the store, HeapBytes kept.
+	// Microseconds is the time on one thread, Bytes the size on the wire or in the store, and
+	// HeapBytes the live heap that is kept.
 	Microseconds float64 `json:"microseconds,omitempty"`
 	Bytes        int     `json:"bytes,omitempty"`
 	HeapBytes    int     `json:"heap_bytes,omitempty"`
 	Note         string  `json:"note,omitempty"`
 }
 
-// measureTime is how long each operation is repeated.
-const measureTime = 200 * time.Millisecond
+// measureDuration is how long microsPerCall repeats an operation.
+const measureDuration = 200 * time.Millisecond
 
-// repeat gives the time of one call of f, in microseconds.
-func repeat(f func()) float64 {
+// microsPerCall measures the mean time of a call of f, in microseconds.
+func microsPerCall(f func()) float64 {
 	calls := 0
 	start := time.Now()
-	for time.Since(start) < measureTime {
+	for time.Since(start) < measureDuration {
 		f()
 		calls++
 	}
 	return float64(time.Since(start).Nanoseconds()) / 1000 / float64(calls)
 }
 
-// heapGrowth gives the live heap's growth by what build returns.
+// heapGrowth measures the bytes by which what build returns enlarges the live heap.
 func heapGrowth(build func() any) int {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -62,22 +63,22 @@
 	return int(after.HeapAlloc) - int(before.HeapAlloc)
 }
 
-// Capacity measures the slopes that docs/CAPACITY.md is made of.
+// Capacity measures the costs on which docs/CAPACITY.md is based.
 func Capacity() ([]Cost, error) {
-	var slopes []Cost
+	var costs []Cost
 	for _, measure := range []func() ([]Cost, error){
-		heartbeatSlopes, routingSlopes, catalogueSlopes, powerSlopes, agentSlopes, limiterSlopes, claimSlopes,
+		heartbeatCosts, routingCosts, catalogueCosts, powerCosts, agentCosts, limiterCosts, claimCosts,
 	} {
 		measured, err := measure()
 		if err != nil {
 			return nil, err
 		}
-		slopes = append(slopes, measured...)
+		costs = append(costs, measured...)
 	}
-	return slopes, nil
+	return costs, nil
 }
 
-// AgentHeartbeat is what agent i of a fleet sends, in a typical state.
+// AgentHeartbeat returns a typical heartbeat of agent i of a fleet.
 func AgentHeartbeat(i int, sequence uint64) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Node: fmt.Sprintf("worker-%05d", i), Role: membership.RoleAgent, DataCentre: "bogota-1", Addr: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250),
@@ -91,19 +92,20 @@
 	}
 }
 
-// fleetSizes are the endpoints per data centre at which slopes are taken.
+// fleetSizes are the numbers of endpoints in a data centre at which costs are measured.
 var fleetSizes = []int{100, 400, 1600}
 
-func heartbeatSlopes() ([]Cost, error) {
-	var slopes []Cost
-	one, err := proto.Marshal(AgentHeartbeat(1, 1))
+// heartbeatCosts measures an agent's heartbeat and an entry's work on heartbeats.
+func heartbeatCosts() ([]Cost, error) {
+	var costs []Cost
+	heartbeat, err := proto.Marshal(AgentHeartbeat(1, 1))
 	if err != nil {
 		return nil, err
 	}
-	const headers = 28
-	slopes = append(slopes, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(one) + headers, Note: "with UDP and IP headers"})
+	const headers = 28 // UDP and IPv4
+	costs = append(costs, Cost{Name: "agent's heartbeat on the wire", Size: "1", Bytes: len(heartbeat) + headers, Note: "with UDP and IP headers"})
 	for _, size := range fleetSizes {
-		loop, err := idleEntry()
+		loop, err := newIdleLoop()
 		if err != nil {
 			return nil, err
 		}
@@ -116,29 +118,29 @@
 				loop.Receive(now, data)
 			}
 		}
-		encoding := repeat(func() {
+		encoding := microsPerCall(func() {
 			for i := range size {
 				_, _ = proto.Marshal(AgentHeartbeat(i, sequence))
 			}
 		})
-		received := (repeat(round) - encoding) / float64(size)
+		received := (microsPerCall(round) - encoding) / float64(size)
 		kept := heapGrowth(func() any { round(); loop.Step(time.Now()); return loop })
-		tick := repeat(func() {
+		tick := microsPerCall(func() {
 			sequence++
 			data, _ := proto.Marshal(AgentHeartbeat(0, sequence))
 			loop.Receive(time.Now(), data)
 			loop.Step(time.Now())
 		})
-		slopes = append(slopes,
+		costs = append(costs,
 			Cost{Name: "heartbeat received and answered by an entry", Size: fmt.Sprint(size, " agents"), Microseconds: received},
 			Cost{Name: "tick of an entry: detector, view, routing snapshot", Size: fmt.Sprint(size, " agents"), Microseconds: tick - received, HeapBytes: kept / size, Note: "heap per agent"},
 		)
 	}
-	return slopes, nil
+	return costs, nil
 }
 
-// idleEntry makes an entry's control loop that does not run.
-func idleEntry() (*membership.Loop, error) {
+// newIdleLoop returns the membership loop of an entry that is not started.
+func newIdleLoop() (*membership.Loop, error) {
 	s := settings.Entry{
 		Node:          settings.Node{Name: "entry-0", DataCentre: "bogota-1", Listen: "127.0.0.1:1", OperatorsListen: "127.0.0.1:2", Platform: "127.0.0.1:3"},
 		CallersListen: "127.0.0.1:4",
@@ -153,6 +155,7 @@
 	return e.Loop(), nil
 }
 
+// benchEndpoints returns endpoints in a typical state, as routing sees them.
 func benchEndpoints(n int) []routing.Endpoint {
 	endpoints := make([]routing.Endpoint, n)
 	for i := range endpoints {
@@ -164,8 +167,9 @@
 	return endpoints
 }
 
-func routingSlopes() ([]Cost, error) {
-	var slopes []Cost
+// routingCosts measures the routing of a request.
+func routingCosts() ([]Cost, error) {
+	var costs []Cost
 	for _, size := range fleetSizes {
 		policy, err := routing.New(routing.PolicyAspenyard, rand.New(rand.NewPCG(1, 1)), nil)
 		if err != nil {
@@ -174,19 +178,20 @@
 		endpoints := benchEndpoints(size)
 		prompts := [][]uint64{routing.PrefixHashes(Prompt(1, 4000), admission.BytesPerToken), routing.PrefixHashes(Prompt(2, 4000), admission.BytesPerToken)}
 		i := 0
-		cost := repeat(func() {
+		cost := microsPerCall(func() {
 			i++
 			policy.Route(time.Now(), &routing.Request{
 				Model: "model-a", PromptTokens: 4000, OutputTokens: 200, Prefix: prompts[i%2], DataCentre: "bogota-1",
 			}, endpoints)
 		})
-		slopes = append(slopes, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
+		costs = append(costs, Cost{Name: "routing one request", Size: fmt.Sprint(size, " endpoints"), Microseconds: cost})
 	}
 	prompt := Prompt(3, 100_000)
-	slopes = append(slopes, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: repeat(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
-	return slopes, nil
+	costs = append(costs, Cost{Name: "hashing a prompt's beginnings", Size: "100,000 tokens", Microseconds: microsPerCall(func() { routing.PrefixHashes(prompt, admission.BytesPerToken) })})
+	return costs, nil
 }
 
+// accountRecord returns the catalogue record of client account i.
 func accountRecord(i int) *catalogue.Record {
 	return &catalogue.Record{
 		Type: catalogue.TypeAccount, ID: fmt.Sprintf("account-%05d", i), Owner: "citara-ops", EditID: "0123456789abcdef01234567",
@@ -195,41 +200,43 @@
 	}
 }
 
-func catalogueSlopes() ([]Cost, error) {
-	var slopes []Cost
+// catalogueCosts measures replicas and edits of the catalogue.
+func catalogueCosts() ([]Cost, error) {
+	var costs []Cost
 	for _, accounts := range []int{480, 4_800, 48_000} {
 		replica := catalogue.NewReplica()
 		kept := heapGrowth(func() any { fillReplica(replica, accounts); return replica })
 		record := accountRecord(7)
 		page := catalogue.PageOf(record.Key())
 		revision := replica.View().Revisions()[page]
-		apply := repeat(func() {
+		apply := microsPerCall(func() {
 			revision++
 			next := *record
 			next.Revision = revision
 			replica.Apply(catalogue.Change{Page: page, Revision: revision, Records: []*catalogue.Record{&next}})
 		})
 		store := newMemoryStore()
-		seedStore(store, replica.View(), page)
-		editing := repeat(func() {
-			current := replicaRecord(store, page, record.Key())
+		copyPage(store, replica.View(), page)
+		edit := microsPerCall(func() {
+			current := recordRevision(store, page, record.Key())
 			_, _ = catalogue.Apply(context.Background(), store, catalogue.Edit{Record: accountRecord(7), Expect: current, ID: fmt.Sprint(rand.Uint64())}, 0)
 		})
 		size := fmt.Sprint(accounts, " accounts")
-		slopes = append(slopes,
+		costs = append(costs,
 			Cost{Name: "catalogue replica", Size: size, HeapBytes: kept},
 			Cost{Name: "one edit applied to a replica", Size: size, Microseconds: apply},
-			Cost{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: editing, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
+			Cost{Name: "one edit made by an entry (decode, change, encode a page)", Size: size, Microseconds: edit, Bytes: len(store.values[catalogue.PageKey(page)].Data), Note: "bytes of the page"},
 		)
 	}
 	encoded, err := json.Marshal(accountRecord(7))
-	slopes = append(slopes, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
-	view := catalogue.NewReplica()
-	fillReplica(view, 48_000)
-	slopes = append(slopes, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: repeat(func() { view.View().AccountByKey("account-00007.secret") })})
-	return slopes, err
+	costs = append(costs, Cost{Name: "one record pulled by a node", Size: "1", Bytes: len(encoded)})
+	replica := catalogue.NewReplica()
+	fillReplica(replica, 48_000)
+	costs = append(costs, Cost{Name: "recognising a client account by its key", Size: "48000 accounts", Microseconds: microsPerCall(func() { replica.View().AccountByKey("account-00007.secret") })})
+	return costs, err
 }
 
+// fillReplica applies the records of that many accounts to a replica.
 func fillReplica(replica *catalogue.Replica, accounts int) {
 	var changes [catalogue.PageCount]catalogue.Change
 	for i := range accounts {
@@ -243,7 +250,8 @@
 	}
 }
 
-func seedStore(store *memoryStore, view *catalogue.View, number int) {
+// copyPage writes one page of a catalogue view to an empty store.
+func copyPage(store *memoryStore, view *catalogue.View, number int) {
 	page := catalogue.Page{Records: map[string]*catalogue.Record{}}
 	for _, change := range view.ChangesSince(nil) {
 		if change.Page == number {
@@ -257,7 +265,8 @@
 	_ = store.CompareAndSwap(context.Background(), catalogue.PageKey(number), data, 0)
 }
 
-func replicaRecord(store *memoryStore, page int, key string) uint64 {
+// recordRevision is the revision of a record in the store, 0 if it is not there.
+func recordRevision(store *memoryStore, page int, key string) uint64 {
 	value, _ := store.Get(context.Background(), catalogue.PageKey(page))
 	decoded, err := catalogue.DecodePage(value.Data)
 	if err != nil || decoded.Records[key] == nil {
@@ -266,8 +275,9 @@
 	return decoded.Records[key].Revision
 }
 
-func powerSlopes() ([]Cost, error) {
-	var slopes []Cost
+// powerCosts measures the planning of a site's power ledger.
+func powerCosts() ([]Cost, error) {
+	var costs []Cost
 	for _, endpoints := range []int{25, 400, 1_200} {
 		ledger, err := power.DecodeLedger(nil)
 		if err != nil {
@@ -278,7 +288,7 @@
 			reports[i] = power.Report{Endpoint: fmt.Sprintf("worker-%05d", i), Incarnation: 1, FloorWatts: 1000, MaxWatts: 5000, WantWatts: 3000, LimitWatts: 1000}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
-		cost := repeat(func() {
+		cost := microsPerCall(func() {
 			reports[random.IntN(endpoints)].WantWatts = uint64(1000 + random.IntN(4000))
 			if next := power.Plan(ledger, uint64(3000*endpoints), reports); next != nil {
 				ledger = next
@@ -288,16 +298,17 @@
 		if err != nil {
 			return nil, err
 		}
-		slopes = append(slopes, Cost{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
+		costs = append(costs, Cost{Name: "planning a site's power ledger", Size: fmt.Sprint(endpoints, " endpoints"), Microseconds: cost, Bytes: len(data), Note: "bytes of the ledger"})
 	}
-	return slopes, nil
+	return costs, nil
 }
 
-func agentSlopes() ([]Cost, error) {
+// agentCosts measures an agent's bookkeeping of requests.
+func agentCosts() ([]Cost, error) {
 	table := attempt.NewTable(1, time.Second, time.Hour)
 	queue := admission.NewQueue(admission.Config{MaxRunning: 1 << 20, MemoryTokens: 1 << 30, PrefillRate: 20_000, MaxWait: [3]time.Duration{time.Hour, time.Hour, time.Hour}})
 	now := time.Now()
-	cost := repeat(func() {
+	cost := microsPerCall(func() {
 		r := table.Reserve(now)
 		queue.Offer(now, admission.Job{ID: r.Number, Account: "a", PromptTokens: 1000, OutputTokens: 100, Deadline: now.Add(time.Hour)})
 		table.Accept(now, r)
@@ -324,7 +335,8 @@
 	}, nil
 }
 
-func limiterSlopes() ([]Cost, error) {
+// limiterCosts measures the client accounts' limits.
+func limiterCosts() ([]Cost, error) {
 	limiter := admission.NewLimiter()
 	limits := admission.Limits{RequestsPerSecond: 1e9, TokensPerSecond: 1e12, Concurrent: 1 << 30}
 	names := make([]string, 48_000)
@@ -338,7 +350,7 @@
 		return limiter
 	})
 	i := 0
-	cost := repeat(func() {
+	cost := microsPerCall(func() {
 		i++
 		limiter.Admit(time.Now(), names[i%len(names)], limits, 1, 1000)
 		limiter.Done(names[i%len(names)])
@@ -346,7 +358,8 @@
 	return []Cost{{Name: "one request through the limits", Size: "48000 accounts", Microseconds: cost, HeapBytes: kept / len(names), Note: "heap per active account"}}, nil
 }
 
-func claimSlopes() ([]Cost, error) {
+// claimCosts measures the claim of a call that is not repeatable.
+func claimCosts() ([]Cost, error) {
 	claim := &attempt.Claim{
 		Digest: attempt.Digest("excuse-filing", []byte("x")), Attempt: "0123456789abcdef01234567", RequestID: "0123456789abcdef01234567",
 		State: attempt.ClaimDone, Endpoint: "worker-00001", Addr: "10.0.0.1:7400", Reservation: attempt.Reservation{Incarnation: 1_780_000_000_000, Number: 123_456},
@@ -356,7 +369,7 @@
 	return []Cost{{Name: "claim with its outcome in the store", Size: "300-byte reply", Bytes: len(data), Note: "2 reads and 2 writes of the store a call"}}, err
 }
 
-// memoryStore is a store in this process, without faults.
+// memoryStore is an in-memory store that never fails.
 type memoryStore struct {
 	mu       sync.Mutex
 	revision uint64
@@ -384,7 +397,7 @@
 	return nil
 }
 
-// Watch implements infra.Store.
+// Watch implements infra.Store. It returns the current value at once.
 func (s *memoryStore) Watch(ctx context.Context, key string, _ uint64, _ time.Duration) (infra.Value, error) {
 	return s.Get(ctx, key)
 }
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -1,7 +1,7 @@
-// Package emulator plays the placing of requests over several entries before model engines
-// in virtual time: the real policy with its ledgers, what entries tell each other, and a
-// model of engines. It exists so that a test can play a load and check what callers get,
-// without a network and the same way each time.
+// Package emulator simulates, in virtual time, how several entries place requests on engines.
+// It runs the real placement policy with its load trackers, the heartbeats between entries,
+// and a model of the engines. A test can run a load and check what callers get without a
+// network and with the same result each time.
 package emulator
 
 import (
@@ -17,37 +17,38 @@
 	"aspenyard.example/routing/direct"
 )
 
-// Kind is a kind of request.
+// Kind describes one kind of request.
 type Kind struct {
 	Name string
-	// MeanTokens is the mean prompt, Spread its standard deviation over the mean, MostTokens
-	// the longest.
+	// MeanTokens is the mean prompt length, Spread its standard deviation divided by the
+	// mean, and MaxTokens the longest prompt.
 	MeanTokens, Spread float64
 	MaxTokens          int
-	// Events is how many a stream has.
+	// Events is the number of events of each stream.
 	Events int
-	// RequestsPerSecond is how many come.
+	// RequestsPerSecond is the mean arrival rate.
 	RequestsPerSecond float64
-	// Target is the time to the first event, MaxPause that between events.
+	// Target is the longest time to the first event, and MaxPause the longest pause between
+	// events, with which a request counts as on time.
 	Target, MaxPause time.Duration
 }
 
-// LoadChange changes how many requests of each kind come, from a time on.
+// LoadChange changes the arrival rate of each kind from a time on.
 type LoadChange struct {
 	At time.Duration
-	// RateFactors multiply PerSecond, by kind.
+	// RateFactors multiply RequestsPerSecond, one factor for each kind.
 	RateFactors []float64
 }
 
-// Slowdown makes engines slow for a time.
+// Slowdown makes some engines slow for a time.
 type Slowdown struct {
 	From, To time.Duration
-	// Engines is how many, Pace how many times as long their work takes.
+	// Engines is the number of slow engines, and Factor multiplies the time of their work.
 	Engines int
 	Factor  float64
 }
 
-// Config is a site and its load.
+// Config describes a simulated site, its load and its policy.
 type Config struct {
 	Seed             uint64
 	Entries, Engines int
@@ -55,80 +56,84 @@
 	Kinds            []Kind
 	LoadChanges      []LoadChange
 	Slowdowns        []Slowdown
-	// Duration is for how long requests come.
+	// Duration is the time during which requests arrive; those in flight then still end.
 	Duration time.Duration
-	// SlowdownKnownAfter is how long after it the entries know that an engine has turned slow; 0:
-	// never.
+	// SlowdownKnownAfter is the delay after which the entries know that an engine has become
+	// slow or normal again; 0: they never do.
 	SlowdownKnownAfter time.Duration
-	// Policy places requests; empty: the product's.
+	// Policy places the requests; empty means Product.
 	Policy Policy
-	// Disabled are mechanisms of the product's policy that are taken out.
+	// Disabled lists mechanisms of the product's policy that are switched off.
 	Disabled []Mechanism
-	// HeartbeatInterval is the time between two words of an entry to the others; 0: 100 ms.
+	// HeartbeatInterval is the time between an entry's heartbeats to the others; 0: 100 ms.
 	HeartbeatInterval time.Duration
-	// HeartbeatLoss is the part of these words that is lost, 0 to 1.
+	// HeartbeatLoss is the share of heartbeats that are lost, 0 to 1.
 	HeartbeatLoss float64
-	// Skew is how many times as much the busiest entry gets as the idlest; the others lie
-	// between. 0 or 1: callers come to all alike.
+	// Skew is the arrival rate of the busiest entry divided by that of the least busy; the
+	// others lie linearly between. 0 or 1: all entries get the same rate.
 	Skew float64
 }
 
-// Policy names a way of placing requests.
+// Policy names a placement policy.
 type Policy string
 
-// The product's policy and what it is compared with. The others send each prompt to one
-// engine, know only what their own entry has sent, hold nothing back, and refuse only what
-// is over one engine's memory.
+// The product's policy and the baselines. A baseline sends each prompt to one engine, except
+// for FixedSplit, knows only the requests of its own entry, queues nothing, and refuses only
+// prompts that are larger than the KV cache of one engine.
 const (
-	Product          Policy = "product"
-	Random           Policy = "random"
+	Product Policy = "product"
+	Random  Policy = "random"
+	// LeastOutstanding picks the engine with the fewest of the entry's requests in flight.
 	LeastOutstanding Policy = "least_outstanding"
-	TwoChoices       Policy = "two_choices"
-	// FixedSplit keeps one half of the engines for prompts that are not long and prefills
-	// long ones in parts on the other.
+	// TwoChoices draws two engines and picks the one with fewer requests in flight.
+	TwoChoices Policy = "two_choices"
+	// FixedSplit uses one half of the engines for short prompts and the other half for long
+	// ones, which it prefills in parts.
 	FixedSplit Policy = "fixed_split"
 )
 
-// Policies lists all.
+// Policies returns all policies, Product first.
 func Policies() []Policy {
 	return []Policy{Product, Random, LeastOutstanding, TwoChoices, FixedSplit}
 }
 
-// Mechanism names a part of the product's policy.
+// Mechanism names a part of the product's policy that can be switched off.
 type Mechanism string
 
-// What can be taken out.
+// The mechanisms of the product's policy.
 const (
 	// Affinity: each entry prefers engines of its own.
 	Affinity Mechanism = "affinity"
-	// Heartbeats: entries tell each other what they have sent.
+	// Heartbeats: entries report their load to each other.
 	Heartbeats Mechanism = "heartbeats"
-	// Announcing: long prompts are told at once.
+	// Announcing: an entry sends a heartbeat as soon as it sends a long prompt.
 	Announcing Mechanism = "announcing"
-	// Waiting: long prompts wait while engines have enough to prefill.
+	// Waiting: long prompts are queued while the engines have enough to prefill.
 	Waiting Mechanism = "waiting"
-	// Refusing: what is expected too late is refused.
+	// Refusing: long prompts whose first token is expected too late are refused.
 	Refusing Mechanism = "refusing"
 )
 
-// Mechanisms lists all.
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{Affinity, Heartbeats, Announcing, Waiting, Refusing}
 }
 
-func (c *Config) has(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
+// enabled reports whether a mechanism is not switched off.
+func (c *Config) enabled(m Mechanism) bool { return !slices.Contains(c.Disabled, m) }
 
-// Result is what callers of one kind got.
+// Result counts the outcomes of the requests of one kind.
 type Result struct {
 	Kind string
-	// OnTime, LateFirst, LatePause and Refused sum up to Asked.
+	// Asked counts all requests; OnTime, LateFirst (first event after the target), LatePause
+	// (a pause longer than allowed) and Refused add up to it.
 	Asked, OnTime, LateFirst, LatePause, Refused int
-	// Largest is how many are longer than nine of ten, LargestServed how many of them were
-	// not refused.
+	// Largest counts the prompts in the longest tenth of the kind's length distribution,
+	// LargestServed those of them that were not refused.
 	Largest, LargestServed int
 }
 
-// Add adds what callers of the same kind got in another play.
+// Add adds the counts of the same kind from another run.
 func (r *Result) Add(other Result) {
 	r.Asked += other.Asked
 	r.OnTime += other.OnTime
@@ -139,305 +144,322 @@
 	r.LargestServed += other.LargestServed
 }
 
-// OnTimeShare is the part of requests that were on time.
+// OnTimeShare is the share of requests that were on time, 0 to 1.
 func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
 
 const (
-	// heartbeat is the time between two words of an entry to the others.
-	heartbeat = 100 * time.Millisecond
-	// outputTokens bound an answer, for the memory that it needs.
-	outputTokens = 1300
-	// placings is how many endpoints a request is placed on until one has room.
-	placings = 4
-	service  = "m"
-	// shortestWay and longestWay bound how long a message takes.
-	shortestWay, longestWay = time.Millisecond, 4 * time.Millisecond
+	// defaultHeartbeatInterval applies where Config.HeartbeatInterval is 0.
+	defaultHeartbeatInterval = 100 * time.Millisecond
+	// maxOutputTokens is the output length for which KV cache is reserved.
+	maxOutputTokens = 1300
+	// maxPlacements is the number of placements that are tried for a request until its
+	// helpers have memory for it.
+	maxPlacements = 4
+	serviceName   = "m"
+	// minMessageDelay and maxMessageDelay bound the delay of a message between two nodes.
+	minMessageDelay, maxMessageDelay = time.Millisecond, 4 * time.Millisecond
 )
 
-// world is one play.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	virtual.Clock
-	config  *Config
-	rand    *rand.Rand
-	epoch   time.Time
-	engines map[directory.Incarnation]*engine
-	list    []*directory.EndpointState
-	service *directory.Service
-	entries []*entry
-	results []Result
+	config    *Config
+	rand      *rand.Rand
+	epoch     time.Time
+	engines   map[directory.Incarnation]*engine
+	endpoints []*directory.EndpointState
+	service   *directory.Service
+	entries   []*entry
+	results   []Result
 }
 
-// entry is one entry's view and policy.
+// entry is one simulated entry.
 type entry struct {
 	name string
-	// outstanding is what it has sent to each engine, for the baselines.
-	outstanding map[*engine]int
-	ledger      *direct.LoadTracker
-	policy      *direct.Policy
+	// inFlight counts its requests at each engine; only the baselines use it.
+	inFlight map[*engine]int
+	tracker  *direct.LoadTracker
+	policy   *direct.Policy
 }
 
-// request is one caller's request.
+// request is one simulated request.
 type request struct {
-	world  *world
-	entry  *entry
-	kind   *Kind
-	result *Result
-	tokens int
-	began  time.Duration
-	gap    time.Duration
-	charge *direct.RequestLoad
-	engine *engine
-	held   *direct.QueuedPrompt
-	// latest is until when it may be held back, from its arrival.
-	latest time.Duration
+	sim          *simulation
+	entry        *entry
+	kind         *Kind
+	result       *Result
+	promptTokens int
+	arrivedAt    time.Duration
+	longestPause time.Duration
+	load         *direct.RequestLoad
+	engine       *engine
+	queued       *direct.QueuedPrompt
+	// latestStart is how long after its arrival the request may still leave the queue.
+	latestStart time.Duration
 }
 
-// Simulate plays a load and gives what callers of each kind got.
+// Simulate runs a load until its last request has ended and returns a result for each kind,
+// in the order of the kinds.
 func Simulate(c *Config) []Result {
-	w := &world{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
-	w.service = &directory.Service{Name: service, Engine: &c.Engine}
+	sim := &simulation{config: c, rand: rand.New(rand.NewPCG(c.Seed, 1)), epoch: time.Unix(0, 0), engines: map[directory.Incarnation]*engine{}}
+	sim.service = &directory.Service{Name: serviceName, Engine: &c.Engine}
 	for _, k := range c.Kinds {
-		w.results = append(w.results, Result{Kind: k.Name})
-		w.service.AddTargetPause(k.MaxPause)
+		sim.results = append(sim.results, Result{Kind: k.Name})
+		sim.service.AddTargetPause(k.MaxPause)
 	}
-	w.populate()
-	w.RunUntil(math.MaxInt64)
-	return w.results
+	sim.setUp()
+	sim.RunUntil(math.MaxInt64)
+	return sim.results
 }
 
-func (w *world) populate() {
-	for i := range w.config.Engines {
-		listed := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: service, Slots: w.config.Engine.Slots}, Position: i}
-		w.list = append(w.list, listed)
-		w.engines[listed.Incarnation] = &engine{world: w, model: &w.config.Engine, pace: 1}
+// setUp creates the engines and entries and schedules heartbeats, arrivals and slowdowns.
+func (sim *simulation) setUp() {
+	for i := range sim.config.Engines {
+		endpoint := &directory.EndpointState{Endpoint: directory.Endpoint{Incarnation: directory.Incarnation{ID: fmt.Sprintf("e-%03d", i)}, Service: serviceName, Slots: sim.config.Engine.Slots}, Position: i}
+		sim.endpoints = append(sim.endpoints, endpoint)
+		sim.engines[endpoint.Incarnation] = &engine{sim: sim, spec: &sim.config.Engine, slowdown: 1}
 	}
-	for i := range w.config.Entries {
-		ledger := direct.NewLoadTracker()
-		ledger.SetEntryCount(w.config.Entries)
-		if w.config.has(Affinity) {
-			ledger.SetRank(i, w.config.Entries)
+	for i := range sim.config.Entries {
+		tracker := direct.NewLoadTracker()
+		tracker.SetEntryCount(sim.config.Entries)
+		if sim.config.enabled(Affinity) {
+			tracker.SetRank(i, sim.config.Entries)
 		}
-		e := &entry{name: fmt.Sprint(i), outstanding: map[*engine]int{}, ledger: ledger, policy: direct.NewPolicy(ledger, rand.New(rand.NewPCG(w.config.Seed, uint64(i+2))))}
-		w.entries = append(w.entries, e)
-		if w.config.has(Heartbeats) {
-			w.AfterFunc(w.heartbeat()*time.Duration(i)/time.Duration(w.config.Entries), func() { w.beat(e) })
+		e := &entry{name: fmt.Sprint(i), inFlight: map[*engine]int{}, tracker: tracker, policy: direct.NewPolicy(tracker, rand.New(rand.NewPCG(sim.config.Seed, uint64(i+2))))}
+		sim.entries = append(sim.entries, e)
+		if sim.config.enabled(Heartbeats) {
+			sim.AfterFunc(sim.heartbeatInterval()*time.Duration(i)/time.Duration(sim.config.Entries), func() { sim.sendHeartbeats(e) })
 		}
 	}
-	for i := range w.config.Kinds {
-		w.AfterFunc(0, func() { w.arrive(i) })
+	for i := range sim.config.Kinds {
+		sim.AfterFunc(0, func() { sim.arrive(i) })
 	}
-	for i := range w.config.Slowdowns {
-		w.slow(&w.config.Slowdowns[i])
+	for i := range sim.config.Slowdowns {
+		sim.scheduleSlowdown(&sim.config.Slowdowns[i])
 	}
 }
 
-// slow makes the last engines slow, which are those for long prompts, and every other one.
-func (w *world) slow(s *Slowdown) {
+// scheduleSlowdown slows every other engine from the end of the list, where the engines for
+// long prompts are.
+func (sim *simulation) scheduleSlowdown(s *Slowdown) {
 	for i := range s.Engines {
-		listed := w.list[len(w.list)-1-2*i]
-		set := func(pace float64) {
-			w.engines[listed.Incarnation].pace = pace
-			if w.config.SlowdownKnownAfter > 0 {
-				w.AfterFunc(w.config.SlowdownKnownAfter, func() { w.tellPace(listed.Incarnation, pace, s.To) })
+		endpoint := sim.endpoints[len(sim.endpoints)-1-2*i]
+		set := func(factor float64) {
+			sim.engines[endpoint.Incarnation].slowdown = factor
+			if sim.config.SlowdownKnownAfter > 0 {
+				sim.AfterFunc(sim.config.SlowdownKnownAfter, func() { sim.reportSlowdown(endpoint.Incarnation, factor, s.To) })
 			}
 		}
-		w.AfterFunc(s.From, func() { set(s.Factor) })
-		w.AfterFunc(s.To, func() { set(1) })
+		sim.AfterFunc(s.From, func() { set(s.Factor) })
+		sim.AfterFunc(s.To, func() { set(1) })
 	}
 }
 
-// tellPace tells all entries how slow an engine is, again and again while it lasts.
-func (w *world) tellPace(life directory.Incarnation, pace float64, until time.Duration) {
-	for _, e := range w.entries {
-		e.ledger.SetSlowdown(w.clock(), life, pace)
+// reportSlowdown tells all entries how slow an engine is, and repeats that each second until
+// the slowdown ends.
+func (sim *simulation) reportSlowdown(incarnation directory.Incarnation, factor float64, until time.Duration) {
+	for _, e := range sim.entries {
+		e.tracker.SetSlowdown(sim.wallTime(), incarnation, factor)
 	}
-	if pace > 1 && w.Now() < until {
-		w.AfterFunc(time.Second, func() { w.tellPace(life, w.engines[life].pace, until) })
+	if factor > 1 && sim.Now() < until {
+		sim.AfterFunc(time.Second, func() { sim.reportSlowdown(incarnation, sim.engines[incarnation].slowdown, until) })
 	}
 }
 
-func (w *world) clock() time.Time { return w.epoch.Add(w.Now()) }
+// wallTime is the virtual time as the policy reads it.
+func (sim *simulation) wallTime() time.Time { return sim.epoch.Add(sim.Now()) }
 
-// beat tells the other entries of one's load, and again while requests come.
-func (w *world) beat(e *entry) {
-	w.tell(e)
-	if w.Now() < w.config.Duration {
-		w.AfterFunc(w.heartbeat(), func() { w.beat(e) })
+// sendHeartbeats sends an entry's heartbeats while requests arrive.
+func (sim *simulation) sendHeartbeats(e *entry) {
+	sim.sendHeartbeat(e)
+	if sim.Now() < sim.config.Duration {
+		sim.AfterFunc(sim.heartbeatInterval(), func() { sim.sendHeartbeats(e) })
 	}
 }
 
-func (w *world) heartbeat() time.Duration { return cmp.Or(w.config.HeartbeatInterval, heartbeat) }
+func (sim *simulation) heartbeatInterval() time.Duration {
+	return cmp.Or(sim.config.HeartbeatInterval, defaultHeartbeatInterval)
+}
 
-func (w *world) tell(e *entry) {
-	demands, opens := e.ledger.Demands(w.clock()), e.ledger.Loads(w.clock())
-	for _, other := range w.entries {
-		lost := w.config.HeartbeatLoss > 0 && w.rand.Float64() < w.config.HeartbeatLoss
+// sendHeartbeat sends an entry's load to all others; each copy may be lost.
+func (sim *simulation) sendHeartbeat(e *entry) {
+	demands, loads := e.tracker.Demands(sim.wallTime()), e.tracker.Loads(sim.wallTime())
+	for _, other := range sim.entries {
+		lost := sim.config.HeartbeatLoss > 0 && sim.rand.Float64() < sim.config.HeartbeatLoss
 		if other != e && !lost {
-			w.AfterFunc(w.way(), func() { other.ledger.ReplacePeerLoad(w.clock(), e.name, demands, opens) })
+			sim.AfterFunc(sim.messageDelay(), func() { other.tracker.ReplacePeerLoad(sim.wallTime(), e.name, demands, loads) })
 		}
 	}
 }
 
-// way is how long a message takes: those of several entries overtake each other.
-func (w *world) way() time.Duration {
-	return shortestWay + time.Duration(w.rand.Int64N(int64(longestWay-shortestWay)))
+// messageDelay draws the delay of a message. As delays differ, messages may overtake each
+// other.
+func (sim *simulation) messageDelay() time.Duration {
+	return minMessageDelay + time.Duration(sim.rand.Int64N(int64(maxMessageDelay-minMessageDelay)))
 }
 
-// arrive begins a request of a kind and lets the next one come.
-func (w *world) arrive(kind int) {
-	if w.Now() >= w.config.Duration {
+// arrive starts a request of a kind and schedules the arrival of the next one.
+func (sim *simulation) arrive(kind int) {
+	if sim.Now() >= sim.config.Duration {
 		return
 	}
-	k := &w.config.Kinds[kind]
-	rate := k.RequestsPerSecond * w.factor(kind)
-	if rate > 0 && w.Now() > 0 {
-		r := &request{world: w, entry: w.anyEntry(), kind: k, result: &w.results[kind], tokens: w.tokens(k), began: w.Now()}
+	k := &sim.config.Kinds[kind]
+	rate := k.RequestsPerSecond * sim.rateFactor(kind)
+	if rate > 0 && sim.Now() > 0 {
+		r := &request{sim: sim, entry: sim.pickEntry(), kind: k, result: &sim.results[kind], promptTokens: sim.drawPromptTokens(k), arrivedAt: sim.Now()}
 		r.result.Asked++
-		if k.large(r.tokens) {
+		if k.inLargestTenth(r.promptTokens) {
 			r.result.Largest++
 		}
-		r.begin()
+		r.start()
 	}
-	w.AfterFunc(time.Duration(w.rand.ExpFloat64()/max(rate, leastRate)*float64(time.Second)), func() { w.arrive(kind) })
+	sim.AfterFunc(time.Duration(sim.rand.ExpFloat64()/max(rate, minRate)*float64(time.Second)), func() { sim.arrive(kind) })
 }
 
-// anyEntry gives the entry that a caller comes to.
-func (w *world) anyEntry() *entry {
-	n := len(w.entries)
-	if w.config.Skew <= 1 || n == 1 {
-		return w.entries[w.rand.IntN(n)]
+// pickEntry draws the entry at which a request arrives, weighted by Config.Skew.
+func (sim *simulation) pickEntry() *entry {
+	n := len(sim.entries)
+	if sim.config.Skew <= 1 || n == 1 {
+		return sim.entries[sim.rand.IntN(n)]
 	}
-	weight := func(i int) float64 { return 1 + (w.config.Skew-1)*float64(i)/float64(n-1) }
-	left := w.rand.Float64() * float64(n) * (1 + w.config.Skew) / 2
+	weight := func(i int) float64 { return 1 + (sim.config.Skew-1)*float64(i)/float64(n-1) }
+	left := sim.rand.Float64() * float64(n) * (1 + sim.config.Skew) / 2
 	for i := range n {
 		if left -= weight(i); left < 0 {
-			return w.entries[i]
+			return sim.entries[i]
 		}
 	}
-	return w.entries[n-1]
+	return sim.entries[n-1]
 }
 
-// leastRate lets a kind that does not come look again at the turns.
-const leastRate = 0.5
+// minRate is the least rate at which arrivals are scheduled, in requests a second, so that a
+// kind with rate 0 notices the next load change.
+const minRate = 0.5
 
-func (w *world) factor(kind int) float64 {
+// rateFactor is the factor of the latest load change for a kind.
+func (sim *simulation) rateFactor(kind int) float64 {
 	factor := 1.0
-	for _, t := range w.config.LoadChanges {
-		if w.Now() >= t.At {
-			factor = t.RateFactors[kind]
+	for _, change := range sim.config.LoadChanges {
+		if sim.Now() >= change.At {
+			factor = change.RateFactors[kind]
 		}
 	}
 	return factor
 }
 
-// largeQuantile is how many standard deviations of a normal distribution nine of ten are
-// under.
-const largeQuantile = 1.2816
+// ninthDecileZ is the 0.9 quantile of the standard normal distribution.
+const ninthDecileZ = 1.2816
 
-// large tells whether a prompt is longer than nine of ten of its kind.
-func (k *Kind) large(tokens int) bool {
-	sigma := k.sigma()
-	return float64(tokens) > k.MeanTokens*math.Exp(largeQuantile*sigma-sigma*sigma/2)
+// inLargestTenth reports whether a prompt is in the longest tenth of its kind's distribution.
+func (k *Kind) inLargestTenth(tokens int) bool {
+	sigma := k.logSigma()
+	return float64(tokens) > k.MeanTokens*math.Exp(ninthDecileZ*sigma-sigma*sigma/2)
 }
 
-// sigma is the standard deviation of the logarithm of a prompt's length.
-func (k *Kind) sigma() float64 { return math.Sqrt(math.Log(1 + k.Spread*k.Spread)) }
+// logSigma is the standard deviation of the logarithm of the prompt length.
+func (k *Kind) logSigma() float64 { return math.Sqrt(math.Log(1 + k.Spread*k.Spread)) }
 
-// tokens draws a prompt's length: log-normal, with the kind's mean and spread.
-func (w *world) tokens(k *Kind) int {
-	sigma := k.sigma()
-	drawn := k.MeanTokens * math.Exp(sigma*w.rand.NormFloat64()-sigma*sigma/2)
+// drawPromptTokens draws a prompt length from the log-normal distribution with the kind's
+// mean and spread, bounded by MaxTokens.
+func (sim *simulation) drawPromptTokens(k *Kind) int {
+	sigma := k.logSigma()
+	drawn := k.MeanTokens * math.Exp(sigma*sim.rand.NormFloat64()-sigma*sigma/2)
 	return min(max(int(drawn), 1), k.MaxTokens)
 }
 
-// begin places a request; a long prompt is refused when it would be late, or waits.
-func (r *request) begin() {
-	w := r.world
-	if w.config.Policy != "" && w.config.Policy != Product {
+// start handles a request that has arrived. Short prompts are placed at once; a long prompt is
+// refused if its first token is expected too late, else queued.
+func (r *request) start() {
+	sim := r.sim
+	if sim.config.Policy != "" && sim.config.Policy != Product {
 		r.placeBaseline()
 		return
 	}
-	if !direct.IsLongPrompt(w.service, r.tokens) {
+	if !direct.IsLongPrompt(sim.service, r.promptTokens) {
 		r.place()
 		return
 	}
-	expected := r.entry.policy.AddLongPrompt(w.clock(), w.service, len(w.list), r.tokens)
-	if expected.TooLate(r.kind.Target) && w.config.has(Refusing) {
+	expected := r.entry.policy.AddLongPrompt(sim.wallTime(), sim.service, len(sim.endpoints), r.promptTokens)
+	if expected.TooLate(r.kind.Target) && sim.config.enabled(Refusing) {
 		r.result.Refused++
 		return
 	}
-	r.latest = expected.LatestStart(r.kind.Target)
-	r.held = r.entry.policy.Enqueue(w.service, r.tokens)
-	r.wait()
+	r.latestStart = expected.LatestStart(r.kind.Target)
+	r.queued = r.entry.policy.Enqueue(sim.service, r.promptTokens)
+	r.waitForRoom()
 }
 
-// wait holds the request back until there is room, and refuses it if that is too late.
-func (r *request) wait() {
-	w := r.world
-	room := !w.config.has(Waiting) || r.held.MayStart(w.clock(), w.list)
-	if !room && w.Now()-r.began < r.latest {
-		w.AfterFunc(direct.QueuePollInterval, r.wait)
+// waitForRoom polls until the engines have room for a queued prompt, and refuses it if there
+// is none by its latest start.
+func (r *request) waitForRoom() {
+	sim := r.sim
+	room := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
+	if !room && sim.Now()-r.arrivedAt < r.latestStart {
+		sim.AfterFunc(direct.QueuePollInterval, r.waitForRoom)
 		return
 	}
-	r.held.Dequeue()
-	if !room && w.config.has(Refusing) {
+	r.queued.Dequeue()
+	if !room && sim.config.enabled(Refusing) {
 		r.result.Refused++
 		return
 	}
 	r.place()
 }
 
-// place sends a request to an engine, or to another one where its memory finds no room.
+// place places a request and sends it. A placement whose helpers lack memory is replaced by
+// one at another engine; the request is refused when none is left.
 func (r *request) place() {
-	w := r.world
-	placing := direct.Request{Service: w.service, PromptTokens: r.tokens, OutputTokens: outputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
-	for range placings {
-		plan := r.entry.policy.Place(w.clock(), &placing, w.list)
+	sim := r.sim
+	placement := direct.Request{Service: sim.service, PromptTokens: r.promptTokens, OutputTokens: maxOutputTokens, MaxPause: r.kind.MaxPause, Tried: map[directory.Incarnation]bool{}}
+	for range maxPlacements {
+		plan := r.entry.policy.Place(sim.wallTime(), &placement, sim.endpoints)
 		if plan == nil || plan.Overloaded {
 			break
 		}
 		j := newJob(r, plan)
 		for _, h := range plan.Helpers {
-			j.helpers = append(j.helpers, w.engines[h.Incarnation])
+			j.helpers = append(j.helpers, sim.engines[h.Incarnation])
 		}
-		if j.reserve() {
+		if j.reserveMemory() {
 			r.submit(plan, j)
 			return
 		}
-		placing.Tried[plan.Endpoint.Incarnation] = true
+		placement.Tried[plan.Endpoint.Incarnation] = true
 	}
 	r.result.Refused++
 }
 
-// submit gives a request to the first engine of its plan.
+// submit records the request's load and sends it to its plan's endpoint.
 func (r *request) submit(plan *direct.Plan, j *job) {
-	r.charge = r.entry.ledger.Begin(r.world.clock(), plan)
-	if plan.Long && r.world.config.has(Announcing) && r.world.config.has(Heartbeats) {
-		r.world.tell(r.entry)
+	r.load = r.entry.tracker.Begin(r.sim.wallTime(), plan)
+	if plan.Long && r.sim.config.enabled(Announcing) && r.sim.config.enabled(Heartbeats) {
+		r.sim.sendHeartbeat(r.entry)
 	}
-	r.engine = r.world.engines[plan.Endpoint.Incarnation]
-	r.world.AfterFunc(r.world.way(), func() { r.engine.submit(j) })
+	r.engine = r.sim.engines[plan.Endpoint.Incarnation]
+	r.sim.AfterFunc(r.sim.messageDelay(), func() { r.engine.submit(j) })
 }
 
-func (r *request) prefilled() {
-	if r.charge != nil {
-		r.charge.FinishPrefill()
+// finishPrefill ends the prefill part of the request's load at its first event.
+func (r *request) finishPrefill() {
+	if r.load != nil {
+		r.load.FinishPrefill()
 	}
 }
 
-func (r *request) done(j *job) {
-	if r.charge != nil {
-		r.charge.End()
+// finish ends the request's load and counts its outcome.
+func (r *request) finish(j *job) {
+	if r.load != nil {
+		r.load.End()
 	} else {
-		r.entry.outstanding[r.engine]--
+		r.entry.inFlight[r.engine]--
 	}
-	if r.kind.large(r.tokens) {
+	if r.kind.inLargestTenth(r.promptTokens) {
 		r.result.LargestServed++
 	}
 	switch {
-	case j.first-r.began > r.kind.Target:
+	case j.firstEventAt-r.arrivedAt > r.kind.Target:
 		r.result.LateFirst++
-	case r.gap > r.kind.MaxPause:
+	case r.longestPause > r.kind.MaxPause:
 		r.result.LatePause++
 	default:
 		r.result.OnTime++
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -9,231 +9,241 @@
 	"aspenyard.example/routing/direct"
 )
 
-// job is a request as its first engine has it.
+// job is a request as the engine that it was sent to holds it.
 type job struct {
 	request *request
-	// memory is what it needs there, level its priority.
-	memory, level int
-	helpers       []*engine
-	// holders of the helpers are each asked to hold reserved tokens, of which needed must
-	// be held; reservedAt do.
-	holders, reserved, needed int
-	reservedAt                []*engine
-	part                      time.Duration
-	// missing are its parts that are not prefilled; events those that are left to write.
-	missing, events int
-	first, last     time.Duration
-}
-
-// part is a part of a prompt that waits to be prefilled.
-type part struct {
-	job     *job
-	prefill time.Duration
-	// tokens is its part of the prompt.
+	// memoryTokens is the KV cache that the request needs at that engine. Jobs of lower
+	// priority values start first.
+	memoryTokens, priority int
+	helpers                []*engine
+	// The first reservingHelpers helpers are each asked to reserve KV cache for
+	// reservedTokens tokens; together they must reserve at least requiredTokens. reservedAt
+	// are the helpers that did.
+	reservingHelpers, reservedTokens, requiredTokens int
+	reservedAt                                       []*engine
+	partPrefill                                      time.Duration
+	// unfinishedParts counts the parts that are not prefilled yet, eventsLeft the events of
+	// the stream that are not written yet.
+	unfinishedParts, eventsLeft int
+	firstEventAt, lastEventAt   time.Duration
+}
+
+// promptPart is a part of a prompt that waits to be prefilled.
+type promptPart struct {
+	job         *job
+	prefillTime time.Duration
+	// tokens is the length of the part.
 	tokens int
 }
 
-// engine is a model engine. It works in passes: everything that waits to be prefilled goes
-// into the next one, and everyone who decodes writes one event at its end. Left out: the
-// limit of tokens in a pass, the way of messages, and what holding a part of the context
-// costs.
+// engine models an engine. While requests decode it works in passes: a pass prefills all
+// pending parts, and each decoding request writes one event at its end. While none decodes
+// it prefills the newest part first. The model leaves out the limit of tokens in a pass, the
+// delay of messages between engines, and the cost of holding a part of the context.
 type engine struct {
-	world *world
-	model *directory.Engine
-	// pace is how many times as long as described its work takes.
-	pace    float64
-	waiting []*job // for a slot or memory
-	parts   []part
-	writing []*job
-	held    int // memory in use, in tokens
-	slots   int // in use
-	running bool
-	// readingNewest is set while the newest part is read, since readingSince; readings is how
-	// many times one began to be.
-	readingNewest bool
-	readingSince  time.Duration
-	readings      int
-}
-
-// submit gives the engine a request.
+	sim  *simulation
+	spec *directory.Engine
+	// slowdown multiplies the time of all work; 1 is the speed of spec.
+	slowdown     float64
+	waiting      []*job // for a slot or memory
+	pendingParts []promptPart
+	decoding     []*job
+	usedTokens   int // KV cache in use, reservations included
+	usedSlots    int
+	inPass       bool // a pass is under way
+	// prefillingNewest is set while the newest part is prefilled outside a pass, which
+	// started at prefillSince. prefillCount counts such starts and identifies the current one.
+	prefillingNewest bool
+	prefillSince     time.Duration
+	prefillCount     int
+}
+
+// submit queues a job by its priority.
 func (e *engine) submit(j *job) {
 	e.waiting = append(e.waiting, j)
-	slices.SortStableFunc(e.waiting, func(a, b *job) int { return cmp.Compare(a.level, b.level) })
+	slices.SortStableFunc(e.waiting, func(a, b *job) int { return cmp.Compare(a.priority, b.priority) })
 	e.admit()
 }
 
-// admit begins waiting requests as long as the first of them has a slot and memory.
+// admit starts waiting jobs, in order, until the first of them finds no free slot or too
+// little KV cache.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.slots >= e.model.Slots || e.held+j.memory > e.model.KVCacheTokens {
+		if e.usedSlots >= e.spec.Slots || e.usedTokens+j.memoryTokens > e.spec.KVCacheTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.slots++
-		e.held += j.memory
+		e.usedSlots++
+		e.usedTokens += j.memoryTokens
 		for _, helper := range append([]*engine{e}, j.helpers...) {
-			helper.take(part{j, j.part, j.request.tokens / (1 + len(j.helpers))})
+			helper.addPart(promptPart{j, j.partPrefill, j.request.promptTokens / (1 + len(j.helpers))})
 		}
 	}
 }
 
-// take gives the engine a part to read.
-func (e *engine) take(p part) {
-	e.stopReading()
-	e.parts = append(e.parts, p)
-	e.run()
+// addPart adds a part to prefill, which interrupts the prefill of an older one.
+func (e *engine) addPart(p promptPart) {
+	e.interruptPrefill()
+	e.pendingParts = append(e.pendingParts, p)
+	e.startNext()
 }
 
-// run begins a pass, or to read, unless a pass is under way.
-func (e *engine) run() {
-	if e.running {
+// startNext starts a pass if requests decode here, else the prefill of the newest part. It
+// does nothing while a pass is under way.
+func (e *engine) startNext() {
+	if e.inPass {
 		return
 	}
-	e.stopReading()
-	if len(e.writing) == 0 {
-		e.readNewest()
+	e.interruptPrefill()
+	if len(e.decoding) == 0 {
+		e.startPrefillOfNewest()
 		return
 	}
-	e.running = true
-	reading := e.parts
-	e.parts = nil
-	e.world.AfterFunc(e.paced(e.passTime(reading)), func() { e.end(reading) })
+	e.inPass = true
+	parts := e.pendingParts
+	e.pendingParts = nil
+	e.sim.AfterFunc(e.slowed(e.passTime(parts)), func() { e.endPass(parts) })
 }
 
-func (e *engine) paced(d time.Duration) time.Duration { return time.Duration(e.pace * float64(d)) }
+// slowed is the time that work of duration d takes at the engine's current speed.
+func (e *engine) slowed(d time.Duration) time.Duration { return time.Duration(e.slowdown * float64(d)) }
 
-// readNewest reads the newest part, unless another one comes before it is done.
-func (e *engine) readNewest() {
-	if len(e.parts) == 0 {
+// startPrefillOfNewest starts the prefill of the newest part outside a pass. A part that
+// arrives before the end interrupts it.
+func (e *engine) startPrefillOfNewest() {
+	if len(e.pendingParts) == 0 {
 		return
 	}
-	e.readingNewest, e.readingSince = true, e.world.Now()
-	e.readings++
-	number, newest := e.readings, e.parts[len(e.parts)-1]
-	length := newest.prefill + time.Duration(e.readSteps(newest.tokens))*e.model.StepTime
-	e.world.AfterFunc(e.paced(length), func() {
-		if !e.readingNewest || e.readings != number {
+	e.prefillingNewest, e.prefillSince = true, e.sim.Now()
+	e.prefillCount++
+	number, newest := e.prefillCount, e.pendingParts[len(e.pendingParts)-1]
+	duration := newest.prefillTime + time.Duration(e.prefillSteps(newest.tokens))*e.spec.StepTime
+	e.sim.AfterFunc(e.slowed(duration), func() {
+		if !e.prefillingNewest || e.prefillCount != number {
 			return
 		}
-		e.readingNewest = false
-		e.parts = e.parts[:len(e.parts)-1]
-		e.finish([]part{newest}, nil)
+		e.prefillingNewest = false
+		e.pendingParts = e.pendingParts[:len(e.pendingParts)-1]
+		e.finishParts([]promptPart{newest}, nil)
 		e.admit()
-		e.run()
+		e.startNext()
 	})
 }
 
-// stopReading leaves the rest of the part that is being read.
-func (e *engine) stopReading() {
-	if !e.readingNewest {
+// interruptPrefill stops the prefill of the newest part and keeps what is left of it for
+// later.
+func (e *engine) interruptPrefill() {
+	if !e.prefillingNewest {
 		return
 	}
-	e.readingNewest = false
-	newest := &e.parts[len(e.parts)-1]
-	done := time.Duration(float64(e.world.Now()-e.readingSince) / e.pace)
-	newest.prefill = max(newest.prefill-done, 0)
+	e.prefillingNewest = false
+	newest := &e.pendingParts[len(e.pendingParts)-1]
+	done := time.Duration(float64(e.sim.Now()-e.prefillSince) / e.slowdown)
+	newest.prefillTime = max(newest.prefillTime-done, 0)
 }
 
-// passTime is how long a pass takes: the steps that everyone who decodes needs for an event,
-// and the prefill.
-func (e *engine) passTime(reading []part) time.Duration {
-	length := direct.DecodeTime(e.model, len(e.writing), e.held)
-	for _, p := range reading {
-		length += p.prefill
+// passTime is the duration of a pass at normal speed: the decode steps of one event, and the
+// prefill of the parts.
+func (e *engine) passTime(parts []promptPart) time.Duration {
+	duration := direct.DecodeTime(e.spec, len(e.decoding), e.usedTokens)
+	for _, p := range parts {
+		duration += p.prefillTime
 	}
-	return length
+	return duration
 }
 
-// readSteps is in how many steps tokens are prefilled that nobody's decoding adds steps to.
-func (e *engine) readSteps(tokens int) int {
-	if e.model.ChunkTokens <= 0 {
+// prefillSteps is the number of steps that prefill this many tokens while no request
+// decodes.
+func (e *engine) prefillSteps(tokens int) int {
+	if e.spec.ChunkTokens <= 0 {
 		return 1
 	}
-	return (tokens + e.model.ChunkTokens - 1) / e.model.ChunkTokens
+	return (tokens + e.spec.ChunkTokens - 1) / e.spec.ChunkTokens
 }
 
-// end ends a pass: parts are prefilled, and everyone who decodes writes an event.
-func (e *engine) end(reading []part) {
-	e.running = false
-	e.finish(reading, slices.Clone(e.writing))
+// endPass ends a pass: its parts are prefilled, and each decoding request writes an event.
+func (e *engine) endPass(parts []promptPart) {
+	e.inPass = false
+	e.finishParts(parts, slices.Clone(e.decoding))
 	e.admit()
-	e.run()
+	e.startNext()
 }
 
-// finish ends parts that have been read, and the pass in which some requests decoded.
-func (e *engine) finish(reading []part, writing []*job) {
-	for _, p := range reading {
-		if p.job.missing--; p.job.missing > 0 {
+// finishParts marks parts as prefilled and writes an event of each job in decoded. A job
+// whose last part this was starts to decode at the engine that it was sent to.
+func (e *engine) finishParts(parts []promptPart, decoded []*job) {
+	for _, p := range parts {
+		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
 			continue
 		}
 		first := p.job.request.engine
-		first.writing = append(first.writing, p.job)
+		first.decoding = append(first.decoding, p.job)
 		if len(p.job.helpers) == 0 {
-			writing = append(writing, p.job) // read and begun in one pass
+			decoded = append(decoded, p.job) // a prompt in one part gets its first event with the prefill
 		}
 		if first != e {
-			first.run()
+			first.startNext()
 		}
 	}
-	for _, j := range writing {
-		e.write(j)
+	for _, j := range decoded {
+		e.emitEvent(j)
 	}
 }
 
-// write passes one event of a stream on.
-func (e *engine) write(j *job) {
-	now := e.world.Now()
-	if j.first == 0 {
-		j.first = now
-		j.request.prefilled()
+// emitEvent writes the next event of a stream and ends the job after the last one.
+func (e *engine) emitEvent(j *job) {
+	now := e.sim.Now()
+	if j.firstEventAt == 0 {
+		j.firstEventAt = now
+		j.request.finishPrefill()
 	} else {
-		j.request.gap = max(j.request.gap, now-j.last)
+		j.request.longestPause = max(j.request.longestPause, now-j.lastEventAt)
 	}
-	j.last = now
-	if j.events--; j.events > 0 {
+	j.lastEventAt = now
+	if j.eventsLeft--; j.eventsLeft > 0 {
 		return
 	}
-	e.writing = slices.DeleteFunc(e.writing, func(other *job) bool { return other == j })
-	e.slots--
-	e.held -= j.memory
-	j.release()
-	j.request.done(j)
+	e.decoding = slices.DeleteFunc(e.decoding, func(other *job) bool { return other == j })
+	e.usedSlots--
+	e.usedTokens -= j.memoryTokens
+	j.releaseMemory()
+	j.request.finish(j)
 }
 
-// reserve takes the memory that a job needs at its helpers; where most of it is not free
-// nothing is taken.
-func (j *job) reserve() bool {
-	holders := j.helpers[:j.holders]
-	var taken []*engine
+// reserveMemory reserves KV cache at the job's helpers. It reserves nothing and reports false if
+// the helpers with enough free memory would reserve less than requiredTokens in total.
+func (j *job) reserveMemory() bool {
+	holders := j.helpers[:j.reservingHelpers]
+	var accepting []*engine
 	for _, h := range holders {
-		if h.held+j.reserved <= h.model.KVCacheTokens {
-			taken = append(taken, h)
+		if h.usedTokens+j.reservedTokens <= h.spec.KVCacheTokens {
+			accepting = append(accepting, h)
 		}
 	}
-	if len(taken)*j.reserved < j.needed {
+	if len(accepting)*j.reservedTokens < j.requiredTokens {
 		return false
 	}
-	j.reservedAt = taken
-	for _, h := range taken {
-		h.held += j.reserved
+	j.reservedAt = accepting
+	for _, h := range accepting {
+		h.usedTokens += j.reservedTokens
 	}
 	return true
 }
 
-// release gives the memory at the helpers back.
-func (j *job) release() {
+// releaseMemory frees the KV cache reserved at the helpers.
+func (j *job) releaseMemory() {
 	for _, h := range j.reservedAt {
-		h.held -= j.reserved
+		h.usedTokens -= j.reservedTokens
 		h.admit()
 	}
 }
 
-// newJob makes the job of a request by a plan.
+// newJob returns the job that carries out a request's plan, without its helpers.
 func newJob(r *request, plan *direct.Plan) *job {
 	j := &job{
-		request: r, memory: plan.EndpointMemoryTokens, level: direct.EnginePriority(r.tokens, 1), part: plan.PartPrefill,
-		missing: 1 + len(plan.Helpers), events: r.kind.Events, holders: plan.ReservingHelpers, reserved: plan.HelperMemoryTokens, needed: plan.MemoryTokens - plan.EndpointMemoryTokens,
+		request: r, memoryTokens: plan.EndpointMemoryTokens, priority: direct.EnginePriority(r.promptTokens, 1), partPrefill: plan.PartPrefill,
+		unfinishedParts: 1 + len(plan.Helpers), eventsLeft: r.kind.Events, reservingHelpers: plan.ReservingHelpers, reservedTokens: plan.HelperMemoryTokens, requiredTokens: plan.MemoryTokens - plan.EndpointMemoryTokens,
 	}
 	return j
 }
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -15,9 +15,9 @@
 	"aspenyard.example/settings"
 )
 
-// small is an experiment of a few short plays.
-func small() *File {
-	site := (&RandomSites{Count: 1, Seed: 3}).draw()[0]
+// smallExperiment is an experiment of a few short runs.
+func smallExperiment() *File {
+	site := (&RandomSites{Count: 1, Seed: 3}).generate()[0]
 	site.Name, site.Entries, site.Engines, site.Duration, site.LoadChanges = "one", 2, 6, settings.Duration(3*time.Second), nil
 	for i := range site.Kinds {
 		site.Kinds[i].RequestsPerSecond = []float64{10, 1, 0.5}[i]
@@ -25,7 +25,7 @@
 	return &File{Name: "small", Seeds: 3, Sites: []Site{site}, Policies: []Policy{{Name: "product"}, {Name: "random", Policy: emulator.Random}, {Name: "one view", SingleEntry: true}}}
 }
 
-func run(t *testing.T, f *File) *Summary {
+func runExperiment(t *testing.T, f *File) *Summary {
 	t.Helper()
 	s := NewSummary(f)
 	if err := f.Run(context.Background(), func(p *RunResult, _ int) { s.Add(p) }); err != nil {
@@ -36,9 +36,9 @@
 
 func TestExperimentIsDeterministic(t *testing.T) {
 	is := is.New(t)
-	one, two := run(t, small()), run(t, small())
-	is.Equal(Table(one.Rows()), Table(two.Rows()))
-	rows := one.Rows()
+	first, second := runExperiment(t, smallExperiment()), runExperiment(t, smallExperiment())
+	is.Equal(Table(first.Rows()), Table(second.Rows()))
+	rows := first.Rows()
 	is.Equal(len(rows), 3)
 	for _, r := range rows {
 		is.Equal(r.Runs, 3)
@@ -46,23 +46,23 @@
 		is.True(r.Worth > 0 && r.Worth <= 1)
 		is.Equal(len(r.OnTimeShares), 3)
 	}
-	is.Equal(rows[0].Difference, 0.0) // to itself
+	is.Equal(rows[0].Difference, 0.0) // from itself
 }
 
 func TestDifferencesArePairedBySiteAndSeed(t *testing.T) {
 	is := is.New(t)
-	f := small()
+	f := smallExperiment()
 	s := NewSummary(f)
 	for seed, worth := range []float64{0.5, 0.9} {
 		s.Add(&RunResult{Site: "one", Policy: "product", Seed: uint64(seed), Worth: worth})
 		s.Add(&RunResult{Site: "one", Policy: "random", Seed: uint64(seed), Worth: worth - 0.1})
 	}
-	s.Add(&RunResult{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no pair
+	s.Add(&RunResult{Site: "one", Policy: "random", Seed: 7, Worth: 0}) // has no counterpart
 	row := s.Rows()[1]
 	is.Equal(row.Pairs, 2)
 	is.Equal(row.WorsePairs, 2)
 	is.True(row.Difference < -0.0999 && row.Difference > -0.1001)
-	is.True(row.StandardError < 1e-9) // the same in each pair, though the seeds differ
+	is.True(row.StandardError < 1e-9) // the difference is the same in each pair, though the worth differs
 }
 
 func TestEveryInvalidFieldIsReported(t *testing.T) {
@@ -85,17 +85,17 @@
 func TestRandomSitesAreValidAndDeterministic(t *testing.T) {
 	is := is.New(t)
 	asked := &RandomSites{Count: 100, Seed: 5}
-	sites, again := asked.draw(), asked.draw()
+	sites, again := asked.generate(), asked.generate()
 	is.Equal(sites, again)
 	f := &File{Name: "drawn", Seeds: 1, Sites: sites, Policies: []Policy{{Name: "product"}}}
 	is.NoErr(f.Check().Err())
 	is.True(sites[0].Engines != sites[1].Engines || sites[0].Entries != sites[1].Entries)
 }
 
-// What was played before an interrupt is kept.
+// Guards against losing the runs that were finished before an interrupt.
 func TestCancelledExperimentKeepsFinishedRuns(t *testing.T) {
 	is := is.New(t)
-	f := small()
+	f := smallExperiment()
 	f.Seeds = 1000
 	s := NewSummary(f)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -116,15 +116,15 @@
 	}
 }
 
-// The product's policy is not tuned to the sites of the examples alone: on drawn ones it
-// earns more than each baseline, in the mean and on nearly all.
+// Guards against a product policy that is tuned only to the sites of the examples: on random
+// sites it earns more than each baseline, in the mean and on at least 10 of 12.
 func TestProductBeatsBaselinesOnRandomSites(t *testing.T) {
 	is := is.New(t)
 	f := &File{Name: "drawn", Seeds: 1, Random: &RandomSites{Count: 12, Seed: 1}, Policies: []Policy{{Name: "product"}}}
 	for _, policy := range emulator.Policies()[1:] {
 		f.Policies = append(f.Policies, Policy{Name: string(policy), Policy: policy})
 	}
-	for _, row := range run(t, f).Rows()[1:] {
+	for _, row := range runExperiment(t, f).Rows()[1:] {
 		is.True(row.Difference < -2*row.StandardError)
 		is.True(row.WorsePairs >= 10) // of 12
 	}
--- a/bench/power.go
+++ b/bench/power.go
@@ -7,19 +7,20 @@
 	"aspenyard.example/power"
 )
 
-// PowerResult is how much of a site's cap was used.
+// PowerResult shows how much of a site's power cap was used.
 type PowerResult struct {
 	Case string `json:"case"`
-	// Unused is the part of the cap, above the floors, that waiting work could have
-	// used and did not; EqualIdle the same with a static equal split.
+	// Unused is the share of the cap above the endpoints' floors that the demand could have
+	// used but did not; EqualUnused is the same with a static equal split.
 	Unused      float64 `json:"idle"`
 	EqualUnused float64 `json:"equal_idle"`
-	// Writes is the ledger's writes a round; Exceeded counts rounds above the cap.
+	// Writes is the number of ledger writes a round, Exceeded the number of rounds in which
+	// the draw was above the cap.
 	Writes   float64 `json:"writes_per_round"`
 	Exceeded int     `json:"exceeded"`
 }
 
-// powerCases are how the work is spread over the endpoints.
+// powerCases name how the demand is distributed over the endpoints.
 var powerCases = []string{"even", "half idle", "one in five busy", "moving", "bursts"}
 
 const (
@@ -28,27 +29,27 @@
 	powerSlots     = 32
 	powerFloor     = 1000
 	powerMax       = 5000
-	powerCap       = 75_000
+	powerCap       = 75_000 // in watts, as powerFloor and powerMax
 	moveRounds     = 50
 )
 
-// benchWorker is an endpoint whose work follows its demand, within its grant.
-type benchWorker struct {
-	limit *power.Limit
-	want  int
+// simulatedEndpoint is an endpoint that runs as much of its demand, in slots, as its power grant allows.
+type simulatedEndpoint struct {
+	limit  *power.Limit
+	demand int
 }
 
-func (w *benchWorker) running() int { return min(w.want, w.limit.Slots()) }
+func (w *simulatedEndpoint) running() int { return min(w.demand, w.limit.Slots()) }
 
-func (w *benchWorker) report(name string) power.Report {
+func (w *simulatedEndpoint) report(name string) power.Report {
 	return power.Report{
-		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.want),
+		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.demand),
 		LimitWatts: w.limit.EnforcedWatts(w.running()), Revision: w.limit.Revision(),
 	}
 }
 
-// Power runs the real ledger over rounds of changing demand. Each round is a
-// keeper's: reports, plan, grants; what agents confirm is seen in the next.
+// Power runs the real power ledger over rounds of changing demand, for each case. A round is that of
+// a power coordinator: reports, plan, grants. What the agents confirm is reported in the next one.
 func Power(seed uint64) ([]PowerResult, error) {
 	var results []PowerResult
 	for _, name := range powerCases {
@@ -61,22 +62,23 @@
 	return results, nil
 }
 
+// runPower runs one case.
 func runPower(seed uint64, name string) (PowerResult, error) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	ledger, err := power.DecodeLedger(nil)
 	if err != nil {
 		return PowerResult{}, err
 	}
-	workers := make([]*benchWorker, powerEndpoints)
+	workers := make([]*simulatedEndpoint, powerEndpoints)
 	for i := range workers {
-		workers[i] = &benchWorker{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
+		workers[i] = &simulatedEndpoint{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
 		workers[i].limit.SetCapped(true)
 	}
 	result := PowerResult{Case: name}
 	usable, used, equalUsed, writes := 0.0, 0.0, 0.0, 0
 	for round := range powerRounds {
 		for i, w := range workers {
-			w.want = wanted(random, name, round, i, w.want)
+			w.demand = demandOf(random, name, round, i, w.demand)
 		}
 		reports := make([]power.Report, 0, len(workers))
 		for i, w := range workers {
@@ -90,8 +92,8 @@
 			grant := ledger.Grants[fmt.Sprint("worker-", i)]
 			w.limit.Apply(grant.Incarnation, grant.Revision, grant.Watts)
 		}
-		could, did, equal, draw := account(workers)
-		usable, used, equalUsed = usable+could, used+did, equalUsed+equal
+		roundUsable, roundUsed, roundEqual, draw := sumUsage(workers)
+		usable, used, equalUsed = usable+roundUsable, used+roundUsed, equalUsed+roundEqual
 		if draw > powerCap {
 			result.Exceeded++
 		}
@@ -101,24 +103,24 @@
 	return result, nil
 }
 
-// account sums, in watts above the floors, what the work could use of the cap, what
-// it used, and what it would have used with equal parts; and the whole draw.
-func account(workers []*benchWorker) (could, did, equal float64, draw uint64) {
+// sumUsage sums the watts above the floors that the demand could use within the cap, that it used,
+// and that it would use with equal shares of the cap, and the total draw in watts.
+func sumUsage(workers []*simulatedEndpoint) (usable, used, equal float64, draw uint64) {
 	const perSlot = (powerMax - powerFloor) / powerSlots
 	const equalSlots = (powerCap/powerEndpoints - powerFloor) / perSlot
-	wanted := 0
+	demand := 0
 	for _, w := range workers {
-		wanted += w.want
-		did += float64(w.running() * perSlot)
-		equal += float64(min(w.want, equalSlots) * perSlot)
+		demand += w.demand
+		used += float64(w.running() * perSlot)
+		equal += float64(min(w.demand, equalSlots) * perSlot)
 		draw += w.limit.WorstCaseDraw(w.running())
 	}
-	could = min(float64(wanted*perSlot), powerCap-powerEndpoints*powerFloor)
-	return could, did, equal, draw
+	usable = min(float64(demand*perSlot), powerCap-powerEndpoints*powerFloor)
+	return usable, used, equal, draw
 }
 
-// wanted is an endpoint's demand in a round, in batch places.
-func wanted(random *rand.Rand, name string, round, i, before int) int {
+// demandOf is the demand of endpoint i in a round, in slots.
+func demandOf(random *rand.Rand, name string, round, i, previous int) int {
 	switch name {
 	case "half idle":
 		if i%2 == 0 {
@@ -134,7 +136,7 @@
 		}
 	case "bursts":
 		if random.IntN(10) != 0 {
-			return before
+			return previous
 		}
 		return random.IntN(powerSlots + 1)
 	case "even":
