--- a/soak/callers.go
+++ b/soak/callers.go
@@ -86,7 +86,7 @@
 			again := c.attempt(a.Route)
 			c.send(ctx, again)
 		}
-		if !a.Whole {
+		if !a.Complete {
 			c.client = nil
 		}
 	}
@@ -113,24 +113,24 @@
 
 // mayRetry tells whether a caller may ask again: after a promise that the request has
 // not run, or after any failure of what may run twice.
-func (c *caller) mayRetry(a *Attempt) bool {
+func (c *caller) mayRetry(a *Request) bool {
 	switch {
-	case a.Left || a.succeeded():
+	case a.Cancelled || a.succeeded():
 		return false
 	case a.promisesNotRun():
 		return true
 	case !a.Route.Repeatable():
 		return false
 	}
-	return !a.Whole || a.Status >= http.StatusInternalServerError
+	return !a.Complete || a.Status >= http.StatusInternalServerError
 }
 
-func (c *caller) attempt(route *Route) *Attempt {
+func (c *caller) attempt(route *Route) *Request {
 	c.sent++
-	a := &Attempt{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Life: c.gateway.currentLife(), Deadline: deadline}
-	a.Target = fmt.Sprintf("/%s/%s?n=%d", route.Name, a.ID, c.sent)
+	a := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentLife(), Deadline: deadline}
+	a.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, a.ID, c.sent)
 	a.Body = "body of " + a.ID
-	a.Key = []string{keyPlain, keyPlain, keyCounted, keyGuest}[c.rand.IntN(4)]
+	a.APIKey = []string{keyPlain, keyPlain, keyCounted, keyGuest}[c.rand.IntN(4)]
 	if c.rand.IntN(patientOdds) == 0 {
 		a.Deadline = patience
 	}
@@ -138,38 +138,38 @@
 }
 
 // send sends an attempt and notes what came of it; it gives what Retry-After says.
-func (c *caller) send(ctx context.Context, a *Attempt) (retryAfter time.Duration) {
+func (c *caller) send(ctx context.Context, a *Request) (retryAfter time.Duration) {
 	defer c.world.record.addAttempt(a)
 	ctx, cancel := context.WithTimeout(ctx, a.Deadline)
 	defer cancel()
 	if c.rand.IntN(leaveOdds) == 0 {
 		time.AfterFunc(time.Duration(c.rand.Int64N(int64(mostLeaveDelay))), cancel)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway.callers.Addr()+a.Target, strings.NewReader(a.Body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway.callers.Addr()+a.RequestURI, strings.NewReader(a.Body))
 	if err != nil {
 		panic(err) // the address and target are our own
 	}
 	request.Host = host
 	c.fill(request.Header, a)
-	a.Sent = time.Now()
+	a.SentAt = time.Now()
 	response, err := c.client.Do(request)
 	if err == nil {
 		a.Status = response.StatusCode
-		a.Echo, a.Stamped = platform.AnswerHead(response.Header)
+		a.EchoedID, a.HasServerStamp = platform.AnswerHead(response.Header)
 		retryAfter, _ = time.ParseDuration(response.Header.Get("Retry-After") + "s")
 		var text []byte
 		text, err = io.ReadAll(response.Body)
 		_ = response.Body.Close()
-		a.Text = string(text)
+		a.ResponseBody = string(text)
 	}
-	a.Ended, a.Whole = time.Now(), err == nil
-	a.Left = err != nil && ctx.Err() != nil
+	a.EndedAt, a.Complete = time.Now(), err == nil
+	a.Cancelled = err != nil && ctx.Err() != nil
 	return retryAfter
 }
 
 // fill sets the headers of a caller, and some that callers may not set.
-func (c *caller) fill(h http.Header, a *Attempt) {
-	call := platform.Call{ID: a.ID, Key: a.Key, Deadline: a.Deadline, PromptTokens: a.Route.PromptTokens, OutputTokens: outputTokens}
+func (c *caller) fill(h http.Header, a *Request) {
+	call := platform.Call{ID: a.ID, Key: a.APIKey, Deadline: a.Deadline, PromptTokens: a.Route.PromptTokens, OutputTokens: outputTokens}
 	call.SetHeaders(h)
 	platform.ForgeHeaders(h)
 }
@@ -177,16 +177,16 @@
 // improper sends a request that must be refused and reach no endpoint.
 func (c *caller) improper(ctx context.Context) {
 	a := c.attempt(routes[0])
-	a.Key = keyPlain
+	a.APIKey = keyPlain
 	switch c.rand.IntN(5) {
 	case 0:
-		a.Key, a.Expect = "key-unknown", http.StatusUnauthorized
+		a.APIKey, a.ExpectedStatus = "key-unknown", http.StatusUnauthorized
 	case 1:
-		a.Target, a.Expect = "/nowhere/"+a.ID, http.StatusNotFound
+		a.RequestURI, a.ExpectedStatus = "/nowhere/"+a.ID, http.StatusNotFound
 	case 2:
-		a.Body, a.Expect = strings.Repeat("x", 70_000), http.StatusRequestEntityTooLarge
+		a.Body, a.ExpectedStatus = strings.Repeat("x", 70_000), http.StatusRequestEntityTooLarge
 	case 3:
-		a.Target, a.Expect = "/once/"+strings.Repeat("x", 9000), http.StatusRequestHeaderFieldsTooLarge
+		a.RequestURI, a.ExpectedStatus = "/once/"+strings.Repeat("x", 9000), http.StatusRequestHeaderFieldsTooLarge
 	default:
 		c.smuggle(ctx, a)
 		return
@@ -197,36 +197,36 @@
 
 // smuggle sends a request that gives two lengths of its body, with a second one hidden
 // in it: whoever reads the body by the other length would run the second.
-func (c *caller) smuggle(ctx context.Context, a *Attempt) {
+func (c *caller) smuggle(ctx context.Context, a *Request) {
 	defer c.world.record.addAttempt(a)
-	a.Expect, a.Sent = http.StatusBadRequest, time.Now()
-	defer func() { a.Ended = time.Now() }()
+	a.ExpectedStatus, a.SentAt = http.StatusBadRequest, time.Now()
+	defer func() { a.EndedAt = time.Now() }()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.gateway.callers.Addr())
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(a.Sent.Add(a.Deadline))
+	_ = conn.SetDeadline(a.SentAt.Add(a.Deadline))
 	hidden := c.hidden(a)
 	body := "0\r\n\r\n" + hidden
-	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", a.Target, host, c.headerText(a), len(body), body)
+	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", a.RequestURI, host, c.headerText(a), len(body), body)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return
 	}
 	_ = response.Body.Close()
-	a.Status, a.Whole = response.StatusCode, true
+	a.Status, a.Complete = response.StatusCode, true
 }
 
 // hidden is the text of a request that nobody sends, under an ID of its own.
-func (c *caller) hidden(a *Attempt) string {
+func (c *caller) hidden(a *Request) string {
 	inner := *a
 	inner.ID = "hidden-" + a.ID
 	return fmt.Sprintf("POST /once/hidden HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", host, c.headerText(&inner))
 }
 
 // headerText is the headers of a request as they go over the wire.
-func (c *caller) headerText(a *Attempt) string {
+func (c *caller) headerText(a *Request) string {
 	h := http.Header{}
 	c.fill(h, a)
 	var text bytes.Buffer
--- a/soak/check.go
+++ b/soak/check.go
@@ -62,15 +62,15 @@
 // evidence is a record, indexed.
 type evidence struct {
 	*Record
-	attempts map[string]*Attempt
+	attempts map[string]*Request
 	runs     map[string][]*Arrival // by the request's ID
 	users    map[string][]*Arrival // by the reservation, only those that ran
 }
 
 // Check looks for broken promises; those with a bound in time only if timed is set.
 func (r *Record) Check(timed bool) []Violation {
-	e := &evidence{Record: r, attempts: map[string]*Attempt{}, runs: map[string][]*Arrival{}, users: map[string][]*Arrival{}}
-	for _, a := range r.Attempts {
+	e := &evidence{Record: r, attempts: map[string]*Request{}, runs: map[string][]*Arrival{}, users: map[string][]*Arrival{}}
+	for _, a := range r.Requests {
 		e.attempts[a.ID] = a
 	}
 	for i := range r.Arrivals {
@@ -100,14 +100,14 @@
 }
 
 // about describes an attempt in findings.
-func about(a *Attempt) string {
+func about(a *Request) string {
 	return fmt.Sprintf("%s (%s, %s)", a.ID, a.Route.Name, a.Gateway)
 }
 
 // each collects what find says of attempts.
-func (e *evidence) each(find func(a *Attempt) string) []string {
+func (e *evidence) each(find func(a *Request) string) []string {
 	var list []string
-	for _, a := range e.Attempts {
+	for _, a := range e.Requests {
 		if text := find(a); text != "" {
 			list = append(list, about(a)+": "+text)
 		}
@@ -125,16 +125,16 @@
 
 // wholeAnswers finds successes that are not the endpoint's whole, own answer.
 func wholeAnswers(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
+	return e.each(func(a *Request) string {
 		switch {
 		case !a.succeeded():
 			return ""
-		case !a.Stamped:
+		case !a.HasServerStamp:
 			return "a success without the endpoint's signature"
-		case a.Echo != a.ID:
-			return fmt.Sprintf("the answer to %q", a.Echo)
-		case a.Text != a.want():
-			return fmt.Sprintf("%d bytes that look whole, of %d", len(a.Text), len(a.want()))
+		case a.EchoedID != a.ID:
+			return fmt.Sprintf("the answer to %q", a.EchoedID)
+		case a.ResponseBody != a.want():
+			return fmt.Sprintf("%d bytes that look whole, of %d", len(a.ResponseBody), len(a.want()))
 		}
 		return ""
 	})
@@ -142,8 +142,8 @@
 
 // ownFailures finds failures that bear an endpoint's signature and are not its own.
 func ownFailures(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
-		if !a.Whole || !a.Stamped || a.succeeded() {
+	return e.each(func(a *Request) string {
+		if !a.Complete || !a.HasServerStamp || a.succeeded() {
 			return ""
 		}
 		for _, run := range e.runs[a.ID] {
@@ -158,8 +158,8 @@
 // eventsInOrder finds streams, broken ones too, whose text is not the beginning of the
 // endpoint's.
 func eventsInOrder(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
-		if a.Status != http.StatusOK || strings.HasPrefix(a.want(), a.Text) {
+	return e.each(func(a *Request) string {
+		if a.Status != http.StatusOK || strings.HasPrefix(a.want(), a.ResponseBody) {
 			return ""
 		}
 		return "events are missing, twice or out of order"
@@ -178,9 +178,9 @@
 		switch {
 		case a == nil:
 			list = append(list, fmt.Sprintf("%s ran %q, which no caller sent", run.Endpoint, run.ID))
-		case a.Expect != 0:
+		case a.ExpectedStatus != 0:
 			list = append(list, fmt.Sprintf("%s ran the improper request %s", run.Endpoint, about(a)))
-		case run.Method != http.MethodPost || run.Target != a.Target || run.Body != a.Body:
+		case run.Method != http.MethodPost || run.Target != a.RequestURI || run.Body != a.Body:
 			list = append(list, fmt.Sprintf("%s ran %s with method, path or body changed", run.Endpoint, about(a)))
 		case run.Key != "":
 			list = append(list, fmt.Sprintf("%s was given the key of %s", run.Endpoint, about(a)))
@@ -191,8 +191,8 @@
 	return list
 }
 
-func (e *evidence) rightAccount(a *Attempt, account string) bool {
-	switch a.Key {
+func (e *evidence) rightAccount(a *Request, account string) bool {
+	switch a.APIKey {
 	case keyPlain:
 		return account == accountPlain
 	case keyGuest:
@@ -213,7 +213,7 @@
 
 // ranOnce finds requests that ran more often than they may.
 func ranOnce(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
+	return e.each(func(a *Request) string {
 		if n := e.ran(a); n > 1 && !a.Route.Repeatable() {
 			return fmt.Sprintf("ran %d times", n)
 		}
@@ -221,7 +221,7 @@
 	})
 }
 
-func (e *evidence) ran(a *Attempt) int {
+func (e *evidence) ran(a *Request) int {
 	n := 0
 	for _, run := range e.runs[a.ID] {
 		if run.Ran {
@@ -234,7 +234,7 @@
 // refusedDidNotRun finds requests that ran although the caller was told that they did
 // not and never would.
 func refusedDidNotRun(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
+	return e.each(func(a *Request) string {
 		if a.promisesNotRun() && !a.Route.Repeatable() && e.ran(a) > 0 {
 			return fmt.Sprintf("status %d, and it ran", a.Status)
 		}
@@ -244,8 +244,8 @@
 
 // properNotDenied finds proper requests that were refused as if they were not.
 func properNotDenied(e *evidence) []string {
-	list := e.each(func(a *Attempt) string {
-		if a.Expect != 0 || a.Route.Passing || a.Key == keyGuest || !a.Whole || a.Stamped || a.promisesNotRun() {
+	list := e.each(func(a *Request) string {
+		if a.ExpectedStatus != 0 || a.Route.Optional || a.APIKey == keyGuest || !a.Complete || a.HasServerStamp || a.promisesNotRun() {
 			return ""
 		}
 		if a.Status >= 300 && a.Status < 500 {
@@ -253,23 +253,23 @@
 		}
 		return ""
 	})
-	return beyond(list, deniedBase+len(e.Attempts)/deniedShare)
+	return beyond(list, deniedBase+len(e.Requests)/deniedShare)
 }
 
 // improperRefused finds improper requests that were not refused as such. 503 is given by
 // a node that knows no configuration yet, or is leaving.
 func improperRefused(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
-		if a.Expect == 0 || !a.Whole || a.Status == a.Expect || a.Status == http.StatusServiceUnavailable {
+	return e.each(func(a *Request) string {
+		if a.ExpectedStatus == 0 || !a.Complete || a.Status == a.ExpectedStatus || a.Status == http.StatusServiceUnavailable {
 			return ""
 		}
-		return fmt.Sprintf("status %d in place of %d", a.Status, a.Expect)
+		return fmt.Sprintf("status %d in place of %d", a.Status, a.ExpectedStatus)
 	})
 }
 
 // rightService finds runs at a service to which no configuration sends the route.
 func rightService(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
+	return e.each(func(a *Request) string {
 		for _, run := range e.runs[a.ID] {
 			wants := []string{a.Route.Service}
 			if a.Route.Service == "" {
@@ -285,7 +285,7 @@
 
 // fewArrivals finds requests that were sent to more endpoints than they may.
 func fewArrivals(e *evidence) []string {
-	return beyond(e.each(func(a *Attempt) string {
+	return beyond(e.each(func(a *Request) string {
 		if n := len(e.runs[a.ID]); n > a.Route.MaxAttempts {
 			return fmt.Sprintf("arrived %d times", n)
 		}
@@ -323,8 +323,8 @@
 	most := 0
 	for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
 		n := 0
-		for _, a := range e.Attempts {
-			if (a.Route.Service == service || a.Route.Service == "") && a.Sent.After(from.Add(-back)) && !a.Sent.After(to.Add(-back)) {
+		for _, a := range e.Requests {
+			if (a.Route.Service == service || a.Route.Service == "") && a.SentAt.After(from.Add(-back)) && !a.SentAt.After(to.Add(-back)) {
 				n++
 			}
 		}
@@ -336,7 +336,7 @@
 // allowance is what all gateways together may repeat besides the ratio.
 func (e *evidence) allowance() int {
 	names := map[string]bool{}
-	for _, a := range e.Attempts {
+	for _, a := range e.Requests {
 		names[a.Gateway] = true
 	}
 	return allowancePerGateway * max(len(names), 1)
@@ -352,7 +352,7 @@
 			continue
 		}
 		end := run.Arrived.Add(time.Duration(run.DeadlineMS) * time.Millisecond)
-		if (run.DeadlineMS <= 0 || end.After(a.Sent.Add(a.Deadline+deadlineSlack))) && e.calm(a.Gateway, a.Sent, run.Arrived, true) {
+		if (run.DeadlineMS <= 0 || end.After(a.SentAt.Add(a.Deadline+deadlineSlack))) && e.calm(a.Gateway, a.SentAt, run.Arrived, true) {
 			list = append(list, fmt.Sprintf("%s got %d ms of %s", run.Endpoint, run.DeadlineMS, about(a)))
 		}
 	}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -23,13 +23,13 @@
 }
 
 // served adds a request that was served as it should be, and gives it and its arrival.
-func (r *Record) served(id string, route *Route, sent float64) (*Attempt, *Arrival) {
-	a := &Attempt{
-		ID: id, Route: route, Gateway: "g1", Life: 1, Target: "/x", Body: "b", Key: keyPlain, Deadline: 4 * time.Second, Sent: at(sent), Ended: at(sent + 0.1),
-		Status: http.StatusOK, Whole: true, Stamped: true, Echo: id,
+func (r *Record) served(id string, route *Route, sent float64) (*Request, *Arrival) {
+	a := &Request{
+		ID: id, Route: route, Gateway: "g1", Incarnation: 1, RequestURI: "/x", Body: "b", APIKey: keyPlain, Deadline: 4 * time.Second, SentAt: at(sent), EndedAt: at(sent + 0.1),
+		Status: http.StatusOK, Complete: true, HasServerStamp: true, EchoedID: id,
 	}
-	a.Text = a.want()
-	r.Attempts = append(r.Attempts, a)
+	a.ResponseBody = a.want()
+	r.Requests = append(r.Requests, a)
 	r.Arrivals = append(r.Arrivals, Arrival{Endpoint: "i-1", Service: route.Service, Run: platform.Run{
 		ID: id, Method: http.MethodPost, Target: "/x", Body: "b", Account: "acme", DeadlineMS: 3900, Ran: true, Status: http.StatusOK, Arrived: at(sent + 0.01), Ended: at(sent + 0.1),
 	}})
@@ -45,13 +45,13 @@
 }
 
 // counted makes a request tell by which edit it was handled.
-func counted(a *Attempt, run *Arrival, edit int) {
-	a.Key, run.Account = keyCounted, countedAccount(edit)
+func counted(a *Request, run *Arrival, edit int) {
+	a.APIKey, run.Account = keyCounted, countedAccount(edit)
 }
 
 // threeEdits were in force from seconds 0, 20 and 40 on.
-func threeEdits() []Edit {
-	return []Edit{{at(0), at(0), serviceApp, true, true}, {at(20), at(20), serviceNext, false, true}, {at(40), at(40), serviceApp, true, false}}
+func threeEdits() []ConfigEdit {
+	return []ConfigEdit{{at(0), at(0), serviceApp, true, true}, {at(20), at(20), serviceNext, false, true}, {at(40), at(40), serviceApp, true, false}}
 }
 
 // Each broken promise is put into a record that keeps all of them otherwise.
@@ -59,33 +59,36 @@
 	rule   string
 	induce func(r *Record)
 }{
-	"an unsigned success":        {"MIXED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Stamped = false }},
-	"another's answer":           {"MIXED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Echo = "p" }},
-	"a short answer looks whole": {"MIXED", func(r *Record) { a, _ := r.served("q", resumable, 50); a.Text = a.Text[:30] }},
+	"an unsigned success":        {"MIXED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.HasServerStamp = false }},
+	"another's answer":           {"MIXED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.EchoedID = "p" }},
+	"a short answer looks whole": {"MIXED", func(r *Record) { a, _ := r.served("q", resumable, 50); a.ResponseBody = a.ResponseBody[:30] }},
 	"a failure nobody gave":      {"MIXED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Status = 500 }},
 	"an event is missing": {"ORDER", func(r *Record) {
 		a, _ := r.served("q", resumable, 50)
-		a.Whole, a.Left, a.Text = false, true, platform.EventText("q", 1)+platform.EventText("q", 3)
+		a.Complete, a.Cancelled, a.ResponseBody = false, true, platform.EventText("q", 1)+platform.EventText("q", 3)
+	}},
+	"a run nobody asked for": {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.ID = "hidden-q" }},
+	"a changed path":         {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Target = "/y" }},
+	"the key passed on":      {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Key = "Bearer k" }},
+	"a forged account":       {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Account = "forged" }},
+	"an improper request ran": {"UNASKED", func(r *Record) {
+		a, _ := r.served("q", plainOnce, 50)
+		a.ExpectedStatus, a.Status, a.HasServerStamp = 400, 400, false
 	}},
-	"a run nobody asked for":  {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.ID = "hidden-q" }},
-	"a changed path":          {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Target = "/y" }},
-	"the key passed on":       {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Key = "Bearer k" }},
-	"a forged account":        {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Account = "forged" }},
-	"an improper request ran": {"UNASKED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Expect, a.Status, a.Stamped = 400, 400, false }},
 	"two runs": {"TWICE", func(r *Record) {
 		_, run := r.served("q", plainOnce, 50)
 		r.again(run, "i-2", 50.05)
 	}},
-	"refused and run": {"REFUSED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Status, a.Stamped = 503, false }},
+	"refused and run": {"REFUSED", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Status, a.HasServerStamp = 503, false }},
 	"proper requests denied": {"DENIED", func(r *Record) {
 		for i := range 10 {
 			a, run := r.served(string(rune('a'+i)), plainOnce, 50)
-			a.Status, a.Stamped, run.Ran = 403, false, false
+			a.Status, a.HasServerStamp, run.Ran = 403, false, false
 		}
 	}},
 	"an improper request served": {"DENIED", func(r *Record) {
 		a, run := r.served("q", plainOnce, 50)
-		a.Expect, run.Ran = 401, false
+		a.ExpectedStatus, run.Ran = 401, false
 	}},
 	"the wrong service": {"ROUTE", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Service = serviceModel }},
 	"too many endpoints": {"BUDGET", func(r *Record) {
@@ -131,10 +134,10 @@
 		counted(a, run, 1)
 	}},
 	"a dropped route for too long": {"CONFIG", func(r *Record) {
-		a, run := r.served("q", &Route{Name: "extra", Kind: directory.Idempotent, Service: serviceApp, Timeout: time.Second, Passing: true, MaxAttempts: 3}, 45)
-		a.Status, a.Stamped, run.Ran = 404, false, false
+		a, run := r.served("q", &Route{Name: "extra", Kind: directory.Idempotent, Service: serviceApp, Timeout: time.Second, Optional: true, MaxAttempts: 3}, 45)
+		a.Status, a.HasServerStamp, run.Ran = 404, false, false
 	}},
-	"no answer at the timeout": {"CONFIG", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.Ended = at(55) }},
+	"no answer at the timeout": {"CONFIG", func(r *Record) { a, _ := r.served("q", plainOnce, 50); a.EndedAt = at(55) }},
 	"a leaving endpoint gets work": {"DRAIN", func(r *Record) {
 		r.Departures = []Departure{{"i-1", at(45)}}
 		r.served("q", plainOnce, 50)
@@ -142,20 +145,20 @@
 	"a stop cuts a request": {"LOST", func(r *Record) {
 		r.Disturbances = []*Disturbance{{Kind: "term", Gateway: "g1", Planned: true, From: at(49), To: at(57)}}
 		a, _ := r.served("q", resumable, 50)
-		a.Whole = false
+		a.Complete = false
 	}},
 	"work for callers that left": {"GONE", func(r *Record) {
 		for i := range 8 {
 			a, run := r.served(string(rune('a'+i)), resumable, 50)
-			a.Left, a.Whole, run.Ended = true, false, at(55)
+			a.Cancelled, a.Complete, run.Ended = true, false, at(55)
 		}
 	}},
 	"memory kept": {"LEAK", func(r *Record) {
 		_, run := r.served("q", resumable, 50)
 		run.Helpers = "127.0.0.1:1/t1"
-		r.Holds["i-1/t1"] = &Hold{"i-1", "t1", at(50), at(56)}
+		r.Reservations["i-1/t1"] = &Reservation{"i-1", "t1", at(50), at(56)}
 	}},
-	"memory never used": {"STUCK", func(r *Record) { r.Holds["i-1/t1"] = &Hold{"i-1", "t1", at(40), at(56)} }},
+	"memory never used": {"STUCK", func(r *Record) { r.Reservations["i-1/t1"] = &Reservation{"i-1", "t1", at(40), at(56)} }},
 }
 
 func sound() *Record {
@@ -167,13 +170,13 @@
 	return r
 }
 
-func TestASoundRecordBreaksNothing(t *testing.T) {
+func TestCorrectRecordHasNoViolations(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(sound().Check(true)), 0)
 }
 
 // A check that cannot fail proves nothing.
-func TestEachCheckFindsWhatItLooksFor(t *testing.T) {
+func TestEachCheckDetectsItsViolation(t *testing.T) {
 	for name, c := range brokenPromises {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -189,7 +192,7 @@
 }
 
 // What a disturbance explains is not held against a gateway.
-func TestADisturbanceExcusesWhatItCauses(t *testing.T) {
+func TestDisturbancesExcuseTheirEffects(t *testing.T) {
 	for _, name := range []string{"an older edit for too long", "a leaving endpoint gets work", "work for callers that left", "memory kept", "no answer at the timeout"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -202,19 +205,19 @@
 	}
 }
 
-func TestASeedFixesTheSchedule(t *testing.T) {
+func TestScheduleIsDeterministicPerSeed(t *testing.T) {
 	is := is.New(t)
-	one, two := Schedule(7, time.Minute, sizes{3, 12}, nil), Schedule(7, time.Minute, sizes{3, 12}, nil)
+	one, two := GenerateSchedule(7, time.Minute, sizes{3, 12}, nil), GenerateSchedule(7, time.Minute, sizes{3, 12}, nil)
 	is.Equal(one, two)
 	is.True(len(one) > 0)
 	kinds := map[string]bool{}
 	for seed := range uint64(50) {
-		for _, f := range Schedule(seed, time.Minute, sizes{3, 12}, nil) {
+		for _, f := range GenerateSchedule(seed, time.Minute, sizes{3, 12}, nil) {
 			kinds[f.Kind] = true
 		}
 	}
 	is.Equal(len(kinds), len(kindTable)) // every kind comes
-	for _, f := range Schedule(7, time.Minute, sizes{3, 12}, []string{"edit"}) {
+	for _, f := range GenerateSchedule(7, time.Minute, sizes{3, 12}, []string{"edit"}) {
 		is.Equal(f.Kind, "edit")
 	}
 }
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -20,18 +20,18 @@
 	type seen struct {
 		sent, arrived time.Time
 		edit          int
-		attempt       *Attempt
+		attempt       *Request
 	}
 	lives := map[life][]seen{}
 	for i := range e.Arrivals {
 		run := &e.Arrivals[i]
 		a := e.attempts[run.ID]
-		if a == nil || !run.Ran || a.Key != keyCounted || a.Life < 0 {
+		if a == nil || !run.Ran || a.APIKey != keyCounted || a.Incarnation < 0 {
 			continue
 		}
 		if edit := e.editOf(run.Account); edit >= 0 {
-			of := life{a.Gateway, a.Life}
-			lives[of] = append(lives[of], seen{a.Sent, run.Arrived, edit, a})
+			of := life{a.Gateway, a.Incarnation}
+			lives[of] = append(lives[of], seen{a.SentAt, run.Arrived, edit, a})
 		}
 	}
 	var list []string
@@ -50,13 +50,13 @@
 // editsInForce finds requests that were handled as only older edits allow, later than
 // an edit must be in force.
 func editsInForce(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
-		newest := sort.Search(len(e.Edits), func(i int) bool { return e.Edits[i].Acked.Add(configWithin).After(a.Sent) }) - 1
-		if newest < 0 || !e.calm(a.Gateway, e.Edits[newest].Acked, a.Ended, true) {
+	return e.each(func(a *Request) string {
+		newest := sort.Search(len(e.Edits), func(i int) bool { return e.Edits[i].AckedAt.Add(configWithin).After(a.SentAt) }) - 1
+		if newest < 0 || !e.calm(a.Gateway, e.Edits[newest].AckedAt, a.EndedAt, true) {
 			return ""
 		}
 		if edit := e.handledBy(a); edit >= 0 && edit < newest {
-			return fmt.Sprintf("handled by edit %d, %v after edit %d", edit, a.Sent.Sub(e.Edits[newest].Acked), newest)
+			return fmt.Sprintf("handled by edit %d, %v after edit %d", edit, a.SentAt.Sub(e.Edits[newest].AckedAt), newest)
 		}
 		if e.deniedBy(a, newest) {
 			return fmt.Sprintf("status %d, which only edits before %d allow", a.Status, newest)
@@ -67,9 +67,9 @@
 
 // handledBy gives the edit by which an attempt was handled, where that can be told; -1:
 // it can't.
-func (e *evidence) handledBy(a *Attempt) int {
+func (e *evidence) handledBy(a *Request) int {
 	for _, run := range e.runs[a.ID] {
-		if run.Ran && a.Key == keyCounted {
+		if run.Ran && a.APIKey == keyCounted {
 			return e.editOf(run.Account)
 		}
 	}
@@ -78,16 +78,16 @@
 
 // deniedBy tells whether an attempt was refused for a route or key that is in an edit
 // and in all that were begun before the attempt ended.
-func (e *evidence) deniedBy(a *Attempt, newest int) bool {
-	if !a.Whole || a.Expect != 0 || a.Stamped {
+func (e *evidence) deniedBy(a *Request, newest int) bool {
+	if !a.Complete || a.ExpectedStatus != 0 || a.HasServerStamp {
 		return false
 	}
 	for _, edit := range e.Edits[newest:] {
-		if edit.Begun.After(a.Ended) {
+		if edit.WrittenAt.After(a.EndedAt) {
 			break
 		}
-		lacksRoute := a.Status == http.StatusNotFound && a.Route.Passing && !edit.Extra
-		lacksKey := a.Status == http.StatusUnauthorized && a.Key == keyGuest && !edit.Guest
+		lacksRoute := a.Status == http.StatusNotFound && a.Route.Optional && !edit.HasExtraRoute
+		lacksKey := a.Status == http.StatusUnauthorized && a.APIKey == keyGuest && !edit.HasGuestKey
 		if lacksRoute || lacksKey {
 			return false
 		}
@@ -98,9 +98,9 @@
 // answeredInTime finds requests without a final answer after their route's timeout.
 func answeredInTime(e *evidence) []string {
 	long := 0
-	list := e.each(func(a *Attempt) string {
-		took := a.Ended.Sub(a.Sent)
-		if took < a.Route.Timeout || !e.calm(a.Gateway, a.Sent, a.Ended, false) {
+	list := e.each(func(a *Request) string {
+		took := a.EndedAt.Sub(a.SentAt)
+		if took < a.Route.Timeout || !e.calm(a.Gateway, a.SentAt, a.EndedAt, false) {
 			return ""
 		}
 		long++
@@ -120,7 +120,7 @@
 func leavingLeftAlone(e *evidence) []string {
 	left := map[string]time.Time{}
 	for _, d := range e.Departures {
-		left[d.Endpoint] = d.Acked
+		left[d.Endpoint] = d.AckedAt
 	}
 	var list []string
 	for i := range e.Arrivals {
@@ -140,9 +140,9 @@
 // plannedWorkCutsNothing finds requests that had reached a sound endpoint and got no
 // whole answer, without an unplanned disturbance of their gateway.
 func plannedWorkCutsNothing(e *evidence) []string {
-	return e.each(func(a *Attempt) string {
+	return e.each(func(a *Request) string {
 		runs := e.runs[a.ID]
-		if a.Whole || a.Left || len(runs) == 0 || !e.calm(a.Gateway, a.Sent, a.Ended, false) {
+		if a.Complete || a.Cancelled || len(runs) == 0 || !e.calm(a.Gateway, a.SentAt, a.EndedAt, false) {
 			return ""
 		}
 		for _, run := range runs {
@@ -150,15 +150,15 @@
 				return ""
 			}
 		}
-		return fmt.Sprintf("no whole answer after %v", a.Ended.Sub(a.Sent))
+		return fmt.Sprintf("no whole answer after %v", a.EndedAt.Sub(a.SentAt))
 	})
 }
 
 // workEndsWithCaller finds endpoints that worked on for callers who had left.
 func workEndsWithCaller(e *evidence) []string {
 	long := 0
-	list := e.each(func(a *Attempt) string {
-		if !a.Left || !a.Route.Repeatable() || !e.calm(a.Gateway, a.Sent, a.Ended.Add(goneBound), false) {
+	list := e.each(func(a *Request) string {
+		if !a.Cancelled || !a.Route.Repeatable() || !e.calm(a.Gateway, a.SentAt, a.EndedAt.Add(goneBound), false) {
 			return ""
 		}
 		for _, run := range e.runs[a.ID] {
@@ -166,7 +166,7 @@
 				continue
 			}
 			long++
-			if over := endOf(run).Sub(a.Ended); over > goneBound {
+			if over := endOf(run).Sub(a.EndedAt); over > goneBound {
 				return fmt.Sprintf("%s worked on for %v", run.Endpoint, over)
 			}
 		}
@@ -191,10 +191,10 @@
 // memoryGivenBack finds reservations that outlived the last run that used them.
 func memoryGivenBack(e *evidence) []string {
 	var list []string
-	for _, hold := range e.Holds {
-		last, used := e.lastUse(hold.Ticket)
-		if used && hold.Last.Sub(last) > leakBound && !e.linkDisturbed(last, hold.Last) {
-			list = append(list, fmt.Sprintf("%s is held at %s %v after its last use", hold.Ticket, hold.Endpoint, hold.Last.Sub(last)))
+	for _, hold := range e.Reservations {
+		last, used := e.lastUse(hold.ID)
+		if used && hold.LastSeen.Sub(last) > leakBound && !e.linkDisturbed(last, hold.LastSeen) {
+			list = append(list, fmt.Sprintf("%s is held at %s %v after its last use", hold.ID, hold.Endpoint, hold.LastSeen.Sub(last)))
 		}
 	}
 	return list
@@ -203,9 +203,9 @@
 // memoryNotIdle finds reservations that were held for long and never used.
 func memoryNotIdle(e *evidence) []string {
 	var list []string
-	for _, hold := range e.Holds {
-		if _, used := e.lastUse(hold.Ticket); !used && hold.Last.Sub(hold.First) > stuckBound && !e.linkDisturbed(hold.First, hold.Last) {
-			list = append(list, fmt.Sprintf("%s is held at %s for %v and was never used", hold.Ticket, hold.Endpoint, hold.Last.Sub(hold.First)))
+	for _, hold := range e.Reservations {
+		if _, used := e.lastUse(hold.ID); !used && hold.LastSeen.Sub(hold.FirstSeen) > stuckBound && !e.linkDisturbed(hold.FirstSeen, hold.LastSeen) {
+			list = append(list, fmt.Sprintf("%s is held at %s for %v and was never used", hold.ID, hold.Endpoint, hold.LastSeen.Sub(hold.FirstSeen)))
 		}
 	}
 	return list
--- a/soak/cmd/aspenyard-soak/main.go
+++ b/soak/cmd/aspenyard-soak/main.go
@@ -47,7 +47,7 @@
 	var a args
 	parser := arg.MustParse(&a)
 	if a.First != 0 {
-		kinds, err := soak.FirstKinds(a.First)
+		kinds, err := soak.FirstFaultKinds(a.First)
 		if err != nil {
 			parser.Fail(err.Error())
 		}
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	report, err := soak.Run(ctx, soak.Config{
-		Seed: seed, Length: a.For, Gateways: a.Gateways, Engines: a.Engines, Callers: a.Callers, Kinds: a.Kinds, Timed: !a.Untimed, Dir: dir,
+		Seed: seed, Duration: a.For, Gateways: a.Gateways, Engines: a.Engines, Callers: a.Callers, FaultKinds: a.Kinds, CheckTimeBounds: !a.Untimed, Dir: dir,
 		Command: []string{self, product, "gateway", "--settings"},
 	})
 	if err != nil {
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -21,12 +21,12 @@
 
 // crashingRequest sends one request that crashes endpoints again and again, at all gateways in turn.
 func crashingRequest(w *world, f *Fault) {
-	route := routes[f.Post%len(routes)]
-	c := &caller{world: w, name: fmt.Sprintf("x%d", f.At), rand: rand.New(rand.NewPCG(w.config.Seed, uint64(f.At)))}
-	for until := time.Now().Add(f.For + contact); time.Now().Before(until) && w.stopped.Err() == nil; {
+	route := routes[f.Port%len(routes)]
+	c := &caller{world: w, name: fmt.Sprintf("x%d", f.Start), rand: rand.New(rand.NewPCG(w.config.Seed, uint64(f.Start)))}
+	for until := time.Now().Add(f.Duration + contact); time.Now().Before(until) && w.stopped.Err() == nil; {
 		c.move()
 		a := c.attempt(route)
-		a.Target, a.Body, a.Key = fmt.Sprintf("/%s/%s", route.Name, c.name), crashBody, keyPlain
+		a.RequestURI, a.Body, a.APIKey = fmt.Sprintf("/%s/%s", route.Name, c.name), crashBody, keyPlain
 		c.send(w.stopped, a)
 		time.Sleep(crashPause)
 	}
@@ -55,9 +55,9 @@
 // gateways that may know of it.
 func crashersStopped(e *evidence) []string {
 	copies := map[string][]*Arrival{}
-	for _, a := range e.Attempts {
+	for _, a := range e.Requests {
 		if a.Body == crashBody {
-			copies[a.Target] = append(copies[a.Target], e.runs[a.ID]...)
+			copies[a.RequestURI] = append(copies[a.RequestURI], e.runs[a.ID]...)
 		}
 	}
 	var list []string
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -21,7 +21,7 @@
 
 // replace ends the endpoint at a post in some way and starts another life there.
 func (w *world) replace(f *Fault, end func(*world, *post, *platform.Worker), service string) {
-	p := w.posts[f.Post]
+	p := w.posts[f.Port]
 	worker := p.claim()
 	if worker == nil {
 		return
@@ -120,7 +120,7 @@
 
 // changeOwners crashes two endpoints; each address then has the other's service.
 func changeOwners(w *world, f *Fault) {
-	first, second := w.posts[f.Post], w.posts[f.Second]
+	first, second := w.posts[f.Port], w.posts[f.SecondPort]
 	if first == second {
 		return
 	}
@@ -129,7 +129,7 @@
 	go func() {
 		defer close(done)
 		other := *f
-		other.Post = f.Second
+		other.Port = f.SecondPort
 		w.replace(&other, crash, a)
 	}()
 	w.replace(f, crash, b)
@@ -153,13 +153,13 @@
 // had, at once or after a while, at times after it has said that it leaves. At times a
 // registration of the life before is written once more after that.
 func restart(w *world, f *Fault) {
-	p := w.posts[f.Post]
+	p := w.posts[f.Port]
 	worker := p.claim()
 	if worker == nil {
 		return
 	}
 	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Life()})()
-	if f.Way == wayDraining {
+	if f.Variant == wayDraining {
 		p.mu.Lock()
 		p.leaving = true
 		p.mu.Unlock()
@@ -172,7 +172,7 @@
 	p.link.Reset()
 	time.Sleep(f.Delay)
 	w.begin(p, w.newLife(worker.ID, worker.Service))
-	if f.Way == wayOldEntry {
+	if f.Variant == wayOldEntry {
 		time.Sleep(f.Delay)
 		w.store.Put("servers/"+worker.ID, old)
 		time.Sleep(heartbeatInterval)
@@ -201,5 +201,5 @@
 		w.store.Put(key, []byte(entry))
 		defer w.store.Delete(key)
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -54,10 +54,10 @@
 		{kindCallersLink, 2, gatewayLink(func(g *gateway) *link.Link { return g.callers })},
 		{kindEndpointLink, 2, endpointLink},
 		{"endpoint-wrong", 6, endpointWrong},
-		{"endpoint-crash", 2, func(w *world, f *Fault) { w.replace(f, crash, w.posts[f.Post].serviceNow()) }},
-		{"endpoint-dark", 1, func(w *world, f *Fault) { w.replace(f, goDark, w.posts[f.Post].serviceNow()) }},
-		{"endpoint-leaves", 3, func(w *world, f *Fault) { w.replace(f, leave, w.posts[f.Post].serviceNow()) }},
-		{"endpoint-leaves-unannounced", 1, func(w *world, f *Fault) { w.replace(f, leaveUnannounced, w.posts[f.Post].serviceNow()) }},
+		{"endpoint-crash", 2, func(w *world, f *Fault) { w.replace(f, crash, w.posts[f.Port].serviceNow()) }},
+		{"endpoint-dark", 1, func(w *world, f *Fault) { w.replace(f, goDark, w.posts[f.Port].serviceNow()) }},
+		{"endpoint-leaves", 3, func(w *world, f *Fault) { w.replace(f, leave, w.posts[f.Port].serviceNow()) }},
+		{"endpoint-leaves-unannounced", 1, func(w *world, f *Fault) { w.replace(f, leaveUnannounced, w.posts[f.Port].serviceNow()) }},
 		{"addresses-change-owners", 1, changeOwners},
 		{"endpoint-restarts", 3, restart},
 		{"foreign-entries", 1, writeForeign},
@@ -75,7 +75,7 @@
 	var playing sync.WaitGroup
 	for i := range schedule {
 		f := &schedule[i]
-		sleep(ctx, time.Until(begun.Add(f.At)))
+		sleep(ctx, time.Until(begun.Add(f.Start)))
 		if ctx.Err() != nil {
 			break
 		}
@@ -108,7 +108,7 @@
 	g := w.gateways[f.Gateway]
 	defer w.record.disturb(Disturbance{Kind: f.Kind, Gateway: g.name})()
 	g.signal(syscall.SIGSTOP, false)
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	g.signal(syscall.SIGCONT, false)
 }
 
@@ -143,7 +143,7 @@
 	return func(w *world, f *Fault) {
 		defer w.disturbStore(f.Kind)()
 		w.store.SetFaults(faults)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		w.store.SetFaults(platform.StoreFaults{})
 	}
 }
@@ -155,7 +155,7 @@
 func lapse(w *world, f *Fault) {
 	defer w.disturbStore(f.Kind)()
 	w.store.SetFaults(platform.StoreFaults{Refuse: http.StatusServiceUnavailable})
-	silenced := []*post{w.posts[f.Post], w.posts[f.Second]}
+	silenced := []*post{w.posts[f.Port], w.posts[f.SecondPort]}
 	for _, p := range silenced {
 		p.mu.Lock()
 		p.silent = true
@@ -164,7 +164,7 @@
 		}
 		p.mu.Unlock()
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	w.store.SetFaults(platform.StoreFaults{})
 	for _, p := range silenced {
 		p.mu.Lock()
@@ -175,7 +175,7 @@
 
 // disturbLink does one of several things to a link, and takes it back after a while.
 func disturbLink(l *link.Link, f *Fault) {
-	switch f.Post % 5 {
+	switch f.Port % 5 {
 	case 0:
 		l.SetDelay(f.Delay)
 	case 1:
@@ -183,12 +183,12 @@
 	case 2:
 		l.Mute()
 	case 3: // what is on its way is lost when the link heals
-		l.SetCut(link.Direction(f.Way))
+		l.SetCut(link.Direction(f.Variant))
 		defer l.Reset()
 	default: // what is on its way is delivered when the link heals
-		l.SetCut(link.Direction(f.Way))
+		l.SetCut(link.Direction(f.Variant))
 	}
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	l.SetDelay(0)
 	l.SetCut(0)
 }
@@ -203,7 +203,7 @@
 }
 
 func endpointLink(w *world, f *Fault) {
-	p := w.posts[f.Second]
+	p := w.posts[f.SecondPort]
 	worker := p.current()
 	if worker == nil {
 		return
@@ -214,13 +214,13 @@
 
 // endpointWrong makes an endpoint do something wrong with all its requests for a while.
 func endpointWrong(w *world, f *Fault) {
-	p := w.posts[f.Post]
+	p := w.posts[f.Port]
 	worker := p.current()
 	if worker == nil {
 		return
 	}
-	worker.BlameHelper(w.posts[f.Second].link.Addr())
-	worker.Always(f.Wrong)
-	time.Sleep(f.For)
+	worker.BlameHelper(w.posts[f.SecondPort].link.Addr())
+	worker.Always(f.EndpointFault)
+	time.Sleep(f.Duration)
 	worker.Always("")
 }
--- a/soak/record.go
+++ b/soak/record.go
@@ -22,8 +22,8 @@
 	Events      int
 	Timeout     time.Duration
 	MaxAttempts int
-	// Passing routes are not in every configuration.
-	Passing bool
+	// Optional routes are not in every configuration.
+	Optional bool
 	// PromptTokens is the length of the prompts.
 	PromptTokens int
 }
@@ -33,53 +33,53 @@
 	return r.Kind == directory.Idempotent || r.Kind == directory.Streaming && r.Resumable
 }
 
-// Attempt is one request of a caller and what came of it.
-type Attempt struct {
+// Request is one request of a caller and what came of it.
+type Request struct {
 	ID    string
 	Route *Route
 	// Gateway names the process, Life which of its lives the request was sent to.
-	Gateway string
-	Life    int
-	// Target, Body, Key and Deadline are what was sent.
-	Target, Body, Key string
-	Deadline          time.Duration
-	Sent              time.Time
-	// Ended is when the answer was whole, the connection broke or the caller left.
-	Ended time.Time
-	// Left is set when the caller gave up.
-	Left bool
+	Gateway     string
+	Incarnation int
+	// RequestURI, Body, APIKey and Deadline are what was sent.
+	RequestURI, Body, APIKey string
+	Deadline                 time.Duration
+	SentAt                   time.Time
+	// EndedAt is when the answer was whole, the connection broke or the caller left.
+	EndedAt time.Time
+	// Cancelled is set when the caller gave up.
+	Cancelled bool
 	// Status is that of the answer, 0 for none; Whole is set when it came to its end.
-	Status  int
-	Whole   bool
-	Text    string
-	Stamped bool
-	Echo    string
-	// Expect is the status that an improper request must get; 0: it is proper.
-	Expect int
+	Status         int
+	Complete       bool
+	ResponseBody   string
+	HasServerStamp bool
+	EchoedID       string
+	// ExpectedStatus is the status that an improper request must get; 0: it is proper.
+	ExpectedStatus int
 }
 
 // want is the whole answer.
-func (a *Attempt) want() string {
+func (a *Request) want() string {
 	if a.Route.Events > 0 {
 		return platform.StreamText(a.ID, a.Route.Events)
 	}
 	return platform.PlainAnswer(a.ID)
 }
 
-func (a *Attempt) succeeded() bool { return a.Whole && a.Status == http.StatusOK }
+func (a *Request) succeeded() bool { return a.Complete && a.Status == http.StatusOK }
 
-func (a *Attempt) outcome() string {
-	if !a.Whole {
+func (a *Request) outcome() string {
+	if !a.Complete {
 		return "none"
 	}
 	return strconv.Itoa(a.Status)
 }
 
 // promisesNotRun tells whether the answer says that the request has not run.
-func (a *Attempt) promisesNotRun() bool {
+func (a *Request) promisesNotRun() bool {
 	switch a.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return a.Whole
+		return a.Complete
 	}
 	return false
 }
@@ -100,26 +100,26 @@
 	From, To time.Time
 }
 
-// Edit is one version of the configuration.
-type Edit struct {
-	// Begun is when it was written, Acked when the store had it.
-	Begun, Acked time.Time
-	// Moved is the service of the route that moves; Extra and Guest tell whether the
+// ConfigEdit is one version of the configuration.
+type ConfigEdit struct {
+	// WrittenAt is when it was written, AckedAt when the store had it.
+	WrittenAt, AckedAt time.Time
+	// MovedService is the service of the route that moves; Extra and Guest tell whether the
 	// passing route and the passing key are in it.
-	Moved        string
-	Extra, Guest bool
+	MovedService               string
+	HasExtraRoute, HasGuestKey bool
 }
 
 // Departure is an endpoint's word that it leaves.
 type Departure struct {
 	Endpoint string
-	Acked    time.Time
+	AckedAt  time.Time
 }
 
-// Hold is a reservation that was seen at an endpoint.
-type Hold struct {
-	Endpoint, Ticket string
-	First, Last      time.Time
+// Reservation is a reservation that was seen at an endpoint.
+type Reservation struct {
+	Endpoint, ID        string
+	FirstSeen, LastSeen time.Time
 }
 
 // Violation is a broken promise.
@@ -132,22 +132,22 @@
 // Record is all that a run has shown. Its lists are complete when the run is over.
 type Record struct {
 	mu           sync.Mutex
-	Attempts     []*Attempt
+	Requests     []*Request
 	Arrivals     []Arrival
 	Disturbances []*Disturbance
-	Edits        []Edit
+	Edits        []ConfigEdit
 	Departures   []Departure
-	Holds        map[string]*Hold
+	Reservations map[string]*Reservation
 	found        []Violation
 }
 
 // NewRecord makes an empty record.
-func NewRecord() *Record { return &Record{Holds: map[string]*Hold{}} }
+func NewRecord() *Record { return &Record{Reservations: map[string]*Reservation{}} }
 
-func (r *Record) addAttempt(a *Attempt) {
+func (r *Record) addAttempt(a *Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Attempts = append(r.Attempts, a)
+	r.Requests = append(r.Requests, a)
 }
 
 // disturb notes the beginning of a disturbance; the function that it returns ends it.
@@ -175,8 +175,8 @@
 func (r *Record) servedSince(since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := len(r.Attempts) - 1; i >= 0; i-- {
-		if a := r.Attempts[i]; a.Sent.After(since) && a.succeeded() {
+	for i := len(r.Requests) - 1; i >= 0; i-- {
+		if a := r.Requests[i]; a.SentAt.After(since) && a.succeeded() {
 			return true
 		}
 	}
@@ -187,11 +187,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name := endpoint + "/" + ticket
-	if known := r.Holds[name]; known != nil {
-		known.Last = now
+	if known := r.Reservations[name]; known != nil {
+		known.LastSeen = now
 		return
 	}
-	r.Holds[name] = &Hold{endpoint, ticket, now, now}
+	r.Reservations[name] = &Reservation{endpoint, ticket, now, now}
 }
 
 // contact is how long without disturbance counts as calm (the users' contact_ms).
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -13,15 +13,15 @@
 // Fault is one thing that is made to go wrong.
 type Fault struct {
 	Kind string
-	// At is when, from the start of the schedule, and For how long.
-	At, For time.Duration
-	// Gateway and Post index what it concerns; Second is another post.
-	Gateway, Post, Second int
+	// Start is when, from the start of the schedule, and Duration how long.
+	Start, Duration time.Duration
+	// Gateway and Port index what it concerns; SecondPort is another post.
+	Gateway, Port, SecondPort int
 	// Delay is how much a slowed part adds; Way the direction of a cut, 1 to 3.
-	Delay time.Duration
-	Way   int
-	// Wrong is what endpoints do wrong.
-	Wrong platform.Fault
+	Delay   time.Duration
+	Variant int
+	// EndpointFault is what endpoints do wrong.
+	EndpointFault platform.Fault
 }
 
 // sizes are how many gateways and posts there are.
@@ -46,8 +46,8 @@
 	platform.FaultUnframed, platform.FaultUnsigned, platform.FaultGarbage, platform.FaultHang, platform.FaultEarly, platform.FaultSlow, platform.FaultHelper, platform.FaultLate,
 }
 
-// KindNames lists the kinds of faults.
-func KindNames() []string {
+// FaultKinds lists the kinds of faults.
+func FaultKinds() []string {
 	var names []string
 	for _, k := range kindTable {
 		names = append(names, k.name)
@@ -55,10 +55,10 @@
 	return names
 }
 
-// FirstKinds lists the first n kinds of faults, which are those that there were when a
+// FirstFaultKinds lists the first n kinds of faults, which are those that there were when a
 // seed was kept; all for 0. Error: there are fewer.
-func FirstKinds(n int) ([]string, error) {
-	names := KindNames()
+func FirstFaultKinds(n int) ([]string, error) {
+	names := FaultKinds()
 	if n < 0 || n > len(names) {
 		return nil, errors.Errorf("%d kinds of faults asked for, there are %d", n, len(names))
 	}
@@ -71,15 +71,15 @@
 // unknownKind gives the first of some names that is no kind of fault; empty for none.
 func unknownKind(names []string) string {
 	for _, name := range names {
-		if !slices.Contains(KindNames(), name) {
+		if !slices.Contains(FaultKinds(), name) {
 			return name
 		}
 	}
 	return ""
 }
 
-// Schedule draws the faults of a run, of some kinds only unless there are none.
-func Schedule(seed uint64, length time.Duration, s sizes, only []string) []Fault {
+// GenerateSchedule draws the faults of a run, of some kinds only unless there are none.
+func GenerateSchedule(seed uint64, length time.Duration, s sizes, only []string) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0))
 	pace := paces[r.IntN(len(paces))]
 	var kinds []string
@@ -98,9 +98,9 @@
 			return list
 		}
 		list = append(list, Fault{
-			Kind: kinds[r.IntN(len(kinds))], At: at, For: shortestFault + time.Duration(r.Int64N(int64(longestFault-shortestFault))),
-			Gateway: r.IntN(s.gateways), Post: r.IntN(s.posts), Second: r.IntN(s.posts), Delay: time.Duration(r.Int64N(int64(mostDelay))), Way: 1 + r.IntN(3),
-			Wrong: wrongs[r.IntN(len(wrongs))],
+			Kind: kinds[r.IntN(len(kinds))], Start: at, Duration: shortestFault + time.Duration(r.Int64N(int64(longestFault-shortestFault))),
+			Gateway: r.IntN(s.gateways), Port: r.IntN(s.posts), SecondPort: r.IntN(s.posts), Delay: time.Duration(r.Int64N(int64(mostDelay))), Variant: 1 + r.IntN(3),
+			EndpointFault: wrongs[r.IntN(len(wrongs))],
 		})
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -20,22 +20,22 @@
 type Config struct {
 	// Seed fixes the faults and the callers' requests.
 	Seed uint64
-	// Length is how long faults come; the end of a run takes some seconds more.
+	// Duration is how long faults come; the end of a run takes some seconds more.
 	// Default 20s.
-	Length time.Duration
+	Duration time.Duration
 	// Gateways is how many processes there are. Default 8; each takes about 20 MB.
 	Gateways int
-	// Engines and Apps are how many endpoints each model service and each plain service
+	// Engines and PlainEndpoints are how many endpoints each model service and each plain service
 	// has. Defaults 8 and 2.
-	Engines, Apps int
+	Engines, PlainEndpoints int
 	// Callers is how many callers there are, each with one connection. Default 3 a
 	// gateway.
 	Callers int
-	// Kinds are the faults that come; all where it is empty. Fewer meet a fault more often.
-	Kinds []string
-	// Timed checks the promises that have a bound in time, too. A machine that is busy
+	// FaultKinds are the faults that come; all where it is empty. Fewer meet a fault more often.
+	FaultKinds []string
+	// CheckTimeBounds checks the promises that have a bound in time, too. A machine that is busy
 	// with other things can break these without a fault of the program.
-	Timed bool
+	CheckTimeBounds bool
 	// Command starts a gateway; the path of its settings is appended.
 	Command []string
 	// Dir takes settings and logs. It must exist.
@@ -59,8 +59,8 @@
 )
 
 func (c *Config) setDefaults() error {
-	if c.Length == 0 {
-		c.Length = defaultLength
+	if c.Duration == 0 {
+		c.Duration = defaultLength
 	}
 	if c.Gateways == 0 {
 		c.Gateways = defaultGateways
@@ -68,19 +68,19 @@
 	if c.Engines == 0 {
 		c.Engines = defaultEngines
 	}
-	if c.Apps == 0 {
-		c.Apps = defaultApps
+	if c.PlainEndpoints == 0 {
+		c.PlainEndpoints = defaultApps
 	}
 	if c.Callers == 0 {
 		c.Callers = callersPerGateway * c.Gateways
 	}
 	switch {
-	case c.Length < 0 || c.Engines < 0 || c.Apps < 0 || c.Callers < 0:
+	case c.Duration < 0 || c.Engines < 0 || c.PlainEndpoints < 0 || c.Callers < 0:
 		return errors.New("soak: length, engines, apps and callers must not be negative")
 	case c.Gateways < 1 || c.Gateways > maxGateways:
 		return errors.Errorf("soak: %d gateways, 1 to %d are possible", c.Gateways, maxGateways)
-	case unknownKind(c.Kinds) != "":
-		return errors.Errorf("soak: no fault %q, there are %s", unknownKind(c.Kinds), strings.Join(KindNames(), ", "))
+	case unknownKind(c.FaultKinds) != "":
+		return errors.Errorf("soak: no fault %q, there are %s", unknownKind(c.FaultKinds), strings.Join(FaultKinds(), ", "))
 	case len(c.Command) == 0 || c.Dir == "":
 		return errors.New("soak: no command or directory")
 	}
@@ -92,9 +92,9 @@
 	Seed uint64 `json:"seed"`
 	// Requests is how many attempts callers made, Whole how many were answered whole
 	// with success, Arrivals how many arrived at endpoints.
-	Requests int `json:"requests"`
-	Whole    int `json:"whole"`
-	Arrivals int `json:"arrivals"`
+	Requests  int `json:"requests"`
+	Succeeded int `json:"whole"`
+	Arrivals  int `json:"arrivals"`
 	// Faults counts those injected, by kind; Statuses the answers, "none" for attempts
 	// without a whole answer.
 	Faults     map[string]int `json:"faults"`
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	callers := startCallers(ctx, w)
-	w.play(ctx, Schedule(config.Seed, config.Length, sizes{config.Gateways, len(w.posts)}, config.Kinds))
+	w.play(ctx, GenerateSchedule(config.Seed, config.Duration, sizes{config.Gateways, len(w.posts)}, config.FaultKinds))
 	w.loseAll(ctx)
 	callers.stop()
 	w.settle(ctx)
@@ -138,7 +138,7 @@
 	}
 	back := time.Now()
 	limit := back.Add(recoverPatience)
-	if w.config.Timed {
+	if w.config.CheckTimeBounds {
 		limit = back.Add(recoveryMostWait)
 	}
 	for ctx.Err() == nil && !w.record.servedSince(back) {
@@ -154,7 +154,7 @@
 // settle waits until what callers left behind at endpoints has ended.
 func (w *world) settle(ctx context.Context) {
 	sleep(ctx, settle)
-	if w.config.Timed {
+	if w.config.CheckTimeBounds {
 		sleep(ctx, leakBound)
 	}
 }
@@ -170,13 +170,13 @@
 func (w *world) report() *Report {
 	r := w.record
 	w.collectRuns()
-	report := &Report{Seed: w.config.Seed, Requests: len(r.Attempts), Arrivals: len(r.Arrivals), Faults: w.faultCounts, Statuses: map[string]int{}}
-	for _, a := range r.Attempts {
+	report := &Report{Seed: w.config.Seed, Requests: len(r.Requests), Arrivals: len(r.Arrivals), Faults: w.faultCounts, Statuses: map[string]int{}}
+	for _, a := range r.Requests {
 		report.Statuses[a.outcome()]++
 		if a.succeeded() {
-			report.Whole++
+			report.Succeeded++
 		}
 	}
-	report.Violations = r.Check(w.config.Timed)
+	report.Violations = r.Check(w.config.CheckTimeBounds)
 	return report
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -37,22 +37,22 @@
 	is := is.New(t)
 	self, err := os.Executable()
 	is.NoErr(err)
-	kinds, err := FirstKinds(firstKinds)
+	kinds, err := FirstFaultKinds(firstKinds)
 	is.NoErr(err)
 	report, err := Run(context.Background(), Config{
-		Seed: seed, Length: length, Gateways: gateways, Kinds: kinds, Dir: t.TempDir(), Command: []string{self, asProduct, "gateway", "--settings"},
+		Seed: seed, Duration: length, Gateways: gateways, FaultKinds: kinds, Dir: t.TempDir(), Command: []string{self, asProduct, "gateway", "--settings"},
 	})
 	is.NoErr(err)
 	return report
 }
 
-func TestAShortSoakBreaksNoPromise(t *testing.T) {
+func TestShortSoakHasNoViolations(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			report := runSeed(t, seed, shortGateways, shortLength, 0)
-			is.True(report.Whole > 0)
+			is.True(report.Succeeded > 0)
 			for _, v := range report.Violations {
 				t.Errorf("%s: %s", v.Rule, v.Detail)
 			}
@@ -61,7 +61,7 @@
 }
 
 // Seeds that once broke a promise stay as they were.
-func TestSeedsThatOnceFailed(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -92,9 +92,9 @@
 	}
 }
 
-func TestARunThatCannotBeMadeIsAnError(t *testing.T) {
+func TestInvalidConfigIsAnError(t *testing.T) {
 	is := is.New(t)
-	for _, c := range []Config{{Gateways: -1}, {Gateways: 1000}, {Kinds: []string{"flood"}, Command: []string{"x"}, Dir: "."}, {Length: -1, Command: []string{"x"}, Dir: "."}, {Command: []string{"x"}, Dir: "/no/such/dir"}, {}} {
+	for _, c := range []Config{{Gateways: -1}, {Gateways: 1000}, {FaultKinds: []string{"flood"}, Command: []string{"x"}, Dir: "."}, {Duration: -1, Command: []string{"x"}, Dir: "."}, {Command: []string{"x"}, Dir: "/no/such/dir"}, {}} {
 		_, err := Run(context.Background(), c)
 		is.True(err != nil)
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -53,7 +53,7 @@
 	{Name: "once", Kind: directory.NonIdempotent, Service: serviceApp, Timeout: 3 * time.Second},
 	{Name: "again", Kind: directory.Idempotent, Service: serviceApp, Timeout: 2 * time.Second},
 	{Name: "moved", Kind: directory.Idempotent, Timeout: 3 * time.Second},
-	{Name: "extra", Kind: directory.Idempotent, Service: serviceApp, Timeout: 3 * time.Second, Passing: true},
+	{Name: "extra", Kind: directory.Idempotent, Service: serviceApp, Timeout: 3 * time.Second, Optional: true},
 	{Name: "stream", Kind: directory.Streaming, Resumable: true, Service: serviceModel, Events: streamEvents, Timeout: 10 * time.Second, PromptTokens: 4000},
 	{Name: "tail", Kind: directory.Streaming, Service: serviceModel, Events: streamEvents, Timeout: 10 * time.Second, PromptTokens: 2000},
 	{Name: "long", Kind: directory.Streaming, Resumable: true, Service: serviceModel, Events: streamEvents, Timeout: 10 * time.Second, PromptTokens: 58_000},
@@ -132,7 +132,7 @@
 
 // populate makes endpoints, the first configuration and the gateways.
 func (w *world) populate(storeAddr string) error {
-	for service, n := range map[string]int{serviceModel: w.config.Engines, serviceApp: w.config.Apps, serviceNext: w.config.Apps} {
+	for service, n := range map[string]int{serviceModel: w.config.Engines, serviceApp: w.config.PlainEndpoints, serviceNext: w.config.PlainEndpoints} {
 		for range n {
 			p := &post{service: service}
 			if err := w.settlePost(p); err != nil {
@@ -231,15 +231,15 @@
 func (w *world) edit() {
 	w.record.mu.Lock()
 	n := len(w.record.Edits)
-	edit := Edit{Begun: time.Now(), Moved: serviceApp, Extra: n%2 == 0, Guest: n%3 != 2}
+	edit := ConfigEdit{WrittenAt: time.Now(), MovedService: serviceApp, HasExtraRoute: n%2 == 0, HasGuestKey: n%3 != 2}
 	if n%2 == 1 {
-		edit.Moved = serviceNext
+		edit.MovedService = serviceNext
 	}
 	w.record.Edits = append(w.record.Edits, edit)
 	w.record.mu.Unlock()
 	w.store.Put("op/config", configuration(n, &edit))
 	w.record.mu.Lock()
-	w.record.Edits[n].Acked = time.Now()
+	w.record.Edits[n].AckedAt = time.Now()
 	w.record.mu.Unlock()
 }
 
@@ -258,23 +258,23 @@
 )
 
 // configuration is an edit as the operator writes it. Versions rise in uneven steps.
-func configuration(n int, e *Edit) []byte {
+func configuration(n int, e *ConfigEdit) []byte {
 	c := platform.Config{
 		Version:  1 + n*(n+3),
 		Services: []platform.Service{{Name: serviceModel, MaxConnections: maxConnections, MemoryTokens: memoryTokens}},
 		Accounts: []platform.Account{{Name: accountPlain, Keys: []string{keyPlain}}, {Name: countedAccount(n), Keys: []string{keyCounted}}},
 		Limits:   platform.Limits{HeaderBytes: maxHeaderBytes, BodyBytes: maxBodyBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout},
 	}
-	if e.Guest {
+	if e.HasGuestKey {
 		c.Accounts = append(c.Accounts, platform.Account{Name: accountGuest, Keys: []string{keyGuest}})
 	}
 	for _, r := range routes {
-		if r.Passing && !e.Extra {
+		if r.Optional && !e.HasExtraRoute {
 			continue
 		}
 		service := r.Service
 		if service == "" {
-			service = e.Moved
+			service = e.MovedService
 		}
 		c.Routes = append(c.Routes, platform.Route{
 			Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: r.Kind.String(), Service: service, Resumable: r.Resumable,
