--- a/bench/gatewaydemo.go
+++ b/bench/gatewaydemo.go
@@ -41,7 +41,7 @@
 	result := GatewayDemoResult{Workers: demoWorkers, Requests: requests}
 	var workers []*standinplatform.Worker
 	for i := range demoWorkers {
-		w := &standinplatform.Worker{ID: fmt.Sprint("w", i+1), Service: "model", Events: demoEvents, Pace: demoEventInterval}
+		w := &standinplatform.Worker{ID: fmt.Sprint("w", i+1), Service: "model", EventCount: demoEvents, EventInterval: demoEventInterval}
 		if err := w.Start(); err != nil {
 			return result, errors.WithStack(err)
 		}
@@ -57,7 +57,7 @@
 	var mu sync.Mutex
 	for i := range requests {
 		if i%demoCutEvery == 0 {
-			workers[i%demoWorkers].Next(standinplatform.FaultCut)
+			workers[i%demoWorkers].QueueFaults(standinplatform.FaultTruncated)
 			result.CutByWorkers++
 		}
 		sending.Go(func() {
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	result := GatewayPathResult{Pairs: pairs}
-	worker := &standinplatform.Worker{ID: "w1", Service: "model", Events: gatewayEvents}
+	worker := &standinplatform.Worker{ID: "w1", Service: "model", EventCount: gatewayEvents}
 	if err := worker.Start(); err != nil {
 		return result, errors.WithStack(err)
 	}
--- a/bench/run.go
+++ b/bench/run.go
@@ -159,7 +159,7 @@
 		return endpoint
 	}
 	load := e.model.Load()
-	endpoint.Running, endpoint.Queued, endpoint.FreeMemory = load.Running, load.Waiting, load.FreeTokens
+	endpoint.Running, endpoint.Queued, endpoint.FreeMemory = load.Running, load.Waiting, load.FreeMemoryTokens
 	endpoint.Backlog[0] = load.BacklogTokens
 	return endpoint
 }
@@ -332,7 +332,7 @@
 		s.promptTokens += p.outcome.job.promptTokens
 		for _, state := range p.engine.model.States() {
 			if state.ID == p.id {
-				s.cachedTokens += state.Cached
+				s.cachedTokens += state.CachedTokens
 			}
 		}
 	}
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -154,7 +154,7 @@
 	switch {
 	case err != nil:
 		r.detail = err.Error()
-	case answer.Text != standin.Answer(prompt, demoOutputTokens):
+	case answer.Text != standin.Completion(prompt, demoOutputTokens):
 		r.detail = "response differs from the engine's text"
 	default:
 		r.complete = true
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -124,7 +124,7 @@
 			MemoryTokens: s.MemoryTokens, MaxRunning: s.MaxRunning, ChunkTokens: s.ChunkTokens,
 			FloorWatts: s.FloorWatts, MaxWatts: s.MaxWatts,
 		},
-		Models: s.Models, TimeScale: s.TimeScale, ChecksFencing: s.ChecksFencing, LoadLag: s.LoadLag.D(), EventLag: s.EventLag.D(), EventGap: s.EventGap,
+		Models: s.Models, TimeScale: s.TimeScale, ChecksFencing: s.ChecksFencing, LoadLag: s.LoadLag.D(), EventLag: s.EventLag.D(), EventDropInterval: s.EventGap,
 	})
 	go server.Run(ctx)
 	return server.Handler()
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -20,7 +20,7 @@
 func crashingWorkers(n int) []*standin.Worker {
 	workers := make([]*standin.Worker, n)
 	for i := range workers {
-		workers[i] = &standin.Worker{CrashOn: crashingBody}
+		workers[i] = &standin.Worker{CrashBody: crashingBody}
 	}
 	return workers
 }
@@ -173,7 +173,7 @@
 	s := newFixture(t, alive)
 	s.start()
 	for i := range 4 {
-		alive.Next(standin.FaultReset)
+		alive.QueueFaults(standin.FaultReset)
 		s.do(s.request("POST", "/again/a", fmt.Sprint("r", i), "the same"))
 	}
 	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
@@ -181,13 +181,13 @@
 	is.NoErr(leaving.Start())
 	s.store.Delete("servers/" + alive.ID)
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("ready"))
-	leaving.Always(standin.FaultHang)
+	leaving.SetDefaultFault(standin.FaultHang)
 	s.waitFor("only the second worker is listed", func() bool {
 		return strings.Contains(s.log.String(), `"event":"endpoint_gone"`) && s.sumMetric("aspenyard_gateway_endpoints ") == 1
 	})
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.do(s.request("POST", "/again/a", "r9", "the same")) }()
-	s.waitFor("the second worker runs the request", func() bool { return leaving.Working() > 0 })
+	s.waitFor("the second worker runs the request", func() bool { return leaving.InFlight() > 0 })
 	s.store.Put("servers/"+leaving.ID, leaving.Registration("draining"))
 	s.waitFor("the gateway knows that the worker is leaving", func() bool { return strings.Contains(s.log.String(), `"event":"endpoint_leaving"`) })
 	leaving.Stop()
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	workers := crashingWorkers(8)
 	for _, w := range workers {
-		w.Work = 300 * time.Millisecond
+		w.WorkTime = 300 * time.Millisecond
 	}
 	s := newFixture(t, workers...).start()
 	got := make(chan callerResponse, 16)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -269,5 +269,5 @@
 
 // streamingWorker returns a worker that streams the given number of events, 2 ms apart.
 func streamingWorker(events int) *standin.Worker {
-	return &standin.Worker{Events: events, Pace: 2 * time.Millisecond}
+	return &standin.Worker{EventCount: events, EventInterval: 2 * time.Millisecond}
 }
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -19,7 +19,7 @@
 	s.t.Helper()
 	addr := w.Addr()
 	w.Stop()
-	next := &standin.Worker{ID: w.ID, Service: w.Service, Born: w.Born + 1, Events: w.Events, Pace: w.Pace, Work: w.Work, MemoryTokens: w.MemoryTokens}
+	next := &standin.Worker{ID: w.ID, Service: w.Service, StartUnixMilli: w.StartUnixMilli + 1, EventCount: w.EventCount, EventInterval: w.EventInterval, WorkTime: w.WorkTime, MemoryTokens: w.MemoryTokens}
 	s.waitFor("the worker's address is free", func() bool { return next.StartAt(addr) == nil })
 	s.t.Cleanup(next.Stop)
 	for i, known := range s.workers {
@@ -37,7 +37,7 @@
 // and started again with the same ID. The cause was in the replica, whose test describes it.
 func TestARestartedEndpointIsUsed(t *testing.T) {
 	is := is.New(t)
-	worker := &standin.Worker{ID: "i-1", Service: "app", Born: startMillis}
+	worker := &standin.Worker{ID: "i-1", Service: "app", StartUnixMilli: startMillis}
 	s := newFixture(t, worker).start()
 	is.Equal(s.post("/once/a", "q1").status, http.StatusOK)
 	s.store.Put("servers/"+worker.ID, worker.Registration("draining"))
@@ -55,12 +55,12 @@
 // had the request.
 func TestARestartedEndpointRunsNothingTwice(t *testing.T) {
 	is := is.New(t)
-	worker := &standin.Worker{ID: "i-1", Service: "app", Born: startMillis}
+	worker := &standin.Worker{ID: "i-1", Service: "app", StartUnixMilli: startMillis}
 	s := newFixture(t, worker).start()
-	worker.Always(standin.FaultHang)
+	worker.SetDefaultFault(standin.FaultHang)
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.post("/once/a", "q1") }()
-	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.InFlight() == 1 })
 	s.restartWorker(worker)
 	first := <-got
 	is.Equal(first.status, http.StatusBadGateway) // it may have run
@@ -73,14 +73,14 @@
 func TestAStreamResumesAtTheNextIncarnation(t *testing.T) {
 	is := is.New(t)
 	worker := streamingWorker(20)
-	worker.ID, worker.Service, worker.Born = "i-1", "app", startMillis
+	worker.ID, worker.Service, worker.StartUnixMilli = "i-1", "app", startMillis
 	s := newFixture(t, worker).start()
-	worker.Next(standin.FaultSlow)
+	worker.QueueFaults(standin.FaultSlow)
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.post("/stream/a", "q1") }()
-	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.InFlight() == 1 })
 	next := streamingWorker(20)
-	next.ID, next.Service, next.Born = worker.ID, worker.Service, startMillis+1
+	next.ID, next.Service, next.StartUnixMilli = worker.ID, worker.Service, startMillis+1
 	is.NoErr(next.Start())
 	t.Cleanup(next.Stop)
 	s.store.Put("servers/"+next.ID, next.Registration("ready"))
@@ -97,19 +97,19 @@
 	is := is.New(t)
 	s := newEngineFixture(t, 20)
 	for _, w := range s.workers {
-		w.Born = startMillis
+		w.StartUnixMilli = startMillis
 		s.store.Put("servers/"+w.ID, w.Registration("ready"))
 	}
 	s.extraSettings = `,"memory_free_within":"500ms"`
 	s.start()
 	for _, w := range s.workers {
-		w.Always(standin.FaultSlow)
+		w.SetDefaultFault(standin.FaultSlow)
 	}
 	go s.sendPrompt("q1", 500_000)
 	s.waitFor("the request runs", func() bool { return s.findRun("q1") != nil })
 	var helper *standin.Worker
 	for _, w := range s.workers {
-		if held, _, _ := w.Reserved(); len(held) > 0 {
+		if held, _, _ := w.Reservations(); len(held) > 0 {
 			helper = w
 		}
 	}
@@ -117,17 +117,17 @@
 	listed := strings.Count(s.log.String(), "endpoint_listed")
 	next := s.restartWorker(helper)
 	s.waitFor("the next incarnation is listed", func() bool { return strings.Count(s.log.String(), "endpoint_listed") > listed })
-	_, _, before := next.Reserved()
+	_, _, before := next.Reservations()
 	orderCount := func() (n int) {
 		for _, w := range s.workers {
-			_, _, sent := w.Reserved()
+			_, _, sent := w.Reservations()
 			n += sent
 		}
 		return n
 	}
 	sent := orderCount()
 	s.waitFor("other reservations are renewed", func() bool { return orderCount() >= sent+30 })
-	_, _, after := next.Reserved()
+	_, _, after := next.Reservations()
 	is.True(after <= before+1) // a renewal may have been in transit
 }
 
@@ -153,7 +153,7 @@
 		is.Equal(s.post("/once/a", fmt.Sprint("q", i)).status, http.StatusOK)
 	}
 	is.Equal(len(stranger.Runs()), 0)
-	s.store.DropHistory()
+	s.store.Compact()
 	s.configure()
 	s.waitFor("the state has been read in full again", func() bool { return strings.Contains(s.log.String(), `"version":6`) })
 	is.Equal(refusals(), 8) // logged once
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -59,7 +59,7 @@
 func (s *fixture) callerDropped(id string) bool {
 	for _, w := range s.workers {
 		for _, run := range w.Runs() {
-			if run.ID == id && run.Dropped {
+			if run.ID == id && run.Cancelled {
 				return true
 			}
 		}
@@ -71,7 +71,7 @@
 func (s *fixture) reservationCount() int {
 	n := 0
 	for _, w := range s.workers {
-		held, _, _ := w.Reserved()
+		held, _, _ := w.Reservations()
 		n += len(held)
 	}
 	return n
@@ -100,11 +100,11 @@
 	s := startEngineFixture(t, 12)
 	leaving := s.workers[3]
 	for _, w := range s.workers {
-		w.BlameHelper(leaving.Addr())
+		w.SetFailedHelper(leaving.Addr())
 	}
 	s.waitFor("a request with the leaving helper is refused", func() bool {
 		for _, w := range s.workers {
-			w.Always(standin.FaultHelper)
+			w.SetDefaultFault(standin.FaultHelperFailed)
 		}
 		first := make(chan callerResponse, 1)
 		go func() { first <- s.sendPrompt("q1", 100_000) }()
@@ -119,7 +119,7 @@
 			return false
 		})
 		for _, w := range s.workers {
-			w.Always("")
+			w.SetDefaultFault("")
 		}
 		<-first
 		return true
@@ -145,7 +145,7 @@
 	cases := map[string]func(s *fixture){
 		"refused": func(s *fixture) {
 			for _, w := range s.workers {
-				w.Always(standin.FaultShed)
+				w.SetDefaultFault(standin.FaultShed)
 			}
 		},
 		"some refused":   func(s *fixture) { s.queueFault(standin.FaultShed, 12) },
@@ -189,7 +189,7 @@
 	s.routes[len(s.routes)-1]["target_latency_ms"] = 20_000 // prefill on five engines is slow
 	s.start()
 	for _, w := range s.workers { // all that are asked refuse at the first attempt, and one at the second
-		w.NextOrder(standin.FaultShed)
+		w.QueueOrderFaults(standin.FaultShed)
 	}
 	is.Equal(s.sendPrompt("q1", 500_000).status, http.StatusOK)
 	is.True(strings.Contains(s.findRun("q1").Helpers, "/q1-2-"))
@@ -204,14 +204,14 @@
 	s := startEngineFixture(t, 17)
 	for i := range 6 {
 		for _, w := range s.workers {
-			w.Always(standin.FaultHang)
+			w.SetDefaultFault(standin.FaultHang)
 		}
 		go s.sendPrompt(fmt.Sprint("h", i), 1000)
 	}
 	s.waitFor("engines are in use", func() bool {
 		working := 0
 		for _, w := range s.workers {
-			working += w.Working()
+			working += w.InFlight()
 		}
 		return working == 6
 	})
@@ -231,14 +231,14 @@
 	s := newFixture(t, full, other)
 	s.store.Delete("servers/" + other.ID)
 	s.start()
-	full.Next(standin.FaultHang)
+	full.QueueFaults(standin.FaultHang)
 	go s.post("/once/a", "h1")
-	s.waitFor("the endpoint is busy", func() bool { return full.Working() == 1 })
+	s.waitFor("the endpoint is busy", func() bool { return full.InFlight() == 1 })
 	s.store.Put("servers/"+other.ID, other.Registration("ready"))
 	s.waitFor("the other endpoint is listed", func() bool { return s.sumMetric("aspenyard_gateway_endpoints ") == 2 })
 	for i := range 6 {
 		id := fmt.Sprint("q", i)
-		is.Equal(s.post("/once/a", id).body, standin.PlainAnswer(id))
+		is.Equal(s.post("/once/a", id).body, standin.PlainResponse(id))
 		is.Equal(s.runCount(id), 1)
 	}
 }
@@ -246,7 +246,7 @@
 // queueFault queues a fault at the first workers.
 func (s *fixture) queueFault(fault standin.Fault, workers int) {
 	for _, w := range s.workers[:workers] {
-		w.Next(fault)
+		w.QueueFaults(fault)
 	}
 }
 
@@ -257,19 +257,19 @@
 	s := startEngineFixture(t, 20)
 	late := s.workers // any of them may be asked to reserve
 	for _, w := range late {
-		w.NextOrder(standin.FaultLate)
+		w.QueueOrderFaults(standin.FaultLateOrder)
 	}
 	s.sendPrompt("q1", 500_000)
 	s.waitFor("reservations made in time are released", func() bool { return s.reservationCount() == 0 })
 	s.waitFor("late reservations are held", func() bool { return s.reservationCount() > 0 })
 	freed := 0
 	for _, w := range s.workers {
-		freed += w.Freed()
+		freed += w.FreedCount()
 	}
 	s.waitFor("late reservations are released", func() bool {
 		now := 0
 		for _, w := range s.workers {
-			now += w.Freed()
+			now += w.FreedCount()
 		}
 		return now > freed && s.reservationCount() == 0
 	})
@@ -283,13 +283,13 @@
 	s.extraSettings = `,"memory_idle_within":"600ms"`
 	s.start()
 	for _, w := range s.workers {
-		w.Always(standin.FaultHang)
+		w.SetDefaultFault(standin.FaultHang)
 	}
 	got := make(chan callerResponse, 1)
 	go func() { got <- s.sendPrompt("q1", 500_000) }()
 	s.waitFor("the prompt was sent", func() bool { return s.findRun("q1") != nil })
 	for _, w := range s.workers {
-		w.Always("")
+		w.SetDefaultFault("")
 	}
 	s.waitFor("the attempt was cancelled", func() bool { return s.callerDropped("q1") })
 	is.Equal((<-got).body, standin.StreamText("q1", 5)) // retried at another engine
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -31,7 +31,7 @@
 	store, client := newStoreAndClient(t)
 	ctx := context.Background()
 	node := directory.Node{Name: "g1", Addr: "127.0.0.1:7340", DataCentre: "dc1"}
-	store.SetFaults(standin.StoreFaults{LoseAnswers: 2})
+	store.SetFaults(standin.StoreFaults{LoseResponses: 2})
 	_, err := client.Register(ctx, node, time.Minute)
 	is.True(err != nil) // the lease was granted, and the response lost
 	_, err = client.Register(ctx, node, time.Minute)
@@ -43,7 +43,7 @@
 	is.NoErr(err)
 	is.Equal(state.Nodes, []directory.Node{node})
 	is.NoErr(client.Renew(ctx, registration.Lease))
-	store.EndLeases()
+	store.RevokeLeases()
 	err = client.Renew(ctx, registration.Lease)
 	is.True(strings.Contains(err.Error(), directory.ErrLeaseExpired.Error()))
 	changes, err := client.Watch(ctx, state.Revision, 0)
@@ -72,7 +72,7 @@
 	is.NoErr(err)
 	is.Equal(len(changes.Changes), 1)
 	is.Equal(*changes.Changes[0].Record, record)
-	store.EndLeases()
+	store.RevokeLeases()
 	state, err = client.Read(ctx)
 	is.NoErr(err)
 	is.Equal(len(state.Records), 0)
--- a/gateway/responses_test.go
+++ b/gateway/responses_test.go
@@ -24,10 +24,10 @@
 	r.Header.Set("X-Own", "kept")
 	got := s.do(r)
 	is.Equal(got.status, http.StatusOK)
-	is.Equal(got.body, standin.PlainAnswer("q1"))
+	is.Equal(got.body, standin.PlainResponse("q1"))
 	is.Equal(got.header.Get("X-Aspenyard-Server-Stamp"), "s1")
 	run := s.workers[0].Runs()[0]
-	is.Equal(run.Target, "/once/a?x=1%20y")
+	is.Equal(run.RequestURI, "/once/a?x=1%20y")
 	is.Equal(run.Body, "hello")
 	is.Equal(run.Account, "acme") // the key's account, not the caller's header
 	is.Equal(run.Priority, "")
@@ -47,12 +47,12 @@
 // breaks or the response is invalid. A lost response must not be taken for a request that was not
 // sent.
 func TestANonIdempotentRequestThatMayHaveRunIsNotRetried(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultCut, standin.FaultGarbage, standin.FaultUnsigned, standin.FaultError, standin.FaultBareRefusal} {
+	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultTruncated, standin.FaultGarbage, standin.FaultNoServerStamp, standin.FaultError, standin.FaultUnmarkedRefusal} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t, plainWorker(), plainWorker()).start()
 			for _, w := range s.workers {
-				w.Always(fault)
+				w.SetDefaultFault(fault)
 			}
 			got := s.post("/once/a", "q1")
 			is.Equal(s.runCount("q1"), 1)
@@ -68,7 +68,7 @@
 func TestARefusalIsRelayedOnlyIfTheRequestDidNotRun(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker()).start()
-	s.workers[0].Next(standin.FaultBareRefusal, standin.FaultShed)
+	s.workers[0].QueueFaults(standin.FaultUnmarkedRefusal, standin.FaultShed)
 	is.Equal(s.post("/once/a", "q1").status, http.StatusBadGateway)
 	refused := s.post("/once/a", "q2")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
@@ -80,24 +80,24 @@
 func TestARequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker(), plainWorker()).start()
-	s.workers[0].Always(standin.FaultShed)
+	s.workers[0].SetDefaultFault(standin.FaultShed)
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		got := s.post("/once/a", id)
-		is.Equal(got.body, standin.PlainAnswer(id))
+		is.Equal(got.body, standin.PlainResponse(id))
 		is.Equal(s.runCount(id), 1)
 	}
 }
 
 func TestIdempotentRequestsAreRetried(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultCut, standin.FaultGarbage, standin.FaultUnsigned, standin.FaultError, standin.FaultBareRefusal} {
+	for _, fault := range []standin.Fault{standin.FaultReset, standin.FaultTruncated, standin.FaultGarbage, standin.FaultNoServerStamp, standin.FaultError, standin.FaultUnmarkedRefusal} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t, plainWorker(), plainWorker()).start()
-			s.workers[0].Always(fault)
+			s.workers[0].SetDefaultFault(fault)
 			for i := range 6 {
 				id := fmt.Sprint("q", i)
-				is.Equal(s.post("/again/a", id).body, standin.PlainAnswer(id))
+				is.Equal(s.post("/again/a", id).body, standin.PlainResponse(id))
 			}
 		})
 	}
@@ -109,12 +109,12 @@
 func TestADuplicateResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker()).start()
-	s.workers[0].Always(standin.FaultExtra)
+	s.workers[0].SetDefaultFault(standin.FaultDuplicateResponse)
 	for i := range 20 {
 		id := fmt.Sprint("q", i)
 		got := s.post("/once/a", id)
 		is.Equal(got.status, http.StatusOK)
-		is.Equal(got.body, standin.PlainAnswer(id))
+		is.Equal(got.body, standin.PlainResponse(id))
 		is.Equal(s.runCount(id), 1)
 	}
 }
@@ -122,8 +122,8 @@
 func TestACloseDelimitedResponseIsRelayed(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker(), streamingWorker(5)).start()
-	s.workers[0].Always(standin.FaultUnframed)
-	s.workers[1].Always(standin.FaultUnframed)
+	s.workers[0].SetDefaultFault(standin.FaultUnframed)
+	s.workers[1].SetDefaultFault(standin.FaultUnframed)
 	s.workers[1].Service = "app2"
 	s.store.Put("servers/"+s.workers[1].ID, s.workers[1].Registration("ready"))
 	other := route("stream2", "/stream2/", "streaming")
@@ -131,7 +131,7 @@
 	s.routes = append(s.routes, other)
 	s.configure()
 	s.waitFor("the new route is in force", func() bool { return s.post("/stream2/a", "q2").status == http.StatusOK })
-	is.Equal(s.post("/once/a", "q1").body, standin.PlainAnswer("q1"))
+	is.Equal(s.post("/once/a", "q1").body, standin.PlainResponse("q1"))
 	is.Equal(s.post("/stream2/a", "q3").body, standin.StreamText("q3", 5))
 }
 
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	s := newFixture(t, plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
-		w.Next(standin.FaultEarly, standin.FaultEarly)
+		w.QueueFaults(standin.FaultEarlyResponse, standin.FaultEarlyResponse)
 	}
 	body := strings.Repeat("x", 90_000)
 	for i := range 8 {
@@ -162,11 +162,11 @@
 // length whose connection closes properly. The node must relay complete events and resume after the
 // last one.
 func TestABrokenStreamIsResumedAtAnotherEndpoint(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.FaultCut, standin.FaultTorn} {
+	for _, fault := range []standin.Fault{standin.FaultTruncated, standin.FaultTruncatedUnframed} {
 		t.Run(string(fault), func(t *testing.T) {
 			is := is.New(t)
 			s := newFixture(t, streamingWorker(12), streamingWorker(12)).start()
-			s.workers[0].Always(fault)
+			s.workers[0].SetDefaultFault(fault)
 			for i := range 8 {
 				id := fmt.Sprint("q", i)
 				got := s.post("/stream/a", id)
@@ -183,7 +183,7 @@
 	is := is.New(t)
 	s := newFixture(t, streamingWorker(12), streamingWorker(12)).start()
 	for _, w := range s.workers {
-		w.Always(standin.FaultCut)
+		w.SetDefaultFault(standin.FaultTruncated)
 	}
 	got := s.post("/stream/a", "q1")
 	is.True(got.err != nil) // the connection was aborted
@@ -198,7 +198,7 @@
 	s := newFixture(t, streamingWorker(4))
 	s.routes[2]["target_gap_ms"] = 20
 	s.start()
-	s.workers[0].Always(standin.FaultSlow)
+	s.workers[0].SetDefaultFault(standin.FaultSlow)
 	got := s.post("/stream/a", "q1")
 	is.NoErr(got.err)
 	is.Equal(got.body, standin.StreamText("q1", 4))
@@ -216,17 +216,17 @@
 	dead, other := s.workers[0], s.workers[1]
 	s.store.Delete("servers/" + other.ID)
 	s.start()
-	dead.Always(standin.FaultHang)
+	dead.SetDefaultFault(standin.FaultHang)
 	response := make(chan callerResponse, 1)
 	go func() { response <- s.post("/again/a", "q1") }()
-	s.waitFor("the request runs", func() bool { return dead.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return dead.InFlight() == 1 })
 	s.store.Put("servers/"+other.ID, other.Registration("ready"))
 	s.waitFor("the other endpoint is listed", func() bool { return s.sumMetric("aspenyard_gateway_endpoints ") == 2 })
-	dead.Refuse()
-	is.Equal((<-response).body, standin.PlainAnswer("q1"))
+	dead.StopListening()
+	is.Equal((<-response).body, standin.PlainResponse("q1"))
 	for i := range 6 {
 		id := fmt.Sprint("r", i)
-		is.Equal(s.post("/again/a", id).body, standin.PlainAnswer(id))
+		is.Equal(s.post("/again/a", id).body, standin.PlainResponse(id))
 	}
 }
 
@@ -236,17 +236,17 @@
 	for _, path := range []string{"/once/a", "/again/a", "/stream/a"} {
 		t.Run(path, func(t *testing.T) {
 			s := newFixture(t, plainWorker()).start()
-			s.workers[0].Always(standin.FaultHang)
+			s.workers[0].SetDefaultFault(standin.FaultHang)
 			ctx, cancel := context.WithCancel(context.Background())
 			go func() {
-				s.waitFor("the request runs", func() bool { return s.workers[0].Working() == 1 })
+				s.waitFor("the request runs", func() bool { return s.workers[0].InFlight() == 1 })
 				cancel()
 			}()
 			got := s.do(s.request(http.MethodPost, path, "q1", "x").WithContext(ctx))
 			if got.err == nil {
 				t.Fatal("got a response after the caller disconnected")
 			}
-			s.waitFor("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
+			s.waitFor("the endpoint is idle", func() bool { return s.workers[0].InFlight() == 0 })
 		})
 	}
 }
@@ -257,7 +257,7 @@
 func TestAStreamThatItsCallerDoesNotReadIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	const events = 2_000_000 // more than all buffers between worker and caller hold
-	s := newFixture(t, &standin.Worker{Events: events}, &standin.Worker{Events: events}).start()
+	s := newFixture(t, &standin.Worker{EventCount: events}, &standin.Worker{EventCount: events}).start()
 	conn, err := net.Dial("tcp", s.gateway.CallersAddr())
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
@@ -265,7 +265,7 @@
 	is.NoErr(err)
 	s.waitFor("the request runs", func() bool { return s.runCount("q1") == 1 })
 	s.waitFor("the gateway has given up the stream", func() bool { return strings.Contains(s.log.String(), `"event":"request_ended"`) })
-	s.waitFor("the endpoints are idle", func() bool { return s.workers[0].Working()+s.workers[1].Working() == 0 })
+	s.waitFor("the endpoints are idle", func() bool { return s.workers[0].InFlight()+s.workers[1].InFlight() == 0 })
 	is.Equal(s.runCount("q1"), 1)
 }
 
@@ -291,7 +291,7 @@
 	is := is.New(t)
 	s := newFixture(t, plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
-		w.Always(standin.FaultReset)
+		w.SetDefaultFault(standin.FaultReset)
 	}
 	const requests = 400
 	for i := range requests {
@@ -306,7 +306,7 @@
 	is := is.New(t)
 	s := newFixture(t, plainWorker(), plainWorker(), plainWorker(), plainWorker()).start()
 	for _, w := range s.workers {
-		w.Always(standin.FaultReset)
+		w.SetDefaultFault(standin.FaultReset)
 	}
 	got := s.post("/again/a", "q1")
 	is.Equal(got.status, http.StatusBadGateway)
@@ -320,9 +320,9 @@
 		r["timeout_ms"] = 100
 	}
 	s.start()
-	s.workers[0].Always(standin.FaultHang)
+	s.workers[0].SetDefaultFault(standin.FaultHang)
 	got := s.post("/once/a", "q1")
 	is.Equal(got.status, http.StatusGatewayTimeout) // long before the caller's 15 s
 	is.True(s.workers[0].Runs()[0].DeadlineMS <= 100)
-	s.waitFor("the endpoint is idle", func() bool { return s.workers[0].Working() == 0 })
+	s.waitFor("the endpoint is idle", func() bool { return s.workers[0].InFlight() == 0 })
 }
--- a/gateway/slowdown_test.go
+++ b/gateway/slowdown_test.go
@@ -15,7 +15,7 @@
 func (s *fixture) reportCount() int {
 	n := 0
 	for _, w := range s.workers {
-		n += w.Reports()
+		n += w.ReportCount()
 	}
 	return n
 }
@@ -28,7 +28,7 @@
 	s.sendPrompt("q0", 1000)
 	is.Equal(s.reportCount(), 0) // no queries without delays
 	for _, w := range s.workers {
-		w.Always(standin.FaultSlow)
+		w.SetDefaultFault(standin.FaultSlow)
 	}
 	go s.sendPrompt("h0", 1000)
 	var slow *standin.Worker
@@ -40,10 +40,10 @@
 		}
 		return slow != nil
 	})
-	slow.SetPace(5)
+	slow.SetSlowdown(5)
 	s.waitFor("the slow engine is detected", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":5`) })
 	for _, w := range s.workers {
-		w.Always("")
+		w.SetDefaultFault("")
 	}
 	for i := range 6 {
 		id := fmt.Sprint("l", i)
@@ -51,7 +51,7 @@
 		is.True(s.findRun(id).Helpers != "" && !strings.Contains(s.findRun(id).Helpers, slow.Addr()))
 	}
 	is.Equal(strings.Count(s.log.String(), "endpoint_pace"), 1) // the others are not slow
-	slow.SetPace(1)
+	slow.SetSlowdown(1)
 	s.waitFor("the engine has recovered", func() bool { return strings.Contains(s.log.String(), `"endpoint":"`+slow.ID+`","pace":1`) })
 }
 
@@ -61,15 +61,15 @@
 	is := is.New(t)
 	s := startEngineFixture(t, 1)
 	worker := s.workers[0]
-	worker.SetPace(5)
-	worker.Pace = 400 * time.Millisecond
+	worker.SetSlowdown(5)
+	worker.EventInterval = 400 * time.Millisecond
 	start := time.Now()
 	for i := range 3 {
 		is.Equal(s.sendPrompt(fmt.Sprint("q", i), 1000).body, standin.StreamText(fmt.Sprint("q", i), 5))
 	}
 	maxReports := int(time.Since(start)/time.Second) + 2
-	is.True(worker.Reports() >= 2)
-	is.True(worker.Reports() <= maxReports)
+	is.True(worker.ReportCount() >= 2)
+	is.True(worker.ReportCount() <= maxReports)
 }
 
 // An engine that does not report its slowdown stays in use.
@@ -77,8 +77,8 @@
 	is := is.New(t)
 	s := startEngineFixture(t, 1)
 	worker := s.workers[0]
-	worker.SetPace(0)
-	worker.Pace = 250 * time.Millisecond
+	worker.SetSlowdown(0)
+	worker.EventInterval = 250 * time.Millisecond
 	is.Equal(s.sendPrompt("q1", 1000).body, standin.StreamText("q1", 5))
 	s.waitFor("the engine was queried", func() bool { return strings.Contains(s.log.String(), "pace_unknown") })
 	is.Equal(s.sendPrompt("q2", 1000).body, standin.StreamText("q2", 5))
--- a/gateway/state_test.go
+++ b/gateway/state_test.go
@@ -93,7 +93,7 @@
 // during which the configuration changed. The loss of a waiting call was noticed only after its wait.
 func TestAChangeDuringAnOutageIsInForceAfterIt(t *testing.T) {
 	for name, faults := range map[string]standin.StoreFaults{
-		"silent": {Silent: true}, "busy": {Refuse: http.StatusServiceUnavailable}, "many": {Refuse: http.StatusTooManyRequests},
+		"silent": {NoResponse: true}, "busy": {RefuseStatus: http.StatusServiceUnavailable}, "many": {RefuseStatus: http.StatusTooManyRequests},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -125,7 +125,7 @@
 	}
 	is.Equal(unknown("/once/a").status, http.StatusUnauthorized)
 	is.Equal(unknown("/later/a").status, http.StatusNotFound)
-	s.store.SetFaults(standin.StoreFaults{Silent: true})
+	s.store.SetFaults(standin.StoreFaults{NoResponse: true})
 	s.waitFor("an unknown key is refused for now", func() bool { return unknown("/once/a").status == http.StatusServiceUnavailable })
 	got := unknown("/later/a")
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -141,13 +141,13 @@
 // to wait for ten seconds, and end without an answer in that case.
 func TestTheStateIsReadInFullWhenTheHistoryIsGone(t *testing.T) {
 	s := newFixture(t, plainWorker(), plainWorker()).start()
-	s.store.SetFaults(standin.StoreFaults{Deaf: true})
-	calls := s.store.Calls("/-/kv-watch")
-	s.waitFor("a watch that gets no changes", func() bool { return s.store.Calls("/-/kv-watch") > calls })
+	s.store.SetFaults(standin.StoreFaults{MuteWatches: true})
+	calls := s.store.CallCount("/-/kv-watch")
+	s.waitFor("a watch that gets no changes", func() bool { return s.store.CallCount("/-/kv-watch") > calls })
 	s.routes = append(s.routes, route("new", "/new/", "idempotent"))
 	s.configure()
 	s.store.Delete("servers/" + s.workers[0].ID)
-	s.store.DropHistory()
+	s.store.Compact()
 	s.store.SetFaults(standin.StoreFaults{})
 	s.waitFor("the new route is in force", func() bool { return s.post("/new/a", "q2").status == http.StatusOK })
 	before := len(s.workers[0].Runs())
@@ -206,11 +206,11 @@
 // startDraining starts a fixture and a stream of 30 events, pace apart, and then a drain.
 func startDraining(t *testing.T, pace time.Duration) (*fixture, <-chan callerResponse) {
 	worker := streamingWorker(30)
-	worker.Pace = pace
+	worker.EventInterval = pace
 	s := newFixture(t, worker).start()
 	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.InFlight() == 1 })
 	s.sendSIGTERM()
 	s.waitFor("the readiness check fails", func() bool { return s.readyStatus() == http.StatusServiceUnavailable })
 	return s, results
@@ -267,9 +267,9 @@
 	is := is.New(t)
 	worker := plainWorker()
 	s := newFixture(t, worker).start()
-	worker.Always(standin.FaultHang)
+	worker.SetDefaultFault(standin.FaultHang)
 	go s.post("/once/a", "q1") // keeps the drain from ending
-	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.InFlight() == 1 })
 	s.sendSIGTERM()
 	s.waitFor("a late request is refused", func() bool {
 		r := s.request(http.MethodPost, "/stream/late", "q2", "")
@@ -284,11 +284,11 @@
 func TestAReloadCutsNoRequest(t *testing.T) {
 	is := is.New(t)
 	worker := streamingWorker(20)
-	worker.Pace = 20 * time.Millisecond
+	worker.EventInterval = 20 * time.Millisecond
 	s := newFixture(t, worker).start()
 	results := make(chan callerResponse, 1)
 	go func() { results <- s.post("/stream/a", "q1") }()
-	s.waitFor("the request runs", func() bool { return worker.Working() == 1 })
+	s.waitFor("the request runs", func() bool { return worker.InFlight() == 1 })
 	s.sendSIGHUP()
 	s.waitFor("the reload is logged", func() bool { return strings.Contains(s.log.String(), `"event":"reload"`) })
 	got := <-results
--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -148,7 +148,7 @@
 		record, err := w.engineRecord(p)
 		ts.Check(err)
 		for _, run := range record.Runs {
-			if id, found := toldNo[run.Beginning]; found {
+			if id, found := toldNo[run.PromptPrefixHash]; found {
 				ts.Fatalf("call %s was told that it did not run, and %s ran its prompt (%d tokens)", id, name, run.PromptTokens)
 			}
 		}
--- a/scenarios/calls_test.go
+++ b/scenarios/calls_test.go
@@ -130,7 +130,7 @@
 			out = number(opts["out"])
 		}
 		prompt := bench.Prompt(xxhash.Sum64String(c.id), tokens) + c.id
-		c.expected, c.beginning = standin.Answer(prompt, out), standin.Beginning(prompt)
+		c.expected, c.beginning = standin.Completion(prompt, out), standin.PromptPrefixHash(prompt)
 		var err error
 		body, err = json.Marshal(map[string]any{"model": c.kind, "prompt": prompt, "max_tokens": out, "stream": opts["stream"] != "no"})
 		if err != nil {
--- a/scenarios/client_test.go
+++ b/scenarios/client_test.go
@@ -29,7 +29,7 @@
 	}
 	whole, err := c.CreateCompletion(ctx, openai.CompletionRequest{Model: args[1], Prompt: "tie a bowline", MaxTokens: 8})
 	ts.Check(err)
-	if want := standin.Answer("tie a bowline", 8); whole.Choices[0].Text != want {
+	if want := standin.Completion("tie a bowline", 8); whole.Choices[0].Text != want {
 		ts.Fatalf("the library got %q, not %q", whole.Choices[0].Text, want)
 	}
 	chatByLibrary(ctx, ts, c, args[1])
@@ -56,7 +56,7 @@
 		ts.Check(err)
 		text.WriteString(event.Choices[0].Delta.Content)
 	}
-	if want := standin.Answer("user: tie a bowline\n", 8); text.String() != want {
+	if want := standin.Completion("user: tie a bowline\n", 8); text.String() != want {
 		ts.Fatalf("the library's stream gave %q, not %q, after %s", text.String(), want, time.Since(started))
 	}
 }
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -244,9 +244,9 @@
 
 // cut NAME stops all that goes to and from a process on its way; heal NAME
 // delivers it.
-func cut(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetCut(link.Both) }
+func cut(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetBlocked(link.Both) }
 
-func heal(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetCut(0) }
+func heal(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetBlocked(0) }
 
 // delay NAME DURATION holds back each piece on its way.
 func delay(ts *testscript.TestScript, _ bool, args []string) {
@@ -256,7 +256,7 @@
 }
 
 // reset NAME breaks the connections of a process.
-func reset(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).Reset() }
+func reset(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).ResetConnections() }
 
 // platform up|down|slow MS|lose-answer N PREFIX|lose-answer-and-down PREFIX|stale PREFIX sets the store's fault.
 func platformFault(ts *testscript.TestScript, _ bool, args []string) {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -155,7 +155,7 @@
 	response, err := c.client.Do(request)
 	if err == nil {
 		a.Status = response.StatusCode
-		a.EchoedID, a.HasServerStamp = platform.AnswerHead(response.Header)
+		a.EchoedID, a.HasServerStamp = platform.ParseResponseHeaders(response.Header)
 		retryAfter, _ = time.ParseDuration(response.Header.Get("Retry-After") + "s")
 		var text []byte
 		text, err = io.ReadAll(response.Body)
@@ -169,9 +169,9 @@
 
 // fill sets the headers of a caller, and some that callers may not set.
 func (c *caller) fill(h http.Header, a *Request) {
-	call := platform.Call{ID: a.ID, Key: a.APIKey, Deadline: a.Deadline, PromptTokens: a.Route.PromptTokens, OutputTokens: outputTokens}
+	call := platform.CallHeaders{ID: a.ID, APIKey: a.APIKey, Deadline: a.Deadline, PromptTokens: a.Route.PromptTokens, OutputTokens: outputTokens}
 	call.SetHeaders(h)
-	platform.ForgeHeaders(h)
+	platform.SetForgedHeaders(h)
 }
 
 // improper sends a request that must be refused and reach no endpoint.
--- a/soak/check.go
+++ b/soak/check.go
@@ -79,7 +79,7 @@
 		if !run.Ran {
 			continue
 		}
-		for _, ticket := range run.Tickets() {
+		for _, ticket := range run.ReservationIDs() {
 			e.users[ticket] = append(e.users[ticket], run)
 		}
 	}
@@ -180,9 +180,9 @@
 			list = append(list, fmt.Sprintf("%s ran %q, which no caller sent", run.Endpoint, run.ID))
 		case a.ExpectedStatus != 0:
 			list = append(list, fmt.Sprintf("%s ran the improper request %s", run.Endpoint, about(a)))
-		case run.Method != http.MethodPost || run.Target != a.RequestURI || run.Body != a.Body:
+		case run.Method != http.MethodPost || run.RequestURI != a.RequestURI || run.Body != a.Body:
 			list = append(list, fmt.Sprintf("%s ran %s with method, path or body changed", run.Endpoint, about(a)))
-		case run.Key != "":
+		case run.Authorization != "":
 			list = append(list, fmt.Sprintf("%s was given the key of %s", run.Endpoint, about(a)))
 		case !e.rightAccount(a, run.Account):
 			list = append(list, fmt.Sprintf("%s ran %s for account %q", run.Endpoint, about(a), run.Account))
@@ -297,9 +297,9 @@
 func retriesInBudget(e *evidence) []string {
 	arrivals := map[string][]time.Time{} // repeats, by service
 	for _, runs := range e.runs {
-		sort.Slice(runs, func(i, j int) bool { return runs[i].Arrived.Before(runs[j].Arrived) })
+		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
 		for _, run := range runs[1:] {
-			arrivals[run.Service] = append(arrivals[run.Service], run.Arrived)
+			arrivals[run.Service] = append(arrivals[run.Service], run.ArrivedAt)
 		}
 	}
 	var list []string
@@ -351,8 +351,8 @@
 		if a == nil {
 			continue
 		}
-		end := run.Arrived.Add(time.Duration(run.DeadlineMS) * time.Millisecond)
-		if (run.DeadlineMS <= 0 || end.After(a.SentAt.Add(a.Deadline+deadlineSlack))) && e.calm(a.Gateway, a.SentAt, run.Arrived, true) {
+		end := run.ArrivedAt.Add(time.Duration(run.DeadlineMS) * time.Millisecond)
+		if (run.DeadlineMS <= 0 || end.After(a.SentAt.Add(a.Deadline+deadlineSlack))) && e.calm(a.Gateway, a.SentAt, run.ArrivedAt, true) {
 			list = append(list, fmt.Sprintf("%s got %d ms of %s", run.Endpoint, run.DeadlineMS, about(a)))
 		}
 	}
@@ -365,7 +365,7 @@
 	for ticket, runs := range e.users {
 		for i, one := range runs {
 			for _, two := range runs[i+1:] {
-				if one.Arrived.Before(endOf(two)) && two.Arrived.Before(endOf(one)) {
+				if one.ArrivedAt.Before(endOf(two)) && two.ArrivedAt.Before(endOf(one)) {
 					list = append(list, fmt.Sprintf("%s is used by %s and %s", ticket, one.ID, two.ID))
 				}
 			}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -31,7 +31,7 @@
 	a.ResponseBody = a.want()
 	r.Requests = append(r.Requests, a)
 	r.Arrivals = append(r.Arrivals, Arrival{Endpoint: "i-1", Service: route.Service, Run: platform.Run{
-		ID: id, Method: http.MethodPost, Target: "/x", Body: "b", Account: "acme", DeadlineMS: 3900, Ran: true, Status: http.StatusOK, Arrived: at(sent + 0.01), Ended: at(sent + 0.1),
+		ID: id, Method: http.MethodPost, RequestURI: "/x", Body: "b", Account: "acme", DeadlineMS: 3900, Ran: true, Status: http.StatusOK, ArrivedAt: at(sent + 0.01), EndedAt: at(sent + 0.1),
 	}})
 	return a, &r.Arrivals[len(r.Arrivals)-1]
 }
@@ -39,7 +39,7 @@
 // again adds one more arrival of a request.
 func (r *Record) again(of *Arrival, endpoint string, arrived float64) *Arrival {
 	next := *of
-	next.Endpoint, next.Arrived, next.Ended = endpoint, at(arrived), at(arrived+0.1)
+	next.Endpoint, next.ArrivedAt, next.EndedAt = endpoint, at(arrived), at(arrived+0.1)
 	r.Arrivals = append(r.Arrivals, next)
 	return &r.Arrivals[len(r.Arrivals)-1]
 }
@@ -68,8 +68,8 @@
 		a.Complete, a.Cancelled, a.ResponseBody = false, true, platform.EventText("q", 1)+platform.EventText("q", 3)
 	}},
 	"a run nobody asked for": {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.ID = "hidden-q" }},
-	"a changed path":         {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Target = "/y" }},
-	"the key passed on":      {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Key = "Bearer k" }},
+	"a changed path":         {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.RequestURI = "/y" }},
+	"the key passed on":      {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Authorization = "Bearer k" }},
 	"a forged account":       {"UNASKED", func(r *Record) { _, run := r.served("q", plainOnce, 50); run.Account = "forged" }},
 	"an improper request ran": {"UNASKED", func(r *Record) {
 		a, _ := r.served("q", plainOnce, 50)
@@ -150,7 +150,7 @@
 	"work for callers that left": {"GONE", func(r *Record) {
 		for i := range 8 {
 			a, run := r.served(string(rune('a'+i)), resumable, 50)
-			a.Cancelled, a.Complete, run.Ended = true, false, at(55)
+			a.Cancelled, a.Complete, run.EndedAt = true, false, at(55)
 		}
 	}},
 	"memory kept": {"LEAK", func(r *Record) {
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -31,7 +31,7 @@
 		}
 		if edit := e.editOf(run.Account); edit >= 0 {
 			of := life{a.Gateway, a.Incarnation}
-			lives[of] = append(lives[of], seen{a.SentAt, run.Arrived, edit, a})
+			lives[of] = append(lives[of], seen{a.SentAt, run.ArrivedAt, edit, a})
 		}
 	}
 	var list []string
@@ -127,11 +127,11 @@
 		run := &e.Arrivals[i]
 		acked, leaving := left[run.Endpoint]
 		a := e.attempts[run.ID]
-		if !leaving || a == nil || run.Status == http.StatusMisdirectedRequest || !run.Arrived.After(acked.Add(leavingWithin)) {
+		if !leaving || a == nil || run.Status == http.StatusMisdirectedRequest || !run.ArrivedAt.After(acked.Add(leavingWithin)) {
 			continue
 		}
-		if e.calm(a.Gateway, acked, run.Arrived, true) {
-			list = append(list, fmt.Sprintf("%s reached %s %v after it said that it leaves", about(a), run.Endpoint, run.Arrived.Sub(acked)))
+		if e.calm(a.Gateway, acked, run.ArrivedAt, true) {
+			list = append(list, fmt.Sprintf("%s reached %s %v after it said that it leaves", about(a), run.Endpoint, run.ArrivedAt.Sub(acked)))
 		}
 	}
 	return list
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -34,11 +34,11 @@
 
 // crashed notes that an endpoint ends under a request, and starts another life at its post.
 func (w *world) crashed(worker *platform.Worker) {
-	ended := w.record.disturb(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Life()})
+	ended := w.record.disturb(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Incarnation()})
 	for _, p := range w.posts {
 		if p.current() == worker && p.claim() != nil {
 			p.vacate()
-			p.link.Refuse()
+			p.link.RefuseConnections()
 			go func() {
 				time.Sleep(reuseAfter)
 				ended()
@@ -62,7 +62,7 @@
 	}
 	var list []string
 	for target, runs := range copies {
-		sort.Slice(runs, func(i, j int) bool { return runs[i].Arrived.Before(runs[j].Arrived) })
+		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
 		if n := e.sentOn(runs); n > crashRetries {
 			list = append(list, fmt.Sprintf("%s was sent %d times more after it had crashed %d endpoints", target, n, crashesKnown))
 		}
@@ -77,11 +77,11 @@
 	for _, run := range runs {
 		switch a := e.attempts[run.ID]; {
 		case len(crashes) < crashesKnown:
-		case run.Arrived.Sub(crashes[crashesKnown-1]) > contact && e.calm(a.Gateway, crashes[crashesKnown-1], run.Arrived, false):
+		case run.ArrivedAt.Sub(crashes[crashesKnown-1]) > contact && e.calm(a.Gateway, crashes[crashesKnown-1], run.ArrivedAt, false):
 			n++
 		}
 		if run.Ran {
-			crashes = append(crashes, run.Arrived)
+			crashes = append(crashes, run.ArrivedAt)
 		}
 	}
 	return n
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -26,7 +26,7 @@
 	if worker == nil {
 		return
 	}
-	ended := w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Life()})
+	ended := w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})
 	end(w, p, worker)
 	ended()
 	time.Sleep(reuseAfter)
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(bindInterval)
 	}
-	for p.link.Listen() != nil {
+	for p.link.AcceptConnections() != nil {
 		if w.stopped.Err() != nil {
 			return
 		}
@@ -69,7 +69,7 @@
 func crash(w *world, p *post, worker *platform.Worker) {
 	p.vacate()
 	worker.Stop()
-	p.link.Reset()
+	p.link.ResetConnections()
 	time.Sleep(lapseAfter)
 	w.store.Delete("servers/" + worker.ID)
 }
@@ -77,8 +77,8 @@
 // goDark makes an endpoint accept nothing and say nothing, with its connections open.
 func goDark(w *world, p *post, worker *platform.Worker) {
 	p.vacate()
-	worker.Refuse()
-	p.link.Mute()
+	worker.StopListening()
+	p.link.BlackholeConnections()
 	time.Sleep(lapseAfter)
 	w.store.Delete("servers/" + worker.ID)
 	worker.Stop()
@@ -110,12 +110,12 @@
 // that it serves on is over.
 func (w *world) depart(p *post, worker *platform.Worker) {
 	w.record.mu.Lock()
-	w.record.Departures = append(w.record.Departures, Departure{worker.Life(), time.Now()})
+	w.record.Departures = append(w.record.Departures, Departure{worker.Incarnation(), time.Now()})
 	w.record.mu.Unlock()
 	time.Sleep(leavingWithin + lingering)
 	p.vacate()
 	worker.Stop()
-	p.link.Reset()
+	p.link.ResetConnections()
 }
 
 // changeOwners crashes two endpoints; each address then has the other's service.
@@ -158,7 +158,7 @@
 	if worker == nil {
 		return
 	}
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Life()})()
+	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
 	if f.Variant == wayDraining {
 		p.mu.Lock()
 		p.leaving = true
@@ -169,7 +169,7 @@
 	old := worker.RegistrationAt(p.link.Addr(), "draining")
 	p.vacate()
 	worker.Stop()
-	p.link.Reset()
+	p.link.ResetConnections()
 	time.Sleep(f.Delay)
 	w.begin(p, w.newLife(worker.ID, worker.Service))
 	if f.Variant == wayOldEntry {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -41,14 +41,14 @@
 		{"gateway-reload", 2, reload},
 		{"edit", 4, func(w *world, _ *Fault) { w.edit() }},
 		{"edit-series", 1, editSeries},
-		{"store-refuses", 1, storeFault(platform.StoreFaults{Refuse: http.StatusServiceUnavailable})},
-		{"store-over-rate", 1, storeFault(platform.StoreFaults{Refuse: http.StatusTooManyRequests})},
-		{"store-silent", 1, storeFault(platform.StoreFaults{Silent: true})},
-		{"store-deaf", 1, storeFault(platform.StoreFaults{Deaf: true})},
-		{"store-loses-answers", 1, storeFault(platform.StoreFaults{LoseAnswers: 20})},
+		{"store-refuses", 1, storeFault(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})},
+		{"store-over-rate", 1, storeFault(platform.StoreFaults{RefuseStatus: http.StatusTooManyRequests})},
+		{"store-silent", 1, storeFault(platform.StoreFaults{NoResponse: true})},
+		{"store-deaf", 1, storeFault(platform.StoreFaults{MuteWatches: true})},
+		{"store-loses-answers", 1, storeFault(platform.StoreFaults{LoseResponses: 20})},
 		{"store-slow", 1, storeSlow},
-		{"store-drops-history", 2, func(w *world, _ *Fault) { w.disturbStore("store-drops-history")(); w.store.DropHistory() }},
-		{"store-ends-leases", 1, func(w *world, _ *Fault) { w.disturbStore("store-ends-leases")(); w.store.EndLeases() }},
+		{"store-drops-history", 2, func(w *world, _ *Fault) { w.disturbStore("store-drops-history")(); w.store.Compact() }},
+		{"store-ends-leases", 1, func(w *world, _ *Fault) { w.disturbStore("store-ends-leases")(); w.store.RevokeLeases() }},
 		{"registrations-lapse", 1, lapse},
 		{kindStoreLink, 3, gatewayLink(func(g *gateway) *link.Link { return g.store })},
 		{kindCallersLink, 2, gatewayLink(func(g *gateway) *link.Link { return g.callers })},
@@ -154,7 +154,7 @@
 // them again within a heartbeat of its return.
 func lapse(w *world, f *Fault) {
 	defer w.disturbStore(f.Kind)()
-	w.store.SetFaults(platform.StoreFaults{Refuse: http.StatusServiceUnavailable})
+	w.store.SetFaults(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})
 	silenced := []*post{w.posts[f.Port], w.posts[f.SecondPort]}
 	for _, p := range silenced {
 		p.mu.Lock()
@@ -179,18 +179,18 @@
 	case 0:
 		l.SetDelay(f.Delay)
 	case 1:
-		l.Reset()
+		l.ResetConnections()
 	case 2:
-		l.Mute()
+		l.BlackholeConnections()
 	case 3: // what is on its way is lost when the link heals
-		l.SetCut(link.Direction(f.Variant))
-		defer l.Reset()
+		l.SetBlocked(link.Direction(f.Variant))
+		defer l.ResetConnections()
 	default: // what is on its way is delivered when the link heals
-		l.SetCut(link.Direction(f.Variant))
+		l.SetBlocked(link.Direction(f.Variant))
 	}
 	time.Sleep(f.Duration)
 	l.SetDelay(0)
-	l.SetCut(0)
+	l.SetBlocked(0)
 }
 
 // gatewayLink disturbs one of a gateway's links.
@@ -208,7 +208,7 @@
 	if worker == nil {
 		return
 	}
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Life()})()
+	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
 	disturbLink(p.link, f)
 }
 
@@ -219,8 +219,8 @@
 	if worker == nil {
 		return
 	}
-	worker.BlameHelper(w.posts[f.SecondPort].link.Addr())
-	worker.Always(f.EndpointFault)
+	worker.SetFailedHelper(w.posts[f.SecondPort].link.Addr())
+	worker.SetDefaultFault(f.EndpointFault)
 	time.Sleep(f.Duration)
-	worker.Always("")
+	worker.SetDefaultFault("")
 }
--- a/soak/record.go
+++ b/soak/record.go
@@ -63,7 +63,7 @@
 	if a.Route.Events > 0 {
 		return platform.StreamText(a.ID, a.Route.Events)
 	}
-	return platform.PlainAnswer(a.ID)
+	return platform.PlainResponse(a.ID)
 }
 
 func (a *Request) succeeded() bool { return a.Complete && a.Status == http.StatusOK }
@@ -215,7 +215,7 @@
 		return false
 	}
 	for _, d := range r.Disturbances {
-		if d.Endpoint == run.Endpoint && d.overlaps(run.Arrived.Add(-contact), endOf(run)) {
+		if d.Endpoint == run.Endpoint && d.overlaps(run.ArrivedAt.Add(-contact), endOf(run)) {
 			return false
 		}
 	}
@@ -228,8 +228,8 @@
 
 // endOf is when a run ended; far away while it goes on.
 func endOf(run *Arrival) time.Time {
-	if run.Ended.IsZero() {
-		return run.Arrived.Add(time.Hour)
+	if run.EndedAt.IsZero() {
+		return run.ArrivedAt.Add(time.Hour)
 	}
-	return run.Ended
+	return run.EndedAt
 }
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -42,8 +42,8 @@
 
 // wrongs are what endpoints may do wrong with requests and orders.
 var wrongs = []platform.Fault{
-	platform.FaultShed, platform.FaultBareRefusal, platform.FaultError, platform.FaultReset, platform.FaultCut, platform.FaultTorn, platform.FaultExtra,
-	platform.FaultUnframed, platform.FaultUnsigned, platform.FaultGarbage, platform.FaultHang, platform.FaultEarly, platform.FaultSlow, platform.FaultHelper, platform.FaultLate,
+	platform.FaultShed, platform.FaultUnmarkedRefusal, platform.FaultError, platform.FaultReset, platform.FaultTruncated, platform.FaultTruncatedUnframed, platform.FaultDuplicateResponse,
+	platform.FaultUnframed, platform.FaultNoServerStamp, platform.FaultGarbage, platform.FaultHang, platform.FaultEarlyResponse, platform.FaultSlow, platform.FaultHelperFailed, platform.FaultLateOrder,
 }
 
 // FaultKinds lists the kinds of faults.
--- a/soak/world.go
+++ b/soak/world.go
@@ -187,10 +187,10 @@
 	if id == "" {
 		id = fmt.Sprintf("i-%04d", w.lives)
 	}
-	worker := &platform.Worker{ID: id, Born: time.Now().UnixMilli(), Service: service, Work: plainWork, CrashOn: crashBody}
-	worker.Crashed = func() { w.crashed(worker) }
+	worker := &platform.Worker{ID: id, StartUnixMilli: time.Now().UnixMilli(), Service: service, WorkTime: plainWork, CrashBody: crashBody}
+	worker.OnCrash = func() { w.crashed(worker) }
 	if service == serviceModel {
-		worker.Events, worker.Pace, worker.Work, worker.Slots, worker.MemoryTokens = streamEvents, eventPace, 0, 16, memoryTokens
+		worker.EventCount, worker.EventInterval, worker.WorkTime, worker.Slots, worker.MemoryTokens = streamEvents, eventPace, 0, 16, memoryTokens
 	}
 	w.workers = append(w.workers, worker)
 	return worker
@@ -278,7 +278,7 @@
 		}
 		c.Routes = append(c.Routes, platform.Route{
 			Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: r.Kind.String(), Service: service, Resumable: r.Resumable,
-			Timeout: r.Timeout, Target: routeTarget, TargetGap: routeTargetGap, MaxAttempts: r.MaxAttempts,
+			Timeout: r.Timeout, Target: routeTarget, TargetPause: routeTargetGap, MaxAttempts: r.MaxAttempts,
 		})
 	}
 	return c.Encode()
@@ -327,9 +327,9 @@
 			if worker == nil {
 				continue
 			}
-			held, _, _ := worker.Reserved()
+			held, _, _ := worker.Reservations()
 			for ticket := range held {
-				w.record.seeHold(worker.Life(), ticket, now)
+				w.record.seeHold(worker.Incarnation(), ticket, now)
 			}
 		}
 		sleep(w.stopped, sampleInterval)
@@ -343,7 +343,7 @@
 	w.record.Arrivals = nil
 	for _, worker := range w.workers {
 		for _, run := range worker.Runs() {
-			w.record.Arrivals = append(w.record.Arrivals, Arrival{Run: run, Endpoint: worker.Life(), Service: worker.Service})
+			w.record.Arrivals = append(w.record.Arrivals, Arrival{Run: run, Endpoint: worker.Incarnation(), Service: worker.Service})
 		}
 	}
 }
--- a/standin/consul/consul.go
+++ b/standin/consul/consul.go
@@ -37,12 +37,12 @@
 	Down bool `json:"down"`
 	// Delay is added to each call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers drops the connection after this many further writes took effect.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses drops the connection after this many further writes took effect.
+	LoseResponses int `json:"lose_answers"`
 	// LosePrefix limits LoseAnswers to keys with this prefix.
 	LosePrefix string `json:"lose_prefix"`
-	// DownAfterLose takes the store down as soon as an answer was lost.
-	DownAfterLose bool `json:"down_after_lose"`
+	// DownAfterLoss takes the store down as soon as an answer was lost.
+	DownAfterLoss bool `json:"down_after_lose"`
 	// StalePrefix makes reads of keys with this prefix give the first value ever
 	// written, with its revision, as a replica that lags would.
 	StalePrefix string `json:"stale_prefix"`
@@ -105,9 +105,9 @@
 	mux.HandleFunc("PUT /v1/session/create", s.guard(s.createSession))
 	mux.HandleFunc("PUT /v1/session/renew/", s.guard(s.renewSession))
 	mux.HandleFunc("GET /v1/catalog/nodes", s.guard(s.list))
-	mux.HandleFunc("POST /control/faults", control.Set(&s.mu, s.applyFaults))
+	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, s.applyFaults))
 	mux.HandleFunc("POST /control/vms", s.setVMs)
-	mux.HandleFunc("GET /record", control.Show(&s.mu, func() Record { return s.record }))
+	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return s.record }))
 	mux.HandleFunc("GET /record/keys", s.showKeys)
 	return mux
 }
@@ -251,10 +251,10 @@
 	name := key(r)
 	s.mu.Lock()
 	ok := s.swap(name, data, r.URL.Query().Get("cas"), r.URL.Query().Get("acquire"))
-	lose := ok && s.faults.LoseAnswers > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
+	lose := ok && s.faults.LoseResponses > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
 	if lose {
-		s.faults.LoseAnswers--
-		s.faults.Down = s.faults.Down || s.faults.DownAfterLose
+		s.faults.LoseResponses--
+		s.faults.Down = s.faults.Down || s.faults.DownAfterLoss
 	}
 	s.mu.Unlock()
 	if lose {
--- a/standin/consul/consul_test.go
+++ b/standin/consul/consul_test.go
@@ -11,7 +11,7 @@
 // Symptom: a VM is never listed. Sequence: the list is set twice within a moment;
 // the second change becomes visible before the first. Cause: each change shown by
 // a timer of its own, whatever was shown before. Seen once in CI, in leaving.
-func TestTheLastListStays(t *testing.T) {
+func TestLatestVMListWins(t *testing.T) {
 	const rounds, changes = 20, 200
 	last := fmt.Sprint(changes - 1)
 	for range rounds {
--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// Set decodes the request's body into a new value of T and, under the lock, hands
+// SetHandler decodes the request's body into a new value of T and, under the lock, hands
 // it to apply. A body that cannot be read is answered with status 400.
-func Set[T any](mu sync.Locker, apply func(T)) http.HandlerFunc {
+func SetHandler[T any](mu sync.Locker, apply func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var value T
 		if err := json.NewDecoder(r.Body).Decode(&value); err != nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Show answers with what get returns under the lock.
-func Show[T any](mu sync.Locker, get func() T) http.HandlerFunc {
+// GetHandler answers with what get returns under the lock.
+func GetHandler[T any](mu sync.Locker, get func() T) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/standin/engine/calls.go
+++ b/standin/engine/calls.go
@@ -37,7 +37,7 @@
 	defer s.mu.Unlock()
 	shown := s.model.Load()
 	if s.settings.LoadLag > 0 {
-		shown = Load{FreeTokens: s.settings.WithDefaults().MemoryTokens}
+		shown = Load{FreeMemoryTokens: s.settings.WithDefaults().MemoryTokens}
 		for _, old := range s.loads {
 			if time.Since(old.at) >= s.settings.LoadLag {
 				shown = old.load
@@ -59,13 +59,13 @@
 
 // Status is what an agent asks at its start.
 type Status struct {
-	Models        []string `json:"models"`
-	MemoryTokens  int      `json:"memory_tokens"`
-	MaxRunning    int      `json:"max_running"`
-	PrefillRate   int      `json:"prefill_tokens_per_second"`
-	FloorWatts    int      `json:"floor_watts"`
-	MaxWatts      int      `json:"max_watts"`
-	FencingNumber uint64   `json:"fencing_number"`
+	Models                 []string `json:"models"`
+	MemoryTokens           int      `json:"memory_tokens"`
+	MaxRunning             int      `json:"max_running"`
+	PrefillTokensPerSecond int      `json:"prefill_tokens_per_second"`
+	FloorWatts             int      `json:"floor_watts"`
+	MaxWatts               int      `json:"max_watts"`
+	FencingNumber          uint64   `json:"fencing_number"`
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
@@ -74,17 +74,17 @@
 	c := s.model.Config()
 	_ = json.NewEncoder(w).Encode(Status{
 		Models: s.settings.Models, MemoryTokens: c.MemoryTokens, MaxRunning: c.MaxRunning,
-		PrefillRate: int(float64(c.PrefillRate()) * s.settings.TimeScale),
-		FloorWatts:  c.FloorWatts, MaxWatts: c.MaxWatts, FencingNumber: s.fence,
+		PrefillTokensPerSecond: int(float64(c.PrefillRate()) * s.settings.TimeScale),
+		FloorWatts:             c.FloorWatts, MaxWatts: c.MaxWatts, FencingNumber: s.fence,
 	})
 }
 
 // shown is the record with what is held now.
 func (s *Server) shown() Record {
 	record := s.record
-	record.HeldTokens = s.model.Held()
+	record.HeldTokens = s.model.HeldTokens()
 	for _, state := range s.model.States() {
-		record.CachedTokens += state.Cached
+		record.CachedTokens += state.CachedTokens
 	}
 	return record
 }
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -87,31 +87,31 @@
 	finished  bool
 }
 
-// State is a sequence as shown to others.
-type State struct {
-	ID       string `json:"id"`
-	Produced int    `json:"produced"`
-	Cached   int    `json:"cached"`
-	Finished bool   `json:"finished"`
-	Held     int    `json:"held_tokens"`
-	Admitted bool   `json:"admitted"`
+// SequenceState is a sequence as shown to others.
+type SequenceState struct {
+	ID           string `json:"id"`
+	OutputTokens int    `json:"produced"`
+	CachedTokens int    `json:"cached"`
+	Finished     bool   `json:"finished"`
+	HeldTokens   int    `json:"held_tokens"`
+	Admitted     bool   `json:"admitted"`
 }
 
 // Event is progress of one sequence in a step: Token is the new count of output
 // tokens; Prefilled is set at the end of a held sequence's prefill.
 type Event struct {
-	ID        string
-	Token     int
-	Prefilled bool
-	Finished  bool
+	ID           string
+	OutputTokens int
+	Prefilled    bool
+	Finished     bool
 }
 
 // Load is an engine's report of itself.
 type Load struct {
-	Running       int `json:"running"`
-	Waiting       int `json:"waiting"`
-	BacklogTokens int `json:"backlog_tokens"`
-	FreeTokens    int `json:"free_memory_tokens"`
+	Running          int `json:"running"`
+	Waiting          int `json:"waiting"`
+	BacklogTokens    int `json:"backlog_tokens"`
+	FreeMemoryTokens int `json:"free_memory_tokens"`
 }
 
 // Model is an engine's state. Not safe for concurrent use.
@@ -273,7 +273,7 @@
 		duration += m.config.DecodeTime
 		s.produced++
 		s.finished = s.produced >= s.MaxTokens
-		events = append(events, Event{ID: s.ID, Token: s.produced, Finished: s.finished})
+		events = append(events, Event{ID: s.ID, OutputTokens: s.produced, Finished: s.finished})
 	}
 	m.admit()
 	return duration, events
@@ -300,29 +300,29 @@
 	return true
 }
 
-// Held is the memory of sequences not yet released, in tokens.
-func (m *Model) Held() int { return m.held }
+// HeldTokens is the memory of sequences not yet released, in tokens.
+func (m *Model) HeldTokens() int { return m.held }
 
 // States lists the sequences in order of priority and arrival.
-func (m *Model) States() []State {
-	states := make([]State, 0, len(m.order))
+func (m *Model) States() []SequenceState {
+	states := make([]SequenceState, 0, len(m.order))
 	for _, s := range m.order {
 		states = append(states, s.state())
 	}
 	return states
 }
 
-func (s *Sequence) state() State {
+func (s *Sequence) state() SequenceState {
 	held := 0
 	if s.admitted {
 		held = s.PromptTokens + s.MaxTokens
 	}
-	return State{ID: s.ID, Produced: s.produced, Cached: s.cached, Finished: s.finished, Held: held, Admitted: s.admitted}
+	return SequenceState{ID: s.ID, OutputTokens: s.produced, CachedTokens: s.cached, Finished: s.finished, HeldTokens: held, Admitted: s.admitted}
 }
 
 // Load reports the engine's load.
 func (m *Model) Load() Load {
-	load := Load{FreeTokens: m.config.MemoryTokens - m.held}
+	load := Load{FreeMemoryTokens: m.config.MemoryTokens - m.held}
 	for _, s := range m.order {
 		if s.finished {
 			continue
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -29,8 +29,8 @@
 	LoadLag time.Duration
 	// EventLag is how late a cache event is shown.
 	EventLag time.Duration
-	// EventGap drops every n-th cache event; 0: none.
-	EventGap int
+	// EventDropInterval drops every n-th cache event; 0: none.
+	EventDropInterval int
 }
 
 // Faults is the stand-in's present misbehaviour.
@@ -43,8 +43,8 @@
 	RefuseAll bool `json:"refuse_all"`
 }
 
-// WattsAt is the draw from a moment on.
-type WattsAt struct {
+// PowerSample is the draw from a moment on.
+type PowerSample struct {
 	UnixNano int64 `json:"unix_nano"`
 	Watts    int   `json:"watts"`
 }
@@ -55,26 +55,26 @@
 	PromptTokens int    `json:"prompt_tokens"`
 	Finished     bool   `json:"finished"`
 	Cancelled    bool   `json:"cancelled"`
-	// Beginning is Beginning of the prompt, by which a caller's request is found.
-	Beginning uint64 `json:"beginning"`
+	// PromptPrefixHash is PromptPrefixHash of the prompt, by which a caller's request is found.
+	PromptPrefixHash uint64 `json:"beginning"`
 }
 
 // beginningBytes are enough to tell prompts apart, and fewer than any span's part.
 const beginningBytes = 256
 
-// Beginning hashes the first bytes of a prompt.
-func Beginning(prompt string) uint64 {
+// PromptPrefixHash hashes the first bytes of a prompt.
+func PromptPrefixHash(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), beginningBytes)])
 }
 
 // Record is what truly happened.
 type Record struct {
-	Runs       []Run     `json:"runs"`
-	HeldTokens int       `json:"held_tokens"`
-	PeakTokens int       `json:"peak_tokens"`
-	Watts      []WattsAt `json:"watts"`
-	Orders     []string  `json:"orders"`
-	Refused    int       `json:"refused_orders"`
+	Runs          []Run         `json:"runs"`
+	HeldTokens    int           `json:"held_tokens"`
+	PeakTokens    int           `json:"peak_tokens"`
+	Watts         []PowerSample `json:"watts"`
+	Orders        []string      `json:"orders"`
+	RefusedOrders int           `json:"refused_orders"`
 	// CachedTokens counts prompt tokens served from the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -213,7 +213,7 @@
 		if event.Prefilled {
 			st.held = true
 		} else {
-			st.tokens = append(st.tokens, TokenText(st.hash, st.offset+event.Token-1))
+			st.tokens = append(st.tokens, TokenText(st.hash, st.offset+event.OutputTokens-1))
 		}
 		if event.Finished {
 			st.finished = true
@@ -232,7 +232,7 @@
 func (s *Server) noteEvents() {
 	for _, event := range s.model.TakeCacheEvents() {
 		s.seen++
-		if s.settings.EventGap > 0 && s.seen%s.settings.EventGap == 0 {
+		if s.settings.EventDropInterval > 0 && s.seen%s.settings.EventDropInterval == 0 {
 			continue
 		}
 		s.events = append(s.events, timedEvent{time.Now(), event})
@@ -249,15 +249,15 @@
 	if n := len(s.record.Watts); n > 0 && s.record.Watts[n-1].Watts == watts {
 		return
 	}
-	s.record.Watts = append(s.record.Watts, WattsAt{time.Now().UnixNano(), watts})
+	s.record.Watts = append(s.record.Watts, PowerSample{time.Now().UnixNano(), watts})
 }
 
 // Handler serves the engine's paths, and /control and /record for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", s.complete)
-	mux.HandleFunc("GET /v1/models", control.Show(&s.mu, func() any { return map[string]any{"models": s.settings.Models} }))
-	mux.HandleFunc("GET /v1/sequences", control.Show(&s.mu, func() []State { return s.model.States() }))
+	mux.HandleFunc("GET /v1/models", control.GetHandler(&s.mu, func() any { return map[string]any{"models": s.settings.Models} }))
+	mux.HandleFunc("GET /v1/sequences", control.GetHandler(&s.mu, func() []SequenceState { return s.model.States() }))
 	mux.HandleFunc("DELETE /v1/sequences/{id}", s.cancel)
 	mux.HandleFunc("GET /v1/sequences/{id}/stream", s.resume)
 	mux.HandleFunc("GET /v1/sequences/{id}/kv", s.export)
@@ -265,8 +265,8 @@
 	mux.HandleFunc("GET /v1/load", s.load)
 	mux.HandleFunc("POST /v1/orders", s.order)
 	mux.HandleFunc("GET /v1/status", s.status)
-	mux.HandleFunc("POST /control/faults", control.Set(&s.mu, func(f Faults) { s.faults = f }))
-	mux.HandleFunc("GET /record", control.Show(&s.mu, s.shown))
+	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, func(f Faults) { s.faults = f }))
+	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, s.shown))
 	return mux
 }
 
@@ -276,7 +276,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.settings.ChecksFencing && number < s.fence {
-		s.record.Refused++
+		s.record.RefusedOrders++
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return true
 	}
@@ -336,7 +336,7 @@
 		return nil, fmt.Errorf("refusing, as told by a test")
 	}
 	hash := xxhash.Sum64String(request.Prompt)
-	if request.Delivered != Answer(request.Prompt, request.DeliveredTokens) {
+	if request.Delivered != Completion(request.Prompt, request.DeliveredTokens) {
 		return nil, fmt.Errorf("delivered text is not the start of this prompt's answer")
 	}
 	tokens := CountTokens(request.Prompt)
@@ -357,8 +357,8 @@
 	}
 	st := &stream{changed: make(chan struct{}), hash: hash, offset: request.DeliveredTokens, run: len(s.record.Runs), prompt: tokens}
 	s.streams[request.RequestID] = st
-	s.record.Runs = append(s.record.Runs, Run{ID: request.RequestID, PromptTokens: tokens, Beginning: Beginning(request.Prompt)})
-	s.record.PeakTokens = max(s.record.PeakTokens, s.model.Held())
+	s.record.Runs = append(s.record.Runs, Run{ID: request.RequestID, PromptTokens: tokens, PromptPrefixHash: PromptPrefixHash(request.Prompt)})
+	s.record.PeakTokens = max(s.record.PeakTokens, s.model.HeldTokens())
 	s.noteWatts()
 	select {
 	case s.wake <- struct{}{}:
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -26,8 +26,8 @@
 	return " " + strconv.FormatUint(mixed%tokenVariants, 36)
 }
 
-// Answer gives the first n tokens of the answer to a prompt.
-func Answer(prompt string, n int) string {
+// Completion gives the first n tokens of the answer to a prompt.
+func Completion(prompt string, n int) string {
 	hash := xxhash.Sum64String(prompt)
 	var b strings.Builder
 	for i := 0; i < n; i++ {
--- a/standin/link/addr_test.go
+++ b/standin/link/addr_test.go
@@ -11,7 +11,7 @@
 // Symptom: a process under test cannot bind its port. Sequence: two test processes look
 // for free ports at the same time and find the same one. Cause: each knew only what it
 // had given out itself.
-func TestAPortIsClaimedForAllProcesses(t *testing.T) {
+func TestFreeAddrReservesPortAcrossProcesses(t *testing.T) {
 	is := is.New(t)
 	addr, err := FreeAddr()
 	is.NoErr(err)
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -82,9 +82,9 @@
 // Addr is where the link listens.
 func (l *Link) Addr() string { return l.addr }
 
-// Refuse makes the link refuse connections, as its target does whose process has ended. Present
+// RefuseConnections makes the link refuse connections, as its target does whose process has ended. Present
 // ones go on.
-func (l *Link) Refuse() {
+func (l *Link) RefuseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Listen takes connections again after Refuse. Error: the address is in use.
-func (l *Link) Listen() error {
+// AcceptConnections takes connections again after Refuse. Error: the address is in use.
+func (l *Link) AcceptConnections() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil {
@@ -111,15 +111,15 @@
 
 // Close ends the link and all its connections.
 func (l *Link) Close() {
-	l.Refuse()
+	l.RefuseConnections()
 	_ = l.packets.Close()
-	l.Reset()
-	l.SetCut(0)
+	l.ResetConnections()
+	l.SetBlocked(0)
 }
 
-// SetCut cuts the link in the directions given and heals it in the others; what was
+// SetBlocked cuts the link in the directions given and heals it in the others; what was
 // held back is then delivered, unless Reset has lost it.
-func (l *Link) SetCut(cut Direction) {
+func (l *Link) SetBlocked(cut Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, way := range []Direction{ToTarget, FromTarget} {
@@ -140,8 +140,8 @@
 	l.delay = d
 }
 
-// Reset resets all connections and loses what is on its way; new ones work.
-func (l *Link) Reset() {
+// ResetConnections resets all connections and loses what is on its way; new ones work.
+func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
@@ -153,8 +153,8 @@
 	}
 }
 
-// Mute makes the present connections go silent for good; new ones work.
-func (l *Link) Mute() {
+// BlackholeConnections makes the present connections go silent for good; new ones work.
+func (l *Link) BlackholeConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
--- a/standin/platform/answers.go
+++ b/standin/platform/answers.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// PlainAnswer is the body that any worker gives for a request.
-func PlainAnswer(id string) string { return "answer to " + id }
+// PlainResponse is the body that any worker gives for a request.
+func PlainResponse(id string) string { return "answer to " + id }
 
 // EventText is event n of the stream that any worker gives for a request.
 func EventText(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
@@ -28,28 +28,28 @@
 const signature = "X-Aspenyard-Server-Stamp: s1\r\n"
 
 func (w *Worker) plain(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
-	body := PlainAnswer(run.ID)
+	body := PlainResponse(run.ID)
 	framed := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%sContent-Length: %d\r\n\r\n%s", head, signature, len(body), body)
 	switch fault {
 	case FaultError:
 		w.setStatus(run, http.StatusInternalServerError)
 		fmt.Fprintf(conn, "HTTP/1.1 500 Internal Server Error\r\n%s%sContent-Length: 4\r\n\r\nfail", head, signature)
-	case FaultBareRefusal:
+	case FaultUnmarkedRefusal:
 		w.setStatus(run, http.StatusServiceUnavailable)
 		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 0\r\n\r\n", head, signature)
 	case FaultReset:
 		return false
-	case FaultCut:
+	case FaultTruncated:
 		_, _ = io.WriteString(conn, framed[:len(framed)-3])
 		return false
-	case FaultExtra:
+	case FaultDuplicateResponse:
 		_, _ = io.WriteString(conn, framed)
 		time.Sleep(5 * time.Millisecond)
 		_, _ = io.WriteString(conn, framed)
 	case FaultUnframed:
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+head+signature+"Connection: close\r\n\r\n"+body)
 		return false
-	case FaultUnsigned:
+	case FaultNoServerStamp:
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	case FaultGarbage:
 		_, _ = io.WriteString(conn, "\x00\x01 no answer\r\n\r\n")
@@ -65,19 +65,19 @@
 
 func (w *Worker) stream(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
 	switch fault {
-	case FaultError, FaultReset, FaultHang, FaultGarbage, FaultBareRefusal:
+	case FaultError, FaultReset, FaultHang, FaultGarbage, FaultUnmarkedRefusal:
 		return w.plain(conn, head, run, fault, left)
 	}
-	chunked := fault != FaultUnframed && fault != FaultTorn
+	chunked := fault != FaultUnframed && fault != FaultTruncatedUnframed
 	framing := "Transfer-Encoding: chunked\r\n"
 	if !chunked {
 		framing = "Connection: close\r\n"
 	}
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"+head+signature+framing+"\r\n")
-	first, _ := strconv.Atoi(run.LastEvent)
-	for n := first + 1; n <= w.Events; n++ {
+	first, _ := strconv.Atoi(run.LastEventID)
+	for n := first + 1; n <= w.EventCount; n++ {
 		text := EventText(run.ID, n)
-		breaks := (fault == FaultCut || fault == FaultTorn) && n == first+2
+		breaks := (fault == FaultTruncated || fault == FaultTruncatedUnframed) && n == first+2
 		if breaks {
 			text = text[:len(text)/2]
 		}
@@ -90,7 +90,7 @@
 		if breaks {
 			return false
 		}
-		gap := w.Pace
+		gap := w.EventInterval
 		if fault == FaultSlow {
 			gap = time.Second
 		}
--- a/standin/platform/caller.go
+++ b/standin/platform/caller.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Host and Key are those of the configuration that SmallConfig gives.
+// Host and APIKey are those of the configuration that SmallConfig gives.
 const (
-	Host = "front.example"
-	Key  = "key-1"
+	Host   = "front.example"
+	APIKey = "key-1"
 )
 
 // Headers that callers send and get.
@@ -25,33 +25,33 @@
 	headerInstance = "X-Aspenyard-Expect-Instance"
 )
 
-// Call is what a caller says of a request besides its path and body.
-type Call struct {
-	ID, Key  string
-	Deadline time.Duration
+// CallHeaders is what a caller says of a request besides its path and body.
+type CallHeaders struct {
+	ID, APIKey string
+	Deadline   time.Duration
 	// PromptTokens and OutputTokens are given where PromptTokens is not 0.
 	PromptTokens, OutputTokens int
 }
 
 // SetHeaders writes the caller's headers.
-func (c *Call) SetHeaders(h http.Header) {
+func (c *CallHeaders) SetHeaders(h http.Header) {
 	h.Set(headerID, c.ID)
 	h.Set(headerDeadline, fmt.Sprint(c.Deadline.Milliseconds()))
-	h.Set("Authorization", "Bearer "+c.Key)
+	h.Set("Authorization", "Bearer "+c.APIKey)
 	if c.PromptTokens > 0 {
 		h.Set(headerModel, "m")
 		h.Set(headerTokens, fmt.Sprintf("%d,%d", c.PromptTokens, c.OutputTokens))
 	}
 }
 
-// ForgeHeaders adds words that only the system may say, as a caller might try.
-func ForgeHeaders(h http.Header) {
+// SetForgedHeaders adds words that only the system may say, as a caller might try.
+func SetForgedHeaders(h http.Header) {
 	h.Set(headerTenant, "forged")
 	h.Set(headerHelpers, "127.0.0.1:1")
 }
 
-// AnswerHead reads which request an answer is to, and whether a worker signed it.
-func AnswerHead(h http.Header) (id string, signed bool) {
+// ParseResponseHeaders reads which request an answer is to, and whether a worker signed it.
+func ParseResponseHeaders(h http.Header) (id string, signed bool) {
 	return h.Get(headerID), h.Get(headerStamp) != ""
 }
 
@@ -66,7 +66,7 @@
 func CallerRequest(addr, id, body string) *http.Request {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/model/a", strings.NewReader(body))
 	r.Host = Host
-	call := Call{ID: id, Key: Key, Deadline: callDeadline, PromptTokens: callPrompt, OutputTokens: callOutput}
+	call := CallHeaders{ID: id, APIKey: APIKey, Deadline: callDeadline, PromptTokens: callPrompt, OutputTokens: callOutput}
 	call.SetHeaders(r.Header)
 	return r
 }
--- a/standin/platform/memory.go
+++ b/standin/platform/memory.go
@@ -50,8 +50,8 @@
 	return tokens <= w.MemoryTokens
 }
 
-// Freed counts the releases that ended a reservation.
-func (w *Worker) Freed() int {
+// FreedCount counts the releases that ended a reservation.
+func (w *Worker) FreedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.freed
@@ -85,7 +85,7 @@
 	w.mu.Lock()
 	w.orders++
 	w.mu.Unlock()
-	if fault == FaultLate {
+	if fault == FaultLateOrder {
 		time.AfterFunc(orderDelay, func() { w.carryOut(&order) })
 		return false
 	}
--- a/standin/platform/operator.go
+++ b/standin/platform/operator.go
@@ -19,7 +19,7 @@
 	// Kind is idempotent, non_idempotent or streaming.
 	Name, Host, Prefix, Kind, Service string
 	Resumable                         bool
-	Timeout, Target, TargetGap        time.Duration
+	Timeout, Target, TargetPause      time.Duration
 	MaxAttempts                       int
 }
 
@@ -47,7 +47,7 @@
 	for _, r := range c.Routes {
 		routes = append(routes, map[string]any{
 			"name": r.Name, "host": r.Host, "prefix": r.Prefix, "route_kind": r.Kind, "service": r.Service, "resumable": r.Resumable, "priority": 1,
-			"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.Target.Milliseconds(), "target_gap_ms": r.TargetGap.Milliseconds(), "max_attempts": r.MaxAttempts,
+			"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.Target.Milliseconds(), "target_gap_ms": r.TargetPause.Milliseconds(), "max_attempts": r.MaxAttempts,
 		})
 	}
 	for _, s := range c.Services {
@@ -88,10 +88,10 @@
 		Version: version,
 		Routes: []Route{{
 			Name: "model", Host: Host, Prefix: "/model/", Kind: "streaming", Resumable: true, Service: service,
-			Timeout: 20 * time.Second, Target: time.Second, TargetGap: 500 * time.Millisecond, MaxAttempts: 4,
+			Timeout: 20 * time.Second, Target: time.Second, TargetPause: 500 * time.Millisecond, MaxAttempts: 4,
 		}},
 		Services: []Service{{Name: service, MaxConnections: 1000, MemoryTokens: smallMemory}},
-		Accounts: []Account{{Name: "acme", Keys: []string{Key}}},
+		Accounts: []Account{{Name: "acme", Keys: []string{APIKey}}},
 		Limits:   Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
 	return c.Encode()
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -15,16 +15,16 @@
 
 // StoreFaults is the store's present misbehaviour.
 type StoreFaults struct {
-	// Refuse answers every call with this status; 0: works.
-	Refuse int
-	// Silent leaves every call without an answer until it ends.
-	Silent bool
-	// Deaf makes watches hear nothing until they end.
-	Deaf bool
+	// RefuseStatus answers every call with this status; 0: works.
+	RefuseStatus int
+	// NoResponse leaves every call without an answer until it ends.
+	NoResponse bool
+	// MuteWatches makes watches hear nothing until they end.
+	MuteWatches bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseAnswers drops the connection after this many further writes took effect.
-	LoseAnswers int
+	// LoseResponses drops the connection after this many further writes took effect.
+	LoseResponses int
 }
 
 // Item is one key of the store.
@@ -73,8 +73,8 @@
 	s.wake()
 }
 
-// Calls counts the calls of a path so far.
-func (s *Store) Calls(path string) int {
+// CallCount counts the calls of a path so far.
+func (s *Store) CallCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
@@ -116,8 +116,8 @@
 	return s.items[key].Value
 }
 
-// DropHistory forgets all events so far.
-func (s *Store) DropHistory() {
+// Compact forgets all events so far.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.compacted = nil, s.revision
@@ -195,10 +195,10 @@
 			time.Sleep(faults.Delay)
 		}
 		switch {
-		case faults.Silent:
+		case faults.NoResponse:
 			<-r.Context().Done()
-		case faults.Refuse != 0:
-			http.Error(w, "refused", faults.Refuse)
+		case faults.RefuseStatus != 0:
+			http.Error(w, "refused", faults.RefuseStatus)
 		default:
 			next(w, r)
 		}
@@ -251,7 +251,7 @@
 	deaf := false // once deaf, a waiting watch stays so until it ends
 	for {
 		s.mu.Lock()
-		deaf = deaf || s.faults.Deaf
+		deaf = deaf || s.faults.MuteWatches
 		gone, at, changed := after < s.compacted, s.revision, s.changed
 		events := []event{}
 		for _, e := range s.events {
@@ -330,8 +330,8 @@
 
 // answerWrite answers a write that took effect, or loses the answer.
 func (s *Store) answerWrite(w http.ResponseWriter, value any) {
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if s.faults.LoseResponses > 0 {
+		s.faults.LoseResponses--
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, value)
@@ -375,8 +375,8 @@
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
-// EndLeases ends all leases, as an outage may.
-func (s *Store) EndLeases() {
+// RevokeLeases ends all leases, as an outage may.
+func (s *Store) RevokeLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
--- a/standin/platform/worker.go
+++ b/standin/platform/worker.go
@@ -20,58 +20,58 @@
 const (
 	// FaultShed refuses the request and says that it did not run.
 	FaultShed Fault = "shed"
-	// FaultBareRefusal refuses with 503 without saying that it did not run.
-	FaultBareRefusal Fault = "bare-refusal"
+	// FaultUnmarkedRefusal refuses with 503 without saying that it did not run.
+	FaultUnmarkedRefusal Fault = "bare-refusal"
 	// FaultError runs the request and answers 500.
 	FaultError Fault = "error"
 	// FaultReset runs the request and closes the connection without an answer.
 	FaultReset Fault = "reset"
-	// FaultCut breaks off in the midst of the second event, or of a plain body.
-	FaultCut Fault = "cut"
-	// FaultTorn gives a stream without length that ends in the midst of its second event.
-	FaultTorn Fault = "torn"
-	// FaultExtra answers and sends a second answer to the same request a moment later.
-	FaultExtra Fault = "extra"
+	// FaultTruncated breaks off in the midst of the second event, or of a plain body.
+	FaultTruncated Fault = "cut"
+	// FaultTruncatedUnframed gives a stream without length that ends in the midst of its second event.
+	FaultTruncatedUnframed Fault = "torn"
+	// FaultDuplicateResponse answers and sends a second answer to the same request a moment later.
+	FaultDuplicateResponse Fault = "extra"
 	// FaultUnframed gives no length: the answer ends with the connection.
 	FaultUnframed Fault = "unframed"
-	// FaultUnsigned leaves the signature out.
-	FaultUnsigned Fault = "unsigned"
+	// FaultNoServerStamp leaves the signature out.
+	FaultNoServerStamp Fault = "unsigned"
 	// FaultGarbage sends bytes that are no answer.
 	FaultGarbage Fault = "garbage"
 	// FaultHang runs the request and never answers.
 	FaultHang Fault = "hang"
-	// FaultEarly answers before it has read the body, and reads on.
-	FaultEarly Fault = "early"
+	// FaultEarlyResponse answers before it has read the body, and reads on.
+	FaultEarlyResponse Fault = "early"
 	// FaultSlow answers right, each event a second after the last.
 	FaultSlow Fault = "slow"
-	// FaultHelper refuses because of a helper, which it names.
-	FaultHelper Fault = "helper"
-	// FaultLate leaves an order unanswered and carries it out after orderDelay.
-	FaultLate Fault = "late"
+	// FaultHelperFailed refuses because of a helper, which it names.
+	FaultHelperFailed Fault = "helper"
+	// FaultLateOrder leaves an order unanswered and carries it out after orderDelay.
+	FaultLateOrder Fault = "late"
 )
 
 // Run is one request that a worker ran, or refused.
 type Run struct {
-	ID, Method, Target, Account, LastEvent, Helpers string
-	Priority                                        string
-	Body                                            string
-	DeadlineMS                                      int
-	// Key is the caller's, which must not be passed on.
-	Key string
+	ID, Method, RequestURI, Account, LastEventID, Helpers string
+	Priority                                              string
+	Body                                                  string
+	DeadlineMS                                            int
+	// Authorization is the caller's, which must not be passed on.
+	Authorization string
 	// Ran is false for a request that was refused.
 	Ran bool
 	// Status is what it was answered with, 0 for nothing that is an answer; Fault what
 	// was done wrong with it.
 	Status int
 	Fault  Fault
-	// Arrived is when its head and body had been read; Ended when the work ended, zero
+	// ArrivedAt is when its head and body had been read; EndedAt when the work ended, zero
 	// while it goes on. Dropped is set when the caller left before that.
-	Arrived, Ended time.Time
-	Dropped        bool
+	ArrivedAt, EndedAt time.Time
+	Cancelled          bool
 }
 
-// Tickets are the names of the reservations that a run uses.
-func (r *Run) Tickets() []string {
+// ReservationIDs are the names of the reservations that a run uses.
+func (r *Run) ReservationIDs() []string {
 	var tickets []string
 	for _, helper := range strings.Split(r.Helpers, ",") {
 		if _, ticket, found := strings.Cut(helper, "/"); found {
@@ -85,21 +85,21 @@
 type Worker struct {
 	// ID names it, Service is what it serves.
 	ID, Service string
-	// Born is when this life began, in Unix milliseconds; 0: its registration does not say,
+	// StartUnixMilli is when this life began, in Unix milliseconds; 0: its registration does not say,
 	// as on older platforms.
-	Born int64
-	// Events is how many events a stream has; 0: answers are plain.
-	Events int
-	// Pace is the time between events, Work that which a plain answer takes.
-	Pace, Work time.Duration
+	StartUnixMilli int64
+	// EventCount is how many events a stream has; 0: answers are plain.
+	EventCount int
+	// EventInterval is the time between events, WorkTime that which a plain answer takes.
+	EventInterval, WorkTime time.Duration
 	// Slots is how many requests it works on at once; more are refused as not run.
 	// 0: any number.
 	Slots int
-	// CrashOn is the body of requests under which the worker ends as it begins to run them; "":
+	// CrashBody is the body of requests under which the worker ends as it begins to run them; "":
 	// none.
-	CrashOn string
-	// Crashed is called as the worker ends under CrashOn; nil: nothing is.
-	Crashed func()
+	CrashBody string
+	// OnCrash is called as the worker ends under CrashOn; nil: nothing is.
+	OnCrash func()
 	// MemoryTokens is its KV cache, of which reservations take their part; 0: no bound.
 	MemoryTokens int
 
@@ -145,8 +145,8 @@
 // Addr is where it listens.
 func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// Refuse closes the port and leaves the connections open, as if the worker hung.
-func (w *Worker) Refuse() { _ = w.listener.Close() }
+// StopListening closes the port and leaves the connections open, as if the worker hung.
+func (w *Worker) StopListening() { _ = w.listener.Close() }
 
 // Stop closes the port and all connections; a worker that never started stays as it is.
 func (w *Worker) Stop() {
@@ -173,59 +173,59 @@
 	fields := map[string]any{
 		"service": w.Service, "address": addr, "zone": "dc1", "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq_no": w.seq,
 	}
-	if w.Born != 0 {
-		fields["born"] = w.Born
+	if w.StartUnixMilli != 0 {
+		fields["born"] = w.StartUnixMilli
 	}
 	data, _ := json.Marshal(fields)
 	return data
 }
 
-// Life names this life of the worker, in records.
-func (w *Worker) Life() string {
-	if w.Born == 0 {
+// Incarnation names this life of the worker, in records.
+func (w *Worker) Incarnation() string {
+	if w.StartUnixMilli == 0 {
 		return w.ID
 	}
-	return w.ID + "/" + strconv.FormatInt(w.Born, 10)
+	return w.ID + "/" + strconv.FormatInt(w.StartUnixMilli, 10)
 }
 
-// Next queues faults for the coming requests, one each.
-func (w *Worker) Next(faults ...Fault) {
+// QueueFaults queues faults for the coming requests, one each.
+func (w *Worker) QueueFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, faults...)
 }
 
-// NextOrder queues faults for the coming orders, one each.
-func (w *Worker) NextOrder(faults ...Fault) {
+// QueueOrderFaults queues faults for the coming orders, one each.
+func (w *Worker) QueueOrderFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.orderFaults = append(w.orderFaults, faults...)
 }
 
-// Always sets a fault for all requests that have none queued; "" for none.
-func (w *Worker) Always(f Fault) {
+// SetDefaultFault sets a fault for all requests that have none queued; "" for none.
+func (w *Worker) SetDefaultFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.always = f
 }
 
-// SetPace sets how many times as long as described its work takes, as its report tells;
+// SetSlowdown sets how many times as long as described its work takes, as its report tells;
 // 0 tells that it does not say.
-func (w *Worker) SetPace(pace float64) {
+func (w *Worker) SetSlowdown(pace float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pace = pace
 }
 
-// Reports counts how often it was asked for its report.
-func (w *Worker) Reports() int {
+// ReportCount counts how often it was asked for its report.
+func (w *Worker) ReportCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reports
 }
 
-// BlameHelper sets the address that FaultHelper names.
-func (w *Worker) BlameHelper(addr string) {
+// SetFailedHelper sets the address that FaultHelper names.
+func (w *Worker) SetFailedHelper(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.helper = addr
@@ -242,22 +242,22 @@
 	return list
 }
 
-// Working counts the requests at which it is at work.
-func (w *Worker) Working() int {
+// InFlight counts the requests at which it is at work.
+func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.working
 }
 
-// Accepted counts connections.
-func (w *Worker) Accepted() int {
+// AcceptedCount counts connections.
+func (w *Worker) AcceptedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.accepted
 }
 
-// Reserved lists the reservations that are held, and how many were released.
-func (w *Worker) Reserved() (held map[string]int, released, orders int) {
+// Reservations lists the reservations that are held, and how many were released.
+func (w *Worker) Reservations() (held map[string]int, released, orders int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held = map[string]int{}
@@ -311,7 +311,7 @@
 	}
 	fault := w.take()
 	run := readRun(r, fault)
-	if fault == FaultEarly {
+	if fault == FaultEarlyResponse {
 		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", run.ID)
 		_, _ = io.Copy(io.Discard, r.Body)
 		return true
@@ -320,7 +320,7 @@
 	if err != nil {
 		return false
 	}
-	run.Body, run.Arrived = string(body), time.Now()
+	run.Body, run.ArrivedAt = string(body), time.Now()
 	head := fmt.Sprintf("X-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Instance-Load: 1,0,16\r\n", run.ID)
 	if status, headers := w.refusal(r, fault); status != 0 {
 		run.Status = status
@@ -330,9 +330,9 @@
 	}
 	run.Ran, run.Status = true, http.StatusOK
 	w.note(run)
-	if w.CrashOn != "" && run.Body == w.CrashOn {
-		if w.Crashed != nil {
-			w.Crashed()
+	if w.CrashBody != "" && run.Body == w.CrashBody {
+		if w.OnCrash != nil {
+			w.OnCrash()
 		}
 		w.Stop()
 		return false
@@ -350,9 +350,9 @@
 func readRun(r *http.Request, fault Fault) *Run {
 	deadline, _ := strconv.Atoi(r.Header.Get("X-Aspenyard-Deadline-Ms"))
 	return &Run{
-		ID: r.Header.Get("X-Aspenyard-Attempt-Id"), Method: r.Method, Target: r.RequestURI, Account: r.Header.Get("X-Aspenyard-Tenant"),
-		LastEvent: r.Header.Get("Last-Event-Id"), Helpers: r.Header.Get("X-Aspenyard-Helpers"), Priority: r.Header.Get("X-Aspenyard-Request-Priority"),
-		DeadlineMS: deadline, Key: r.Header.Get("Authorization"), Fault: fault,
+		ID: r.Header.Get("X-Aspenyard-Attempt-Id"), Method: r.Method, RequestURI: r.RequestURI, Account: r.Header.Get("X-Aspenyard-Tenant"),
+		LastEventID: r.Header.Get("Last-Event-Id"), Helpers: r.Header.Get("X-Aspenyard-Helpers"), Priority: r.Header.Get("X-Aspenyard-Request-Priority"),
+		DeadlineMS: deadline, Authorization: r.Header.Get("Authorization"), Fault: fault,
 	}
 }
 
@@ -367,7 +367,7 @@
 		return http.StatusServiceUnavailable, notExecuted
 	case w.full():
 		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.Addr() + "\r\n"
-	case fault == FaultHelper:
+	case fault == FaultHelperFailed:
 		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.helper + "\r\n"
 	}
 	return 0, ""
@@ -388,10 +388,10 @@
 func (w *Worker) run(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
 	w.work(1)
 	defer w.work(-1)
-	if w.Events > 0 {
+	if w.EventCount > 0 {
 		return w.stream(conn, head, run, fault, left)
 	}
-	if w.Work > 0 && !pause(w.Work, left) {
+	if w.WorkTime > 0 && !pause(w.WorkTime, left) {
 		return false
 	}
 	return w.plain(conn, head, run, fault, left)
@@ -410,10 +410,10 @@
 func (w *Worker) end(run *Run, left <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	run.Ended = time.Now()
+	run.EndedAt = time.Now()
 	select {
 	case <-left:
-		run.Dropped = true
+		run.Cancelled = true
 	default:
 	}
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -22,23 +22,23 @@
 
 // Faults is the stand-in's present misbehaviour.
 type Faults struct {
-	// BeforeMS and AfterMS delay a call before and after its run.
-	BeforeMS int `json:"before_ms"`
-	AfterMS  int `json:"after_ms"`
+	// DelayBeforeMS and AfterMS delay a call before and after its run.
+	DelayBeforeMS int `json:"before_ms"`
+	DelayAfterMS  int `json:"after_ms"`
 	// DropBefore and DropAfter cut the connection of further calls, that many
 	// times, before or after the run.
 	DropBefore int `json:"drop_before"`
 	DropAfter  int `json:"drop_after"`
-	// FailWith answers with this HTTP status after the run.
-	FailWith int `json:"fail_with"`
+	// FailStatus answers with this HTTP status after the run.
+	FailStatus int `json:"fail_with"`
 }
 
 // Run is one call carried out.
 type Run struct {
-	Key      string `json:"key"`
-	Kind     string `json:"kind"`
-	Fencing  uint64 `json:"fencing"`
-	UnixNano int64  `json:"unix_nano"`
+	Key           string `json:"key"`
+	Kind          string `json:"kind"`
+	FencingNumber uint64 `json:"fencing"`
+	UnixNano      int64  `json:"unix_nano"`
 }
 
 // Record is what truly happened: the runs, and how many calls arrived, run or not.
@@ -65,9 +65,9 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /call/{kind}", s.call)
-	mux.HandleFunc("GET /v1/status", control.Show(&s.mu, func() any { return map[string]uint64{"fencing_number": s.fence} }))
-	mux.HandleFunc("POST /control/faults", control.Set(&s.mu, func(f Faults) { s.faults = f }))
-	mux.HandleFunc("GET /record", control.Show(&s.mu, func() Record { return Record{Runs: s.runs, Arrived: s.arrive} }))
+	mux.HandleFunc("GET /v1/status", control.GetHandler(&s.mu, func() any { return map[string]uint64{"fencing_number": s.fence} }))
+	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, func(f Faults) { s.faults = f }))
+	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return Record{Runs: s.runs, Arrived: s.arrive} }))
 	return mux
 }
 
@@ -83,7 +83,7 @@
 		s.faults.DropBefore--
 	}
 	s.mu.Unlock()
-	time.Sleep(time.Duration(faults.BeforeMS) * time.Millisecond)
+	time.Sleep(time.Duration(faults.DelayBeforeMS) * time.Millisecond)
 	if faults.DropBefore > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -92,12 +92,12 @@
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return
 	}
-	time.Sleep(time.Duration(faults.AfterMS) * time.Millisecond)
+	time.Sleep(time.Duration(faults.DelayAfterMS) * time.Millisecond)
 	if s.dropAfter() {
 		panic(http.ErrAbortHandler)
 	}
-	if faults.FailWith != 0 {
-		http.Error(w, "failing, as told by a test", faults.FailWith)
+	if faults.FailStatus != 0 {
+		http.Error(w, "failing, as told by a test", faults.FailStatus)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -113,7 +113,7 @@
 		return Run{}, 0, false
 	}
 	s.fence = max(s.fence, fencing)
-	run := Run{Key: r.Header.Get("X-Request-Key"), Kind: r.PathValue("kind"), Fencing: fencing, UnixNano: time.Now().UnixNano()}
+	run := Run{Key: r.Header.Get("X-Request-Key"), Kind: r.PathValue("kind"), FencingNumber: fencing, UnixNano: time.Now().UnixNano()}
 	s.runs = append(s.runs, run)
 	return run, len(s.runs), true
 }
