--- a/admission/queue.go
+++ b/admission/queue.go
@@ -70,9 +70,9 @@
 	return c
 }
 
-// MaxPromptTokens returns the largest sum of prompt and output, in tokens, that one
+// MaxJobTokens returns the largest sum of prompt and output, in tokens, that one
 // endpoint accepts: its KV cache without ShortPromptReserve.
-func (c Config) MaxPromptTokens() int {
+func (c Config) MaxJobTokens() int {
 	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
@@ -185,7 +185,7 @@
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
 	}
-	if q.config.MemoryTokens > 0 && job.memoryTokens() > q.config.MaxPromptTokens() {
+	if q.config.MemoryTokens > 0 && job.memoryTokens() > q.config.MaxJobTokens() {
 		return &Decision{Code: result.PromptTooLong}
 	}
 	if q.slots == 0 && q.running == 0 {
@@ -340,7 +340,7 @@
 		return true
 	}
 	if job.isLong() {
-		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memoryTokens() <= q.config.MaxPromptTokens()
+		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memoryTokens() <= q.config.MaxJobTokens()
 	}
 	return q.heldTokens+job.memoryTokens() <= q.config.MemoryTokens
 }
--- a/attempt/claim_test.go
+++ b/attempt/claim_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestJudge(t *testing.T) {
+func TestActionFor(t *testing.T) {
 	cases := []struct {
 		name  string
 		claim *Claim
--- a/attempt/retrier_test.go
+++ b/attempt/retrier_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestRetryBudgetIsAskedOnlyOnRetries(t *testing.T) {
+func TestRetryBudgetIsTakenOnlyForRetries(t *testing.T) {
 	is := is.New(t)
 	never := func() bool { t.Fatal("the budget was asked"); return false }
 	r := Retrier{Repeatable: true, MaxArrivals: 2}
--- a/directory/replica_test.go
+++ b/directory/replica_test.go
@@ -97,7 +97,7 @@
 	is.Equal(len(r.Snapshot().Endpoints("s")), 1)
 }
 
-func TestReplicaIsNotReadyBeforeWholeState(t *testing.T) {
+func TestReplicaIsNotReadyBeforeFullState(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
 	r.ApplyChanges(time.Now(), &Changes{Revision: 2, Changes: []Change{{Revision: 2, Config: config(2)}}})
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -26,7 +26,7 @@
 	response, err := e.clients.Agent(endpoint.Addr).Reserve(callCtx, connect.NewRequest(&wire.ReserveRequest{
 		RequestId: c.id, Attempt: c.attempts, Account: c.account.ID, Kind: c.kind.ID, Class: uint32(r.Class),
 		PromptTokens: uint64(r.PromptTokens), OutputTokens: uint64(r.OutputTokens),
-		RemainingMs: c.remaining().Milliseconds(), Repeatable: c.kind.Work.Repeatable, SpanPart: r.SpanPart, Key: r.Key,
+		RemainingMs: c.remaining().Milliseconds(), Repeatable: c.kind.Work.Repeatable, SpanPart: r.PrefillPart, Key: r.Key,
 	}))
 	if err != nil {
 		if ctx.Err() == nil {
--- a/entry/generate_test.go
+++ b/entry/generate_test.go
@@ -51,7 +51,7 @@
 
 // The home endpoint must be the same whatever order an entry holds its endpoints in, and
 // its Retry-After must reach the caller although earlier refusals had a shorter one.
-func TestHomeEndpointIsAskedLastAndItsRetryAfterIsReturned(t *testing.T) {
+func TestHomeEndpointIsTriedLastAndItsRetryAfterIsReturned(t *testing.T) {
 	is := is.New(t)
 	g := newTestGeneration(t, "a", "b", "c", "d")
 	for range routing.MaxAttempts - 1 {
@@ -71,7 +71,7 @@
 // Guards against sending a request again and again to an engine that has just failed it,
 // until the retry budget is spent. This happened when all endpoints refused, the home
 // endpoint then accepted and failed, and was picked again although it had been tried.
-func TestHomeEndpointIsAskedOnce(t *testing.T) {
+func TestHomeEndpointIsTriedOnce(t *testing.T) {
 	is := is.New(t)
 	g := newTestGeneration(t, "a", "b")
 	g.refuseNext(time.Second)
--- a/entry/span.go
+++ b/entry/split.go
@@ -134,7 +134,7 @@
 // when the helper stops holding the cache.
 func (g *generation) prefillPart(ctx context.Context, cancel context.CancelFunc, helper *routing.Endpoint, part string, imports []*wire.Import) (*wire.Import, *result.Error) {
 	r := g.routing
-	r.PromptTokens, r.OutputTokens, r.SpanPart = admission.EstimateTokens(part), 0, true
+	r.PromptTokens, r.OutputTokens, r.PrefillPart = admission.EstimateTokens(part), 0, true
 	reservation, refusal := g.entry.reserve(ctx, g.call, helper, &r)
 	if refusal != nil {
 		return nil, refusal
@@ -181,7 +181,7 @@
 // caches, prefills the last tokens of the prompt and generates the output.
 func (g *generation) generateOnLast(ctx context.Context, endpoint *routing.Endpoint, imports []*wire.Import, tokens int) *result.Error {
 	r := g.routing
-	r.PromptTokens, r.SpanPart = tokens, true
+	r.PromptTokens, r.PrefillPart = tokens, true
 	reservation, refusal := g.entry.reserve(ctx, g.call, endpoint, &r)
 	if refusal != nil {
 		g.routing.Tried[endpoint.Name] = true
--- a/entry/span_test.go
+++ b/entry/split_test.go
@@ -38,10 +38,10 @@
 	is := is.New(t)
 	endpoints := []routing.Endpoint{newTestEngine("c", 400_000), newTestEngine("a", 400_000), newTestEngine("b", 400_000), newTestEngine("d", 400_000)}
 	endpoints[1].Backlog[0] = 1000 // a is busy and not needed
-	members, refusal := planSplit(&routing.Request{Model: "m", PromptTokens: 900_000, Tried: map[string]bool{}}, endpoints)
+	chosen, refusal := planSplit(&routing.Request{Model: "m", PromptTokens: 900_000, Tried: map[string]bool{}}, endpoints)
 	is.True(refusal == nil)
 	names := ""
-	for _, m := range members {
+	for _, m := range chosen {
 		names += m.Name
 	}
 	is.Equal(names, "bcd")
--- a/routing/filter_memory.go
+++ b/routing/filter_memory.go
@@ -18,5 +18,5 @@
 // alone, in tokens.
 func MaxPromptTokens(e *Endpoint) int {
 	config := admission.Config{MemoryTokens: e.MemoryTokens}.WithDefaults()
-	return config.MaxPromptTokens()
+	return config.MaxJobTokens()
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -51,8 +51,8 @@
 	Tried map[string]bool
 	// Key identifies a refused request whenever it comes back, at any entry.
 	Key uint64
-	// SpanPart is set for a part of a prompt that no endpoint holds alone.
-	SpanPart bool
+	// PrefillPart is set for a part of a prompt that no endpoint holds alone.
+	PrefillPart bool
 }
 
 // Level returns the request's priority level at the engine.
