--- a/settings/settings.go
+++ b/settings/settings.go
@@ -253,7 +253,7 @@
 // CheckAddr adds an error unless addr is an IP address and a port.
 func (f *FieldErrors) CheckAddr(field, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		f.Add(field, addr, "an IP number and port, such as 127.0.0.1:9000")
+		f.Add(field, addr, "an IP address and port, such as 127.0.0.1:9000")
 	}
 }
 
