--- a/admission/arrivalrates.go
+++ b/admission/arrivalrates.go
@@ -32,7 +32,7 @@
 }
 
 // moreUrgentThan returns the arrival rate, in tokens per second, of all levels that go
-// before the given one, without its own.
+// before the given one, which is not included.
 func (a *arrivalRates) moreUrgentThan(now time.Time, level Level) float64 {
 	a.decay(now)
 	sum := 0.0
--- a/admission/deferral.go
+++ b/admission/deferral.go
@@ -38,7 +38,7 @@
 // Without deferrals, a caller that obeys Retry-After finds a queue that newer jobs
 // have filled in the meantime and is refused again, so that obeying it gains
 // nothing. A deferral holds no KV cache and no batch slot; it only ranks the job
-// among those that ask. An agent that is replaced loses its deferrals, which costs
+// among the jobs that are offered. An agent that is replaced loses its deferrals, which costs
 // their callers another refusal.
 type deferrals struct {
 	byKey     map[uint64]deferral
--- a/admission/lending.go
+++ b/admission/lending.go
@@ -8,7 +8,7 @@
 // every entry derives from the account's name.
 //
 // The shares must never sum to more than 1. A loan stays counted until its lease has
-// ended by the home's clock, on which it starts later than on the borrower's.
+// ended by the home's clock; the lease starts later at the home than at the borrower.
 // A new home lends nothing for as long as a lease of the previous one may last. Without
 // a home, an entry is left with its part of StaticShare.
 const (
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -36,7 +36,7 @@
 	// MaxWait is the longest estimated wait, by class, with which a job is accepted;
 	// defaults 10s, 15s, 30s. Shorter waits refuse earlier and keep accepted jobs
 	// faster: with 10s, 30s, 5m, a sustained load of 1.3 times the capacity made long
-	// prompts wait four times as long, while a tenth more of the bulk jobs was accepted
+	// prompts wait four times as long, while a tenth more of the bulk jobs were accepted
 	// at the first attempt.
 	MaxWait [classCount]time.Duration
 	// ShortPromptReserve is the fraction of the KV cache that is kept free of long
@@ -155,7 +155,7 @@
 	q.slots = max(0, min(slots, q.config.MaxRunning))
 }
 
-// SetClosed sets whether all offers are refused, as while the endpoint is leaving.
+// SetClosed sets whether all offers are refused, as they are while the endpoint is leaving.
 func (q *Queue) SetClosed(closed bool) { q.closed = closed }
 
 // minRetryAfter keeps refused callers from retrying at once.
@@ -178,9 +178,8 @@
 	return Decision{Accepted: true, Wait: q.estimateWait(now, job.level(), 0)}
 }
 
-// check returns nil for a job that may be accepted, or its refusal: it would wait too
-// long or miss its deadline. A job that would miss its deadline at an idle endpoint too
-// gets no deferral, because waiting does not help it.
+// check returns nil for a job that may be accepted, else its refusal. A job that would miss
+// its deadline even at an idle endpoint gets no deferral, because waiting does not help it.
 func (q *Queue) check(now time.Time, job *Job) *Decision {
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
--- a/admission/retrywindow.go
+++ b/admission/retrywindow.go
@@ -41,15 +41,15 @@
 	keptSlots = windowSlots + 1
 )
 
-// slotRing is a ring buffer with one value for each slot of a window. In the zero value
-// all are 0.
+// slotRing is a ring buffer with one value for each slot of a window. In a zero slotRing,
+// all values are 0.
 type slotRing struct {
 	current int64
 	slots   [keptSlots]float64
 }
 
-// advance moves on to a slot, sets each slot that begins to fill, and returns the current
-// slot's value.
+// advance moves on to a slot, gives each slot that it enters the value fill, and returns a
+// pointer to the current slot's value.
 func (r *slotRing) advance(slot int64, fill float64) *float64 {
 	for r.current = max(r.current, slot-keptSlots); r.current < slot; {
 		r.current++
@@ -99,9 +99,9 @@
 const (
 	// assumedEntries is the assumed number of entries while the true one is not known.
 	assumedEntries = 32
-	// retrySafetyFactor is the fraction of the limits that is used. The margin covers
-	// that entries learn their number late after a start, and that the retries of an
-	// entry before its restart are not known.
+	// retrySafetyFactor is the fraction of the limits that is used. The rest is a margin
+	// for entries that learn the number of entries late after a start, and for the
+	// retries of an entry's previous incarnation, which it does not know.
 	retrySafetyFactor = 0.8
 	// firstWindowShare is the fraction of its share of the allowance that an entry may use
 	// in the first window of an incarnation. Together with retrySafetyFactor it keeps the
@@ -117,7 +117,7 @@
 	return &RetryWindow{origin: now, limits: limits, services: map[string]*serviceCounts{}}
 }
 
-// SetLimits replaces the limits; what was counted stays.
+// SetLimits replaces the limits and keeps the counts.
 func (w *RetryWindow) SetLimits(limits RetryLimits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/admission/retrywindow_test.go
+++ b/admission/retrywindow_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Checks with requests and retries at random times at several entries that in no window
-// all entries together retry more than the limits allow.
+// Runs requests and retries at random times at several entries. In no window may all
+// entries together retry more than the limits allow.
 func TestRetryWindowsOfSeveralEntriesKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := RetryLimits{Ratio: 0.2, Allowance: 20, Window: 10 * time.Second}
--- a/attempt/fingerprint.go
+++ b/attempt/fingerprint.go
@@ -15,7 +15,7 @@
 	Scope, Body uint64
 }
 
-// String returns the fingerprint as 32 hexadecimal digits, as it stands in logs.
+// String returns the fingerprint as 32 hexadecimal digits, as it appears in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x%016x", f.Scope, f.Body) }
 
 // FingerprintScope returns the half of a fingerprint that can be computed without reading the
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -22,8 +22,8 @@
 
 const (
 	// crashesToQuarantine is the number of endpoint incarnations that must have crashed while a
-	// request was in flight there. One or two also happen to requests that did not cause the
-	// crash.
+	// request was in flight there. A request that causes no crash may still be in flight at one or
+	// two.
 	crashesToQuarantine = 3
 	// maxCrashesKept is how many crashes of a request are kept, the latest ones. They are more than
 	// crashesToQuarantine, because an answer that another node reports late cancels the crashes
@@ -40,8 +40,8 @@
 )
 
 // Quarantine detects requests that make endpoints crash repeatedly and must not be sent any more.
-// Nodes exchange their findings; the order in which findings arrive and how often does not
-// matter. It is safe for concurrent use.
+// Nodes exchange their findings, which may arrive in any order and more than once. It is safe for
+// concurrent use.
 type Quarantine struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
--- a/attempt/retrier_test.go
+++ b/attempt/retrier_test.go
@@ -25,14 +25,14 @@
 			if outcome != NotSent && outcome != HelperFailed {
 				reached++
 			}
-			asked := false
+			budgetTaken := false
 			budget := rapid.Bool().Draw(t, "budget")
-			action := r.Decide(outcome, func() bool { asked = true; return budget })
+			action := r.Decide(outcome, func() bool { budgetTaken = true; return budget })
 			if action == Retry {
 				if reached >= r.MaxArrivals {
 					t.Fatal("reached more than MaxArrivals endpoints")
 				}
-				if asked && !budget {
+				if budgetTaken && !budget {
 					t.Fatal("retried without budget")
 				}
 				if sends > 20 {
@@ -53,9 +53,9 @@
 
 func TestRetryBudgetIsTakenOnlyForRetries(t *testing.T) {
 	is := is.New(t)
-	never := func() bool { t.Fatal("the budget was asked"); return false }
+	never := func() bool { t.Fatal("a retry was taken from the budget"); return false }
 	r := Retrier{Repeatable: true, MaxArrivals: 2}
-	is.Equal(r.Decide(NotSent, never), Retry) // no endpoint has received it
+	is.Equal(r.Decide(NotSent, never), Retry) // no endpoint has received the request
 	is.Equal(r.Decide(Broken, func() bool { return false }), Fail)
 	notRepeatable := Retrier{MaxArrivals: 2}
 	is.Equal(notRepeatable.Decide(Broken, never), Fail) // it must not run again, whatever the budget is
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -81,7 +81,7 @@
 }
 
 // storeModel is a reference model of the store's registrations and of everything that the
-// replica has been told about each ID.
+// replica has received about each ID.
 type storeModel struct {
 	revision      uint64
 	registrations map[string]*Endpoint // nil for a registration that cannot be used
@@ -109,7 +109,7 @@
 	return change
 }
 
-// see records that the replica was told of a registration.
+// see records a registration that the replica has received.
 func (m *storeModel) see(e *Endpoint) {
 	m.newestStart[e.ID] = max(m.newestStart[e.ID], e.StartUnixMilli)
 	if e.Leaving {
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -77,8 +77,9 @@
 	Endpoint *Endpoint
 	// EndpointGone is the ID of an endpoint whose registration ended.
 	EndpointGone string
-	// InvalidEndpoint is the ID of an endpoint whose registration cannot be used: something
-	// other than the endpoint wrote it, or this node does not know the endpoint's kind.
+	// InvalidEndpoint is the ID of an endpoint whose registration cannot be used, because
+	// something other than the endpoint wrote it or this node does not know the endpoint's
+	// kind.
 	InvalidEndpoint string
 	// Node is a node that registered; NodeGone is the name of a node whose registration
 	// ended.
@@ -111,7 +112,8 @@
 // them; endpoints that are alive register again within two seconds.
 const missingGrace = 1500 * time.Millisecond
 
-// lapseWindow is how long after an outage the end of a registration may be such a lapse.
+// lapseWindow is how long after an outage the end of a registration may be due to such a
+// lapse.
 const lapseWindow = 4 * time.Second
 
 // Replica is a node's copy of the store's state. It only moves forward: an older
--- a/directory/source.go
+++ b/directory/source.go
@@ -8,7 +8,7 @@
 )
 
 // ErrHistoryGone is returned by Source.Watch if the store has dropped the changes after the
-// given revision. The caller must read the full state again.
+// given revision. The full state must then be read again.
 var ErrHistoryGone = errors.New("directory: the store no longer has the changes after this revision")
 
 // ErrUnavailable is returned if the store gave no usable answer.
@@ -21,7 +21,7 @@
 	// Watch returns the changes after a revision as soon as there are any, or no changes
 	// after wait. Errors: ErrHistoryGone, ErrUnavailable.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Changes, error)
-	// CloseIdleConnections closes idle connections, some of which may no longer be
-	// answered by the other side.
+	// CloseIdleConnections closes idle connections, some of which may no longer get
+	// answers.
 	CloseIdleConnections()
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -70,7 +70,7 @@
 	}, nil
 }
 
-// streamError is the error of a stream that broke before its end event. Work whose
+// streamError returns the error of a stream that broke before its end event. Work whose
 // start was confirmed did run; whether other work ran is unknown until the agent is
 // queried.
 func (r *runStream) streamError(cause error) error {
--- a/entry/control.go
+++ b/entry/control.go
@@ -164,14 +164,14 @@
 const storeReadersPerDataCentre = 2
 
 // updateStoreReader decides by this entry's rank among the live entries of its data
-// centre whether it watches the store. Entries with different views may, for a moment,
-// give too many or no readers; any number of them is safe.
+// centre whether it watches the store. While the entries' views differ there may be too
+// many readers or none; any number of them is safe.
 func (c *controlState) updateStoreReader(members *membership.View) {
 	s := c.entry.settings
 	c.isStoreReader.Store(rendezvousRank("catalogue/"+s.DataCentre, s.Name, members.Entries(s.DataCentre)) < storeReadersPerDataCentre)
 }
 
-// rendezvousRank is the rank of this node, from 0, among the candidates for a duty, by
+// rendezvousRank returns the rank of this node, from 0, among the candidates for a duty, by
 // rendezvous hashing. When a candidate dies, only its own duties move.
 func rendezvousRank(duty, self string, others []*membership.Member) int {
 	own := rendezvousWeight(duty, self)
@@ -184,7 +184,7 @@
 	return rank
 }
 
-// rendezvousWeight is a node's rendezvous hash for a duty; the highest ranks first.
+// rendezvousWeight returns a node's rendezvous hash for a duty; the highest ranks first.
 func rendezvousWeight(duty, name string) uint64 {
 	return xxhash.Sum64String(duty + "\x00" + name)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -62,7 +62,7 @@
 }
 
 // New makes an entry from its settings without opening ports or starting goroutines;
-// Serve does both. The error is that of an unknown routing policy.
+// Serve does both. It returns an error if the routing policy is unknown.
 func New(s settings.Entry, log *zap.Logger) (*Entry, error) {
 	client := consul.NewClient(s.Platform, s.StoreTimeout.D())
 	clients := node.NewClients()
@@ -183,8 +183,7 @@
 	case <-time.After(listenerCloseDelay):
 	case <-ctx.Done():
 	}
-	// Without this, callers that keep opening connections would keep the drain from
-	// ending.
+	// The drain would not end if callers could keep opening connections.
 	if err := callers.Close(); err != nil {
 		e.log.Warn("callers' listener could not be closed", zap.Error(err))
 	}
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -26,8 +26,8 @@
 	noEndpointRetryAfter = 2 * time.Second
 )
 
-// generation is one request to a model with all its attempts. Each further attempt
-// resumes after the tokens that were already delivered to the caller.
+// generation is one request to a model, which is repeatable, with all its attempts. Each
+// further attempt resumes after the tokens that were already delivered to the caller.
 type generation struct {
 	entry     *Entry
 	call      *call
@@ -40,7 +40,7 @@
 	deliveredTokens uint64
 	ran             result.Ran
 	retryState      routing.RetryState
-	bestRefusal     *result.Error // the one to return: the last deferral, else that with the shortest wait
+	bestRefusal     *result.Error // the refusal to return: the last deferral, else the one with the shortest wait
 }
 
 func (e *Entry) newGeneration(c *call, prompt string, maxTokens int, output tokenWriter) *generation {
@@ -155,7 +155,7 @@
 	return result.RanNo
 }
 
-// contextError is the final error of a request whose context has ended.
+// contextError returns the final error of a request whose context has ended.
 func (g *generation) contextError(ctx context.Context) *result.Error {
 	if ctx.Err() == context.Canceled {
 		return result.Fail(result.Cancelled, g.ran, "the caller disconnected")
@@ -163,8 +163,8 @@
 	return result.Fail(result.DeadlineExceeded, g.ran, "the deadline passed before the request ended")
 }
 
-// finalError is the error returned to the caller after the last attempt failed. The code
-// of a refusal states that nothing ran; if an earlier attempt may have run, it is
+// finalError returns the error for the caller after the last attempt failed. The code of
+// a refusal states that nothing ran; if an earlier attempt may have run, the code is
 // replaced by EndpointFailed.
 func (g *generation) finalError(failure *result.Error) *result.Error {
 	final := *failure
@@ -190,7 +190,7 @@
 	return failure
 }
 
-// runRequest is the run request for the whole prompt, from the first token that was not
+// runRequest returns the run request for the whole prompt, from the first token that was not
 // delivered.
 func (g *generation) runRequest(reservation *wire.Reservation) *wire.RunRequest {
 	return &wire.RunRequest{
@@ -242,9 +242,9 @@
 	return nil
 }
 
-// resolveBrokenStream is the error of a run whose stream broke. Where it is unknown
-// whether the run started, it withdraws the reservation, with one call: a run that had
-// not started then never will, and its place is free.
+// resolveBrokenStream returns the error of a run whose stream broke. If it is unknown
+// whether the run started, it withdraws the reservation, with one call: a run that has
+// not started by then never will, and its place is free.
 func (g *generation) resolveBrokenStream(endpoint *routing.Endpoint, reservation *wire.Reservation, err error) *result.Error {
 	failure := result.FromError(err)
 	if failure.Code == result.Internal {
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -40,7 +40,7 @@
 	return &limitLending{entry: e, lender: admission.NewLender(time.Now()), borrower: admission.NewBorrower()}
 }
 
-// share is this entry's current share of an account's limits, from 0 to 1.
+// share returns this entry's current share of an account's limits, from 0 to 1.
 func (l *limitLending) share(account string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -24,9 +24,9 @@
 	inProgressRetryAfter = time.Second
 	// resolveInterval is the time between queries to an agent whose stream broke.
 	resolveInterval = 200 * time.Millisecond
-	// recordTries is unused: it was meant to bound the writes of an outcome before the
-	// caller is answered, of which recordOutcome makes one. backgroundRecordTime is how
-	// long an entry keeps trying to resolve and record an outcome after that.
+	// recordTries is unused. It was meant to bound the writes of an outcome before the
+	// caller is answered; recordOutcome makes one. backgroundRecordTime is how long an
+	// entry keeps trying to resolve and record an outcome after that.
 	recordTries          = 3
 	backgroundRecordTime = 10 * time.Minute
 )
@@ -126,8 +126,8 @@
 	return claim, nil
 }
 
-// storeUnavailable is the error of a call that was not sent because the store is
-// unavailable. See readClaim for what it states about earlier requests.
+// storeUnavailable returns the error of a call that was not sent because the store is
+// unavailable. See readClaim for what the error states about earlier requests.
 func (n *nonRepeatableCall) storeUnavailable(detail string) *result.Error {
 	failure := result.Refuse(result.StoreUnavailable, storeRetryAfter, "%s", detail)
 	if !n.call.firstAttempt {
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -159,8 +159,8 @@
 	writeJSON(w, http.StatusOK, editResponse{Record: outcome.Current})
 }
 
-// nodeRevision is a node's revision of a page and whether an edit of it is in force
-// there.
+// nodeRevision is a node's revision of a page, and whether an edit to the page is in force
+// at the node.
 type nodeRevision struct {
 	Node     string `json:"node"`
 	Revision uint64 `json:"revision"`
--- a/entry/store.go
+++ b/entry/store.go
@@ -29,8 +29,8 @@
 )
 
 // watchStore reads and watches the catalogue's pages in the store while this entry is a
-// store reader, one goroutine per page. An entry that takes itself for one wrongly only
-// costs the store a few watch calls.
+// store reader, one goroutine per page. An entry that is wrongly a store reader costs the
+// store only a few watch calls.
 func (e *Entry) watchStore(ctx context.Context) {
 	var unread atomic.Int64
 	unread.Store(catalogue.PageCount)
--- a/membership/config.go
+++ b/membership/config.go
@@ -29,7 +29,7 @@
 	Interval time.Duration
 	// SuspectAfter is the time without a heartbeat after which a node is suspect. A
 	// shorter one moves requests away sooner; a longer one tolerates more lost
-	// datagrams. It must be at least four intervals, so that one heartbeat in four
+	// datagrams. It should be at least four intervals, so that one heartbeat in four
 	// may be lost without consequence.
 	SuspectAfter time.Duration
 	// RemoveAfter is the time without a heartbeat after which a node that the platform
@@ -38,7 +38,7 @@
 	// Tick is the period of the timers and of publishing views; default 50ms.
 	Tick time.Duration
 	// BytesPerSecond bounds the heartbeats that an entry receives from its agents and
-	// sends to other entries, in bytes per second each: it advises its agents of a
+	// sends to other entries, in bytes per second each: it advises its agents to use a
 	// longer interval when there are many, and uses a longer one itself when it reports
 	// to many entries. Default 4,000.
 	BytesPerSecond int
--- a/membership/state.go
+++ b/membership/state.go
@@ -294,7 +294,7 @@
 }
 
 // computeAdvisedInterval returns the heartbeat interval that an entry advises its agents
-// of, so that their heartbeats stay within BytesPerSecond. It is 0 on an agent.
+// to use, so that their heartbeats stay within BytesPerSecond. It is 0 on an agent.
 func (s *state) computeAdvisedInterval() time.Duration {
 	if s.config.Role != RoleEntry {
 		return 0
@@ -352,8 +352,8 @@
 // of rounds of heartbeats.
 //
 // An entry that hears only some of the others extrapolates their load to all, and two
-// entries that hear different ones send to the same engines. It serves more requests to
-// know the load of all others late than that of some sooner.
+// entries that hear different ones send to the same engines. More requests are served if
+// an entry knows the load of all others late than if it knows that of some sooner.
 //
 // Rendezvous hashing chooses the entries, so that each node keeps its recipients, every
 // entry receives an even share of the heartbeats, and the traffic of a node does not grow
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -15,7 +15,7 @@
 	ReadinessListen string `json:"readiness_listen"`
 	MetricsListen   string `json:"metrics_listen,omitempty"`
 	// PeersListen is the UDP address for the heartbeats of other gateways; optional. Without
-	// it this gateway divides the engines by its own requests alone.
+	// it, this gateway divides requests among the engines by its own load alone.
 	PeersListen string `json:"peers_listen,omitempty"`
 	// Store is the address of the platform's metadata store.
 	Store string `json:"store"`
--- a/settings/node.go
+++ b/settings/node.go
@@ -31,7 +31,7 @@
 	SuspectAfter Duration `json:"suspect_after,omitempty"`
 	// ListInterval is the time between reads of the platform's VM list; default 1s.
 	ListInterval Duration `json:"list_interval,omitempty"`
-	// ListLag is the longest time by which the platform's VM list is behind; default 30s. A
+	// ListLag is the longest time by which the platform's VM list lags behind; default 30s. A
 	// VM that has been off the list for longer is assumed to draw no power. If the value is
 	// too short, its power can be granted to others while the VM still draws it.
 	ListLag Duration `json:"list_lag,omitempty"`
@@ -146,8 +146,8 @@
 	// Services are the names of the kinds of work that a plain service takes; required if
 	// Kind is "service".
 	Services []string `json:"services,omitempty"`
-	// ReservationLease is how long a reservation waits for its order before it expires;
-	// default 2s.
+	// ReservationLease is how long a reservation waits for its run request before it
+	// expires; default 2s.
 	ReservationLease Duration `json:"reservation_lease,omitempty"`
 	// ServiceSlots is how many calls a plain service runs at once; default 64.
 	ServiceSlots int64 `json:"service_slots,omitempty"`
