--- a/admission/deferral_test.go
+++ b/admission/deferral_test.go
@@ -99,8 +99,8 @@
 	is.Equal(len(q.deferrals.byAccount), 0)
 }
 
-// Guards against one account's flood of refused requests that delays all other accounts,
-// and against memory that grows with the refusals.
+// Guards against deferrals without a bound: one account's flood of refused requests would
+// delay all other accounts, and memory would grow with the refusals.
 func TestDeferralsAreBounded(t *testing.T) {
 	is := is.New(t)
 	q := queueWithBacklog(25 * time.Second)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -76,7 +76,7 @@
 	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
-// Job is a request that asks to run at the endpoint.
+// Job is a request that is offered to the queue of an endpoint.
 type Job struct {
 	// ID is the reservation's number.
 	ID uint64
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -58,8 +58,8 @@
 	is.Equal(startAll(q), []uint64{2})
 }
 
-// Guards against a long prompt that never starts while more urgent, shorter ones keep
-// arriving, as with an order by class alone.
+// Guards against an order by class alone, in which a long prompt never starts while more
+// urgent, shorter ones keep arriving.
 func TestAgedBulkJobGoesBeforeNewUrgentJob(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
@@ -104,8 +104,8 @@
 	}
 }
 
-// Guards against one account's flood of jobs that delays the other accounts, as with an
-// order of arrival over all accounts.
+// Guards against an order of arrival over all accounts, in which one account's flood of
+// jobs delays the other accounts.
 func TestAccountFloodDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	q := testQueue()
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -13,7 +13,7 @@
 // requests, the memory reserved on it) is therefore stored by incarnation, so that none of
 // it is applied to the next one.
 type Incarnation struct {
-	// ID is the endpoint's ID in requests and orders.
+	// ID is the endpoint's ID in the store and in calls to the endpoint.
 	ID string
 	// StartUnixMilli is when the incarnation started, in Unix milliseconds by the
 	// endpoint's own clock. It is 0 if the registration does not say; incarnations are then
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -68,7 +68,7 @@
 
 // run carries the request out, or returns the outcome that its key already has. It
 // continues when the caller disconnects, because the call may have been sent and its
-// outcome must be on record when the caller asks again.
+// outcome must be on record when the caller retries.
 func (n *nonRepeatableCall) run(ctx context.Context) (serviceResponse, *result.Error) {
 	ctx, cancel := n.call.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
@@ -280,9 +280,10 @@
 	return n.resolveLostRun(ctx, claim, reservation)
 }
 
-// resolveLostRun queries the agent for the outcome of a run whose stream broke, until ctx
-// ends or the agent does not answer and is suspect. It then returns OutcomeUnknown and
-// keeps querying in the background.
+// resolveLostRun withdraws the reservation of a run whose stream broke. If the run has
+// started, the agent answers with its state instead. The call is repeated until the outcome
+// is known, ctx ends, or the agent does not answer and is suspect. In the last two cases
+// resolveLostRun returns OutcomeUnknown and keeps querying the agent in the background.
 func (n *nonRepeatableCall) resolveLostRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
 	for ctx.Err() == nil {
 		response, err := n.entry.withdraw(ctx, claim.Addr, reservation, false)
--- a/result/result.go
+++ b/result/result.go
@@ -72,7 +72,7 @@
 type Ran string
 
 // The values of Ran. RanNo is used only if it is certain that the work did not run and will
-// not run. RanUnknown is used if no process that could know can be asked.
+// not run. RanUnknown is used if no process that could know can be reached.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
