--- a/admission/queue.go
+++ b/admission/queue.go
@@ -36,7 +36,7 @@
 	// MaxWait is the longest estimated wait, by class, with which a job is accepted;
 	// defaults 10s, 15s, 30s. Shorter waits refuse earlier and keep accepted jobs
 	// faster: with 10s, 30s, 5m, a sustained load of 1.3 times the capacity made long
-	// prompts wait four times as long, while a tenth more of the bulk jobs was accepted
+	// prompts wait four times as long, while a tenth more of the bulk jobs were accepted
 	// at the first attempt.
 	MaxWait [classCount]time.Duration
 	// ShortPromptReserve is the fraction of the KV cache that is kept free of long
@@ -70,13 +70,13 @@
 	return c
 }
 
-// MaxPromptTokens returns the largest sum of prompt and output, in tokens, that one
+// MaxJobTokens returns the largest sum of prompt and output, in tokens, that one
 // endpoint accepts: its KV cache without ShortPromptReserve.
-func (c Config) MaxPromptTokens() int {
+func (c Config) MaxJobTokens() int {
 	return int(float64(c.MemoryTokens) * (1 - c.ShortPromptReserve))
 }
 
-// Job is a request that asks to run at the endpoint.
+// Job is a request that is offered to the queue of an endpoint.
 type Job struct {
 	// ID is the reservation's number.
 	ID uint64
@@ -155,7 +155,7 @@
 	q.slots = max(0, min(slots, q.config.MaxRunning))
 }
 
-// SetClosed sets whether all offers are refused, as while the endpoint is leaving.
+// SetClosed sets whether all offers are refused, as they are while the endpoint is leaving.
 func (q *Queue) SetClosed(closed bool) { q.closed = closed }
 
 // minRetryAfter keeps refused callers from retrying at once.
@@ -178,14 +178,13 @@
 	return Decision{Accepted: true, Wait: q.estimateWait(now, job.level(), 0)}
 }
 
-// check returns nil for a job that may be accepted, or its refusal: it would wait too
-// long or miss its deadline. A job that would miss its deadline at an idle endpoint too
-// gets no deferral, because waiting does not help it.
+// check returns nil for a job that may be accepted, else its refusal. A job that would miss
+// its deadline even at an idle endpoint gets no deferral, because waiting does not help it.
 func (q *Queue) check(now time.Time, job *Job) *Decision {
 	if q.closed {
 		return &Decision{Code: result.Leaving, RetryAfter: minRetryAfter}
 	}
-	if q.config.MemoryTokens > 0 && job.memoryTokens() > q.config.MaxPromptTokens() {
+	if q.config.MemoryTokens > 0 && job.memoryTokens() > q.config.MaxJobTokens() {
 		return &Decision{Code: result.PromptTooLong}
 	}
 	if q.slots == 0 && q.running == 0 {
@@ -340,7 +339,7 @@
 		return true
 	}
 	if job.isLong() {
-		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memoryTokens() <= q.config.MaxPromptTokens()
+		return q.longRunning < q.config.MaxLongRunning && q.heldTokens+job.memoryTokens() <= q.config.MaxJobTokens()
 	}
 	return q.heldTokens+job.memoryTokens() <= q.config.MemoryTokens
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -26,7 +26,7 @@
 	response, err := e.clients.Agent(endpoint.Addr).Reserve(callCtx, connect.NewRequest(&wire.ReserveRequest{
 		RequestId: c.id, Attempt: c.attempts, Account: c.account.ID, Kind: c.kind.ID, Class: uint32(r.Class),
 		PromptTokens: uint64(r.PromptTokens), OutputTokens: uint64(r.OutputTokens),
-		RemainingMs: c.remaining().Milliseconds(), Repeatable: c.kind.Work.Repeatable, SpanPart: r.SpanPart, Key: r.Key,
+		RemainingMs: c.remaining().Milliseconds(), Repeatable: c.kind.Work.Repeatable, SpanPart: r.PrefillPart, Key: r.Key,
 	}))
 	if err != nil {
 		if ctx.Err() == nil {
@@ -70,7 +70,7 @@
 	}, nil
 }
 
-// streamError is the error of a stream that broke before its end event. Work whose
+// streamError returns the error of a stream that broke before its end event. Work whose
 // start was confirmed did run; whether other work ran is unknown until the agent is
 // queried.
 func (r *runStream) streamError(cause error) error {
--- a/entry/once.go
+++ b/entry/nonrepeatable.go
@@ -24,9 +24,9 @@
 	inProgressRetryAfter = time.Second
 	// resolveInterval is the time between queries to an agent whose stream broke.
 	resolveInterval = 200 * time.Millisecond
-	// recordTries is unused: it was meant to bound the writes of an outcome before the
-	// caller is answered, of which recordOutcome makes one. backgroundRecordTime is how
-	// long an entry keeps trying to resolve and record an outcome after that.
+	// recordTries is unused. It was meant to bound the writes of an outcome before the
+	// caller is answered; recordOutcome makes one. backgroundRecordTime is how long an
+	// entry keeps trying to resolve and record an outcome after that.
 	recordTries          = 3
 	backgroundRecordTime = 10 * time.Minute
 )
@@ -68,7 +68,7 @@
 
 // run carries the request out, or returns the outcome that its key already has. It
 // continues when the caller disconnects, because the call may have been sent and its
-// outcome must be on record when the caller asks again.
+// outcome must be on record when the caller retries.
 func (n *nonRepeatableCall) run(ctx context.Context) (serviceResponse, *result.Error) {
 	ctx, cancel := n.call.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
@@ -126,8 +126,8 @@
 	return claim, nil
 }
 
-// storeUnavailable is the error of a call that was not sent because the store is
-// unavailable. See readClaim for what it states about earlier requests.
+// storeUnavailable returns the error of a call that was not sent because the store is
+// unavailable. See readClaim for what the error states about earlier requests.
 func (n *nonRepeatableCall) storeUnavailable(detail string) *result.Error {
 	failure := result.Refuse(result.StoreUnavailable, storeRetryAfter, "%s", detail)
 	if !n.call.firstAttempt {
@@ -280,9 +280,10 @@
 	return n.resolveLostRun(ctx, claim, reservation)
 }
 
-// resolveLostRun queries the agent for the outcome of a run whose stream broke, until ctx
-// ends or the agent does not answer and is suspect. It then returns OutcomeUnknown and
-// keeps querying in the background.
+// resolveLostRun withdraws the reservation of a run whose stream broke. If the run has
+// started, the agent answers with its state instead. The call is repeated until the outcome
+// is known, ctx ends, or the agent does not answer and is suspect. In the last two cases
+// resolveLostRun returns OutcomeUnknown and keeps querying the agent in the background.
 func (n *nonRepeatableCall) resolveLostRun(ctx context.Context, claim *attempt.Claim, reservation *wire.Reservation) (serviceResponse, *result.Error) {
 	for ctx.Err() == nil {
 		response, err := n.entry.withdraw(ctx, claim.Addr, reservation, false)
