--- a/standin/consul/consul.go
+++ b/standin/consul/consul.go
@@ -54,8 +54,8 @@
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
-	// first is the first value ever written, and firstIndex its revision.
-	first      []byte
+	// firstValue is the firstValue value ever written, and firstIndex its revision.
+	firstValue []byte
 	firstIndex uint64
 }
 
@@ -73,19 +73,19 @@
 	settings Settings
 	started  time.Time
 
-	mu      sync.Mutex
-	changed chan struct{}
-	index   uint64
-	pairs   map[string]*pair
-	visible []VM
-	// listed counts the lists set, and shownVersion is that of the visible one.
-	listed, shownVersion int
-	sessions             map[string]time.Time
-	faults               Faults
-	record               Record
-	second               int64
-	reads                int
-	writes               int
+	mu        sync.Mutex
+	changed   chan struct{}
+	lastIndex uint64
+	pairs     map[string]*pair
+	visible   []VM
+	// listVersion counts the lists set, and visibleVersion is that of the visible one.
+	listVersion, visibleVersion int
+	sessions                    map[string]time.Time
+	faults                      Faults
+	record                      Record
+	currentSecond               int64
+	readsThisSecond             int
+	writesThisSecond            int
 }
 
 // New makes a stand-in.
@@ -99,24 +99,24 @@
 // Handler serves the platform's paths, and /control and /record for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/", s.guard(s.get))
-	mux.HandleFunc("PUT /v1/kv/", s.guard(s.put))
-	mux.HandleFunc("DELETE /v1/kv/", s.guard(s.remove))
-	mux.HandleFunc("PUT /v1/session/create", s.guard(s.createSession))
-	mux.HandleFunc("PUT /v1/session/renew/", s.guard(s.renewSession))
-	mux.HandleFunc("GET /v1/catalog/nodes", s.guard(s.list))
+	mux.HandleFunc("GET /v1/kv/", s.withFaults(s.get))
+	mux.HandleFunc("PUT /v1/kv/", s.withFaults(s.put))
+	mux.HandleFunc("DELETE /v1/kv/", s.withFaults(s.remove))
+	mux.HandleFunc("PUT /v1/session/create", s.withFaults(s.createSession))
+	mux.HandleFunc("PUT /v1/session/renew/", s.withFaults(s.renewSession))
+	mux.HandleFunc("GET /v1/catalog/nodes", s.withFaults(s.listNodes))
 	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, s.applyFaults))
 	mux.HandleFunc("POST /control/vms", s.setVMs)
 	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return s.record }))
-	mux.HandleFunc("GET /record/keys", s.showKeys)
+	mux.HandleFunc("GET /record/keys", s.serveKeys)
 	return mux
 }
 
 // SetVMs replaces the list; readers see it after the lag.
 func (s *Server) SetVMs(vms []VM) {
 	s.mu.Lock()
-	s.listed++
-	version := s.listed
+	s.listVersion++
+	version := s.listVersion
 	lag := s.settings.ListLag
 	if s.faults.ListLagMS > 0 {
 		lag = time.Duration(s.faults.ListLagMS) * time.Millisecond
@@ -126,18 +126,18 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		// Two timers of nearly the same time may fire in either order.
-		if version > s.shownVersion {
-			s.visible, s.shownVersion = vms, version
+		if version > s.visibleVersion {
+			s.visible, s.visibleVersion = vms, version
 		}
 	})
 }
 
-// guard counts the call and applies the faults and rate limits.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts the call and applies the faults and rate limits.
+func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		faults := s.faults
-		allowed := s.count(r.Method == http.MethodGet)
+		allowed := s.countCall(r.Method == http.MethodGet)
 		s.mu.Unlock()
 		if faults.DelayMS > 0 {
 			time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
@@ -154,28 +154,28 @@
 	}
 }
 
-func (s *Server) count(read bool) bool {
+func (s *Server) countCall(read bool) bool {
 	second := int64(time.Since(s.started) / time.Second)
 	for int64(len(s.record.Calls)) <= second {
 		s.record.Calls = append(s.record.Calls, 0)
 	}
 	s.record.Calls[second]++
-	if second != s.second {
-		s.second, s.reads, s.writes = second, 0, 0
+	if second != s.currentSecond {
+		s.currentSecond, s.readsThisSecond, s.writesThisSecond = second, 0, 0
 	}
 	if read {
-		s.reads++
+		s.readsThisSecond++
 		s.record.Reads++
-		s.record.PeakReads = max(s.record.PeakReads, s.reads)
-		return s.within(s.reads, s.settings.ReadsPerSecond)
+		s.record.PeakReads = max(s.record.PeakReads, s.readsThisSecond)
+		return s.withinRate(s.readsThisSecond, s.settings.ReadsPerSecond)
 	}
-	s.writes++
+	s.writesThisSecond++
 	s.record.Writes++
-	s.record.PeakWrites = max(s.record.PeakWrites, s.writes)
-	return s.within(s.writes, s.settings.WritesPerSecond)
+	s.record.PeakWrites = max(s.record.PeakWrites, s.writesThisSecond)
+	return s.withinRate(s.writesThisSecond, s.settings.WritesPerSecond)
 }
 
-func (s *Server) within(calls, limit int) bool {
+func (s *Server) withinRate(calls, limit int) bool {
 	if limit > 0 && calls > limit {
 		s.record.Refused++
 		return false
@@ -189,9 +189,9 @@
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	name := key(r)
-	after, watching := uint64(0), r.URL.Query().Has("index")
+	knownIndex, watching := uint64(0), r.URL.Query().Has("index")
 	if watching {
-		after, _ = strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
+		knownIndex, _ = strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	}
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	deadline := time.After(wait)
@@ -202,12 +202,12 @@
 		var body []byte
 		if found != nil {
 			revision = found.ModifyIndex
-			shown := *found
+			returned := *found
 			if s.faults.StalePrefix != "" && strings.HasPrefix(name, s.faults.StalePrefix) {
-				shown.Value, shown.ModifyIndex = found.first, found.firstIndex
+				returned.Value, returned.ModifyIndex = found.firstValue, found.firstIndex
 				revision = found.firstIndex
 			}
-			body, _ = json.Marshal([]pair{shown})
+			body, _ = json.Marshal([]pair{returned})
 		}
 		if watching {
 			s.record.Watches++
@@ -218,14 +218,14 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if !watching || revision != after {
-			answer(w, body)
+		if !watching || revision != knownIndex {
+			respond(w, body)
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			answer(w, body)
+			respond(w, body)
 			return
 		case <-r.Context().Done():
 			return
@@ -233,7 +233,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, body []byte) {
+func respond(w http.ResponseWriter, body []byte) {
 	if body == nil {
 		http.Error(w, "", http.StatusNotFound)
 		return
@@ -250,42 +250,42 @@
 	}
 	name := key(r)
 	s.mu.Lock()
-	ok := s.swap(name, data, r.URL.Query().Get("cas"), r.URL.Query().Get("acquire"))
-	lose := ok && s.faults.LoseResponses > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
-	if lose {
+	ok := s.compareAndSwap(name, data, r.URL.Query().Get("cas"), r.URL.Query().Get("acquire"))
+	loseResponse := ok && s.faults.LoseResponses > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
+	if loseResponse {
 		s.faults.LoseResponses--
 		s.faults.Down = s.faults.Down || s.faults.DownAfterLoss
 	}
 	s.mu.Unlock()
-	if lose {
+	if loseResponse {
 		panic(http.ErrAbortHandler) // drops the connection without an answer
 	}
 	fmt.Fprint(w, ok)
 }
 
-// swap writes the value if the revision matches and the session, if named, lives.
-func (s *Server) swap(name string, data []byte, cas, session string) bool {
+// compareAndSwap writes the value if the revision matches and the session, if named, lives.
+func (s *Server) compareAndSwap(name string, data []byte, cas, session string) bool {
 	current := s.pairs[name]
 	if cas != "" {
-		want, _ := strconv.ParseUint(cas, 10, 64)
-		if (current == nil) != (want == 0) || (current != nil && current.ModifyIndex != want) {
+		expected, _ := strconv.ParseUint(cas, 10, 64)
+		if (current == nil) != (expected == 0) || (current != nil && current.ModifyIndex != expected) {
 			return false
 		}
 	}
 	if session != "" && time.Now().After(s.sessions[session]) {
 		return false
 	}
-	s.index++
-	next := &pair{Key: name, Value: data, ModifyIndex: s.index, first: data, firstIndex: s.index}
+	s.lastIndex++
+	next := &pair{Key: name, Value: data, ModifyIndex: s.lastIndex, firstValue: data, firstIndex: s.lastIndex}
 	if current != nil {
-		next.first, next.firstIndex = current.first, current.firstIndex
+		next.firstValue, next.firstIndex = current.firstValue, current.firstIndex
 	}
 	s.pairs[name] = next
-	s.wake()
+	s.notifyWatches()
 	return true
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -293,17 +293,17 @@
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.index++
+	s.lastIndex++
 	delete(s.pairs, key(r))
-	s.wake()
+	s.notifyWatches()
 	fmt.Fprint(w, true)
 }
 
 func (s *Server) createSession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.index++
-	id := fmt.Sprintf("session-%d", s.index)
+	s.lastIndex++
+	id := fmt.Sprintf("session-%d", s.lastIndex)
 	s.sessions[id] = time.Now().Add(sessionTTL)
 	_ = json.NewEncoder(w).Encode(map[string]string{"ID": id})
 }
@@ -322,7 +322,7 @@
 
 const sessionTTL = 10 * time.Second
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listNodes(w http.ResponseWriter, _ *http.Request) {
 	type node struct {
 		Node, Address, Datacenter string
 		Meta                      map[string]string
@@ -339,7 +339,7 @@
 // applyFaults sets the faults; an outage ends the waiting watches too.
 func (s *Server) applyFaults(faults Faults) {
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *Server) setVMs(w http.ResponseWriter, r *http.Request) {
@@ -351,7 +351,7 @@
 	s.SetVMs(vms)
 }
 
-func (s *Server) showKeys(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveKeys(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := map[string]string{}
--- a/standin/consul/consul_test.go
+++ b/standin/consul/consul_test.go
@@ -20,18 +20,18 @@
 		for i := range changes {
 			server.SetVMs([]VM{{Name: fmt.Sprint(i)}})
 		}
-		for until := time.Now().Add(generous); server.shownName() != last && time.Now().Before(until); {
+		for until := time.Now().Add(lastChangeTimeout); server.visibleName() != last && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Millisecond) // whatever is still on its way comes now
-		is.Equal(server.shownName(), last)
+		is.Equal(server.visibleName(), last)
 	}
 }
 
-// generous bounds the wait for the last change.
-const generous = 10 * time.Second
+// lastChangeTimeout bounds the wait for the last change.
+const lastChangeTimeout = 10 * time.Second
 
-func (s *Server) shownName() string {
+func (s *Server) visibleName() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.visible) == 0 {
--- a/standin/engine/calls.go
+++ b/standin/engine/calls.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func (s *Server) export(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveKVCache(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.streams[r.PathValue("id")]
@@ -16,40 +16,40 @@
 		http.Error(w, "no such held sequence", http.StatusNotFound)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(map[string]int{"tokens": st.prompt})
+	_ = json.NewEncoder(w).Encode(map[string]int{"tokens": st.promptTokens})
 }
 
-func (s *Server) cacheEvents(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveCacheEvents(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	shown := []CacheEvent{}
-	for _, e := range s.events {
+	visible := []CacheEvent{}
+	for _, e := range s.cacheEvents {
 		if time.Since(e.at) >= s.settings.EventLag {
-			shown = append(shown, e.event)
+			visible = append(visible, e.event)
 		}
 	}
-	_ = json.NewEncoder(w).Encode(shown)
+	_ = json.NewEncoder(w).Encode(visible)
 }
 
-// load answers with the load as it was LoadLag ago.
-func (s *Server) load(w http.ResponseWriter, _ *http.Request) {
+// serveLoad answers with the serveLoad as it was LoadLag ago.
+func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	shown := s.model.Load()
+	reported := s.model.Load()
 	if s.settings.LoadLag > 0 {
-		shown = Load{FreeMemoryTokens: s.settings.WithDefaults().MemoryTokens}
-		for _, old := range s.loads {
+		reported = Load{FreeMemoryTokens: s.settings.WithDefaults().MemoryTokens}
+		for _, old := range s.loadHistory {
 			if time.Since(old.at) >= s.settings.LoadLag {
-				shown = old.load
+				reported = old.load
 			}
 		}
 	}
-	_ = json.NewEncoder(w).Encode(shown)
+	_ = json.NewEncoder(w).Encode(reported)
 }
 
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+func (s *Server) recordOrder(w http.ResponseWriter, r *http.Request) {
 	text, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
-	if s.fenced(w, r) {
+	if s.refuseStaleFencing(w, r) {
 		return
 	}
 	s.mu.Lock()
@@ -68,19 +68,19 @@
 	FencingNumber          uint64   `json:"fencing_number"`
 }
 
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.model.Config()
 	_ = json.NewEncoder(w).Encode(Status{
 		Models: s.settings.Models, MemoryTokens: c.MemoryTokens, MaxRunning: c.MaxRunning,
 		PrefillTokensPerSecond: int(float64(c.PrefillRate()) * s.settings.TimeScale),
-		FloorWatts:             c.FloorWatts, MaxWatts: c.MaxWatts, FencingNumber: s.fence,
+		FloorWatts:             c.FloorWatts, MaxWatts: c.MaxWatts, FencingNumber: s.fencingNumber,
 	})
 }
 
-// shown is the record with what is held now.
-func (s *Server) shown() Record {
+// currentRecord is the record with what is held now.
+func (s *Server) currentRecord() Record {
 	record := s.record
 	record.HeldTokens = s.model.HeldTokens()
 	for _, state := range s.model.States() {
@@ -89,8 +89,8 @@
 	return record
 }
 
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
-	if s.fenced(w, r) {
+func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request) {
+	if s.refuseStaleFencing(w, r) {
 		return
 	}
 	if !s.release(r.PathValue("id"), true) {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveResume(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	s.mu.Lock()
 	st := s.streams[id]
@@ -108,5 +108,5 @@
 		return
 	}
 	offset, _ := strconv.Atoi(r.URL.Query().Get("offset"))
-	s.send(w, r, id, st, max(0, offset-st.offset))
+	s.streamSequence(w, r, id, st, max(0, offset-st.deliveredTokens))
 }
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -39,16 +39,16 @@
 
 // WithDefaults fills the fields left at zero.
 func (c Config) WithDefaults() Config {
-	set := func(field *int, value int) {
+	setDefault := func(field *int, value int) {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	set(&c.MemoryTokens, 400_000)
-	set(&c.MaxRunning, 32)
-	set(&c.ChunkTokens, 512)
-	set(&c.FloorWatts, 1000)
-	set(&c.MaxWatts, 5000)
+	setDefault(&c.MemoryTokens, 400_000)
+	setDefault(&c.MaxRunning, 32)
+	setDefault(&c.ChunkTokens, 512)
+	setDefault(&c.FloorWatts, 1000)
+	setDefault(&c.MaxWatts, 5000)
 	if c.StepTime == 0 {
 		c.StepTime = 4 * time.Millisecond
 	}
@@ -79,12 +79,12 @@
 	// Hold stops after prefill and keeps the memory until Release.
 	Hold bool
 
-	arrival   int64
-	admitted  bool
-	prefilled int
-	cached    int
-	produced  int
-	finished  bool
+	arrival         int64
+	admitted        bool
+	prefilledTokens int
+	cachedTokens    int
+	outputTokens    int
+	finished        bool
 }
 
 // SequenceState is a sequence as shown to others.
@@ -116,13 +116,13 @@
 
 // Model is an engine's state. Not safe for concurrent use.
 type Model struct {
-	config    Config
-	sequences map[string]*Sequence
-	order     []*Sequence
-	arrivals  int64
-	held      int
-	cache     map[uint64]*list.Element
-	recent    *list.List // most recently used blocks first
+	config     Config
+	sequences  map[string]*Sequence
+	byPriority []*Sequence
+	arrivals   int64
+	heldTokens int
+	cache      map[uint64]*list.Element
+	recent     *list.List // most recently used blocks first
 	// evicted and added count cache changes, for cache events.
 	cacheEvents []CacheEvent
 }
@@ -155,9 +155,9 @@
 	m.arrivals++
 	s.arrival = m.arrivals
 	m.sequences[s.ID] = s
-	m.order = append(m.order, s)
-	sort.SliceStable(m.order, func(i, j int) bool {
-		a, b := m.order[i], m.order[j]
+	m.byPriority = append(m.byPriority, s)
+	sort.SliceStable(m.byPriority, func(i, j int) bool {
+		a, b := m.byPriority[i], m.byPriority[j]
 		if a.Priority != b.Priority {
 			return a.Priority < b.Priority
 		}
@@ -170,24 +170,24 @@
 // admit moves waiting sequences into the batch while memory and slots last.
 func (m *Model) admit() {
 	running := m.Running()
-	for _, s := range m.order {
+	for _, s := range m.byPriority {
 		if s.admitted || s.finished {
 			continue
 		}
 		need := s.PromptTokens + s.MaxTokens
-		if running >= m.config.MaxRunning || m.held+need > m.config.MemoryTokens {
+		if running >= m.config.MaxRunning || m.heldTokens+need > m.config.MemoryTokens {
 			return
 		}
 		s.admitted = true
 		running++
-		m.held += need
-		s.cached = m.lookup(s)
-		s.prefilled = s.cached
+		m.heldTokens += need
+		s.cachedTokens = m.lookupPrefix(s)
+		s.prefilledTokens = s.cachedTokens
 		m.evict()
 	}
 }
 
-func (m *Model) lookup(s *Sequence) int {
+func (m *Model) lookupPrefix(s *Sequence) int {
 	tokens := 0
 	for _, block := range s.Blocks {
 		element := m.cache[block]
@@ -201,7 +201,7 @@
 	return max(0, min(tokens, s.PromptTokens-1))
 }
 
-func (m *Model) remember(s *Sequence) {
+func (m *Model) cacheBlocks(s *Sequence) {
 	for i := len(s.Blocks) - 1; i >= 0; i-- {
 		if element := m.cache[s.Blocks[i]]; element != nil {
 			m.recent.MoveToFront(element)
@@ -215,7 +215,7 @@
 
 // evict drops the least recently used blocks that running sequences displace.
 func (m *Model) evict() {
-	for m.recent.Len() > 0 && m.held+m.recent.Len()*BlockTokens > m.config.MemoryTokens {
+	for m.recent.Len() > 0 && m.heldTokens+m.recent.Len()*BlockTokens > m.config.MemoryTokens {
 		oldest := m.recent.Back()
 		block := m.recent.Remove(oldest).(uint64)
 		delete(m.cache, block)
@@ -236,7 +236,7 @@
 // Running counts the sequences in the batch.
 func (m *Model) Running() int {
 	n := 0
-	for _, s := range m.order {
+	for _, s := range m.byPriority {
 		if s.admitted && !s.finished {
 			n++
 		}
@@ -251,19 +251,19 @@
 	var events []Event
 	budget := m.config.ChunkTokens
 	duration := m.config.StepTime
-	for _, s := range m.order {
+	for _, s := range m.byPriority {
 		if !s.admitted || s.finished {
 			continue
 		}
-		if s.prefilled < s.PromptTokens {
-			chunk := min(budget, s.PromptTokens-s.prefilled)
+		if s.prefilledTokens < s.PromptTokens {
+			chunk := min(budget, s.PromptTokens-s.prefilledTokens)
 			budget -= chunk
-			s.prefilled += chunk
+			s.prefilledTokens += chunk
 			duration += time.Duration(chunk) * m.config.PrefillTime
-			if s.prefilled < s.PromptTokens {
+			if s.prefilledTokens < s.PromptTokens {
 				continue
 			}
-			m.remember(s)
+			m.cacheBlocks(s)
 			if s.Hold {
 				s.finished = true
 				events = append(events, Event{ID: s.ID, Prefilled: true})
@@ -271,9 +271,9 @@
 			}
 		}
 		duration += m.config.DecodeTime
-		s.produced++
-		s.finished = s.produced >= s.MaxTokens
-		events = append(events, Event{ID: s.ID, OutputTokens: s.produced, Finished: s.finished})
+		s.outputTokens++
+		s.finished = s.outputTokens >= s.MaxTokens
+		events = append(events, Event{ID: s.ID, OutputTokens: s.outputTokens, Finished: s.finished})
 	}
 	m.admit()
 	return duration, events
@@ -287,26 +287,26 @@
 		return false
 	}
 	delete(m.sequences, id)
-	for i, other := range m.order {
+	for i, other := range m.byPriority {
 		if other == s {
-			m.order = append(m.order[:i], m.order[i+1:]...)
+			m.byPriority = append(m.byPriority[:i], m.byPriority[i+1:]...)
 			break
 		}
 	}
 	if s.admitted {
-		m.held -= s.PromptTokens + s.MaxTokens
+		m.heldTokens -= s.PromptTokens + s.MaxTokens
 	}
 	m.admit()
 	return true
 }
 
 // HeldTokens is the memory of sequences not yet released, in tokens.
-func (m *Model) HeldTokens() int { return m.held }
+func (m *Model) HeldTokens() int { return m.heldTokens }
 
 // States lists the sequences in order of priority and arrival.
 func (m *Model) States() []SequenceState {
-	states := make([]SequenceState, 0, len(m.order))
-	for _, s := range m.order {
+	states := make([]SequenceState, 0, len(m.byPriority))
+	for _, s := range m.byPriority {
 		states = append(states, s.state())
 	}
 	return states
@@ -317,13 +317,13 @@
 	if s.admitted {
 		held = s.PromptTokens + s.MaxTokens
 	}
-	return SequenceState{ID: s.ID, OutputTokens: s.produced, CachedTokens: s.cached, Finished: s.finished, HeldTokens: held, Admitted: s.admitted}
+	return SequenceState{ID: s.ID, OutputTokens: s.outputTokens, CachedTokens: s.cachedTokens, Finished: s.finished, HeldTokens: held, Admitted: s.admitted}
 }
 
 // Load reports the engine's load.
 func (m *Model) Load() Load {
-	load := Load{FreeMemoryTokens: m.config.MemoryTokens - m.held}
-	for _, s := range m.order {
+	load := Load{FreeMemoryTokens: m.config.MemoryTokens - m.heldTokens}
+	for _, s := range m.byPriority {
 		if s.finished {
 			continue
 		}
@@ -332,7 +332,7 @@
 		} else {
 			load.Waiting++
 		}
-		load.BacklogTokens += s.PromptTokens - s.prefilled
+		load.BacklogTokens += s.PromptTokens - s.prefilledTokens
 	}
 	return load
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -59,12 +59,12 @@
 	PromptPrefixHash uint64 `json:"beginning"`
 }
 
-// beginningBytes are enough to tell prompts apart, and fewer than any span's part.
-const beginningBytes = 256
+// prefixHashBytes are enough to tell prompts apart, and fewer than any span's part.
+const prefixHashBytes = 256
 
 // PromptPrefixHash hashes the first bytes of a prompt.
 func PromptPrefixHash(prompt string) uint64 {
-	return xxhash.Sum64String(prompt[:min(len(prompt), beginningBytes)])
+	return xxhash.Sum64String(prompt[:min(len(prompt), prefixHashBytes)])
 }
 
 // Record is what truly happened.
@@ -121,36 +121,36 @@
 }
 
 type stream struct {
-	tokens    []string
-	offset    int // tokens delivered before this engine began
-	held      bool
-	finished  bool
-	cancelled bool
-	broken    bool // the fault BreakAfterTokens has struck
-	changed   chan struct{}
-	hash      uint64
-	prompt    int
-	run       int
+	tokens          []string
+	deliveredTokens int // tokens delivered before this engine began
+	held            bool
+	finished        bool
+	cancelled       bool
+	wasBroken       bool // the fault BreakAfterTokens has struck
+	changed         chan struct{}
+	promptHash      uint64
+	promptTokens    int
+	runIndex        int
 }
 
 // Server is the stand-in.
 type Server struct {
 	settings Settings
 
-	mu      sync.Mutex
-	model   *Model
-	streams map[string]*stream
-	record  Record
-	fence   uint64
-	faults  Faults
-	wake    chan struct{}
-	loads   []timedLoad
-	events  []timedEvent
-	seen    int
-	client  *http.Client
+	mu              sync.Mutex
+	model           *Model
+	streams         map[string]*stream
+	record          Record
+	fencingNumber   uint64
+	faults          Faults
+	wake            chan struct{}
+	loadHistory     []timedLoad
+	cacheEvents     []timedCacheEvent
+	cacheEventCount int
+	client          *http.Client
 }
 
-type timedEvent struct {
+type timedCacheEvent struct {
 	at    time.Time
 	event CacheEvent
 }
@@ -169,7 +169,7 @@
 		settings: settings, model: NewModel(settings.Config), streams: map[string]*stream{},
 		wake: make(chan struct{}, 1), client: &http.Client{Timeout: 10 * time.Second},
 	}
-	s.noteWatts()
+	s.recordPower()
 	return s
 }
 
@@ -180,7 +180,7 @@
 		busy, stalled := s.model.Busy(), s.faults.Stall
 		s.mu.Unlock()
 		if stalled {
-			time.Sleep(stallPoll)
+			time.Sleep(stallPollInterval)
 			continue
 		}
 		if !busy {
@@ -196,13 +196,13 @@
 		time.Sleep(time.Duration(float64(duration) / s.settings.TimeScale))
 		s.mu.Lock()
 		s.publish(events)
-		s.noteWatts()
+		s.recordPower()
 		s.mu.Unlock()
 	}
 }
 
-// stallPoll is how often a stalled engine looks whether it may go on.
-const stallPoll = 10 * time.Millisecond
+// stallPollInterval is how often a stalled engine looks whether it may go on.
+const stallPollInterval = 10 * time.Millisecond
 
 func (s *Server) publish(events []Event) {
 	for _, event := range events {
@@ -213,38 +213,38 @@
 		if event.Prefilled {
 			st.held = true
 		} else {
-			st.tokens = append(st.tokens, TokenText(st.hash, st.offset+event.OutputTokens-1))
+			st.tokens = append(st.tokens, TokenText(st.promptHash, st.deliveredTokens+event.OutputTokens-1))
 		}
 		if event.Finished {
 			st.finished = true
-			s.record.Runs[st.run].Finished = true
+			s.record.Runs[st.runIndex].Finished = true
 		}
 		close(st.changed)
 		st.changed = make(chan struct{})
 	}
-	s.noteEvents()
-	s.loads = append(s.loads, timedLoad{time.Now(), s.model.Load()})
-	if len(s.loads) > 1024 {
-		s.loads = append([]timedLoad(nil), s.loads[512:]...)
+	s.recordCacheEvents()
+	s.loadHistory = append(s.loadHistory, timedLoad{time.Now(), s.model.Load()})
+	if len(s.loadHistory) > 1024 {
+		s.loadHistory = append([]timedLoad(nil), s.loadHistory[512:]...)
 	}
 }
 
-func (s *Server) noteEvents() {
+func (s *Server) recordCacheEvents() {
 	for _, event := range s.model.TakeCacheEvents() {
-		s.seen++
-		if s.settings.EventDropInterval > 0 && s.seen%s.settings.EventDropInterval == 0 {
+		s.cacheEventCount++
+		if s.settings.EventDropInterval > 0 && s.cacheEventCount%s.settings.EventDropInterval == 0 {
 			continue
 		}
-		s.events = append(s.events, timedEvent{time.Now(), event})
+		s.cacheEvents = append(s.cacheEvents, timedCacheEvent{time.Now(), event})
 	}
-	if len(s.events) > maxEvents {
-		s.events = append([]timedEvent(nil), s.events[len(s.events)-maxEvents:]...)
+	if len(s.cacheEvents) > maxCacheEvents {
+		s.cacheEvents = append([]timedCacheEvent(nil), s.cacheEvents[len(s.cacheEvents)-maxCacheEvents:]...)
 	}
 }
 
-const maxEvents = 4096
+const maxCacheEvents = 4096
 
-func (s *Server) noteWatts() {
+func (s *Server) recordPower() {
 	watts := s.model.Watts()
 	if n := len(s.record.Watts); n > 0 && s.record.Watts[n-1].Watts == watts {
 		return
@@ -255,42 +255,42 @@
 // Handler serves the engine's paths, and /control and /record for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", s.complete)
+	mux.HandleFunc("POST /v1/completions", s.serveCompletion)
 	mux.HandleFunc("GET /v1/models", control.GetHandler(&s.mu, func() any { return map[string]any{"models": s.settings.Models} }))
 	mux.HandleFunc("GET /v1/sequences", control.GetHandler(&s.mu, func() []SequenceState { return s.model.States() }))
-	mux.HandleFunc("DELETE /v1/sequences/{id}", s.cancel)
-	mux.HandleFunc("GET /v1/sequences/{id}/stream", s.resume)
-	mux.HandleFunc("GET /v1/sequences/{id}/kv", s.export)
-	mux.HandleFunc("GET /v1/events", s.cacheEvents)
-	mux.HandleFunc("GET /v1/load", s.load)
-	mux.HandleFunc("POST /v1/orders", s.order)
-	mux.HandleFunc("GET /v1/status", s.status)
+	mux.HandleFunc("DELETE /v1/sequences/{id}", s.serveCancel)
+	mux.HandleFunc("GET /v1/sequences/{id}/stream", s.serveResume)
+	mux.HandleFunc("GET /v1/sequences/{id}/kv", s.serveKVCache)
+	mux.HandleFunc("GET /v1/events", s.serveCacheEvents)
+	mux.HandleFunc("GET /v1/load", s.serveLoad)
+	mux.HandleFunc("POST /v1/orders", s.recordOrder)
+	mux.HandleFunc("GET /v1/status", s.serveStatus)
 	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, func(f Faults) { s.faults = f }))
-	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, s.shown))
+	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, s.currentRecord))
 	return mux
 }
 
-// fenced refuses an order whose fencing number is older than one seen before.
-func (s *Server) fenced(w http.ResponseWriter, r *http.Request) bool {
+// refuseStaleFencing refuses an order whose fencing number is older than one seen before.
+func (s *Server) refuseStaleFencing(w http.ResponseWriter, r *http.Request) bool {
 	number, _ := strconv.ParseUint(r.Header.Get("X-Fencing-Number"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.settings.ChecksFencing && number < s.fence {
+	if s.settings.ChecksFencing && number < s.fencingNumber {
 		s.record.RefusedOrders++
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return true
 	}
-	s.fence = max(s.fence, number)
+	s.fencingNumber = max(s.fencingNumber, number)
 	return false
 }
 
-func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var request CompletionRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.fenced(w, r) {
+	if s.refuseStaleFencing(w, r) {
 		return
 	}
 	imported, err := s.importKV(request.Imports)
@@ -305,26 +305,26 @@
 	}
 	if !request.Stream {
 		// A whole answer, as a plain client of the engine asks for it.
-		s.collect(w, r, request.RequestID, st)
+		s.respondWhole(w, r, request.RequestID, st)
 		return
 	}
-	s.send(w, r, request.RequestID, st, 0)
+	s.streamSequence(w, r, request.RequestID, st, 0)
 }
 
 // importKV checks that each part is still held where the request says.
 func (s *Server) importKV(imports []Import) (int, error) {
 	tokens := 0
-	for _, part := range imports {
-		response, err := s.client.Get("http://" + part.Engine + "/v1/sequences/" + part.Sequence + "/kv")
+	for _, imported := range imports {
+		response, err := s.client.Get("http://" + imported.Engine + "/v1/sequences/" + imported.Sequence + "/kv")
 		if err != nil {
-			return 0, fmt.Errorf("import from %s: %w", part.Engine, err)
+			return 0, fmt.Errorf("import from %s: %w", imported.Engine, err)
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			return 0, fmt.Errorf("import from %s: sequence %s is not held", part.Engine, part.Sequence)
+			return 0, fmt.Errorf("import from %s: sequence %s is not held", imported.Engine, imported.Sequence)
 		}
-		tokens += part.Tokens
+		tokens += imported.Tokens
 	}
 	return tokens, nil
 }
@@ -355,11 +355,11 @@
 	if err := s.model.Submit(sequence); err != nil {
 		return nil, err
 	}
-	st := &stream{changed: make(chan struct{}), hash: hash, offset: request.DeliveredTokens, run: len(s.record.Runs), prompt: tokens}
+	st := &stream{changed: make(chan struct{}), promptHash: hash, deliveredTokens: request.DeliveredTokens, runIndex: len(s.record.Runs), promptTokens: tokens}
 	s.streams[request.RequestID] = st
 	s.record.Runs = append(s.record.Runs, Run{ID: request.RequestID, PromptTokens: tokens, PromptPrefixHash: PromptPrefixHash(request.Prompt)})
 	s.record.PeakTokens = max(s.record.PeakTokens, s.model.HeldTokens())
-	s.noteWatts()
+	s.recordPower()
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -367,8 +367,8 @@
 	return st, nil
 }
 
-// next waits for tokens beyond from and returns them with the stream's state.
-func (s *Server) next(ctx context.Context, st *stream, from int) (tokens []string, held, finished, cancelled bool) {
+// awaitTokens waits for tokens beyond from and returns them with the stream's state.
+func (s *Server) awaitTokens(ctx context.Context, st *stream, from int) (tokens []string, held, finished, cancelled bool) {
 	for {
 		s.mu.Lock()
 		tokens, held, finished, cancelled = st.tokens[from:], st.held, st.finished, st.cancelled
@@ -385,22 +385,22 @@
 	}
 }
 
-// send streams a sequence from an offset. A sequence is released once its end
+// streamSequence streams a sequence from an offset. A sequence is released once its end
 // was written; when the reader goes away it stays, to be resumed or cancelled.
-func (s *Server) send(w http.ResponseWriter, r *http.Request, id string, st *stream, from int) {
+func (s *Server) streamSequence(w http.ResponseWriter, r *http.Request, id string, st *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(w)
-	_ = flush.Flush()
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
 	heldSent := false
 	for {
-		tokens, held, finished, cancelled := s.next(r.Context(), st, from)
+		tokens, held, finished, cancelled := s.awaitTokens(r.Context(), st, from)
 		for i, text := range tokens {
-			if s.breakHere(st, from+1) {
+			if s.shouldBreak(st, from+1) {
 				panic(http.ErrAbortHandler)
 			}
 			last := finished && i == len(tokens)-1
-			if writeChunk(w, Chunk{ID: id, Offset: st.offset + from, Choices: []Choice{choice(text, last)}}) != nil {
+			if writeChunk(w, Chunk{ID: id, Offset: st.deliveredTokens + from, Choices: []Choice{choice(text, last)}}) != nil {
 				return
 			}
 			from++
@@ -411,9 +411,9 @@
 				return
 			}
 		}
-		_ = flush.Flush()
+		_ = controller.Flush()
 		if finished {
-			if _, err := io.WriteString(w, "data: [DONE]\n\n"); err != nil || flush.Flush() != nil {
+			if _, err := io.WriteString(w, "data: [DONE]\n\n"); err != nil || controller.Flush() != nil {
 				return
 			}
 			s.release(id, false)
@@ -439,13 +439,13 @@
 	}
 }
 
-func (s *Server) breakHere(st *stream, token int) bool {
+func (s *Server) shouldBreak(st *stream, token int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.BreakAfterTokens == 0 || st.broken || token <= s.faults.BreakAfterTokens {
+	if s.faults.BreakAfterTokens == 0 || st.wasBroken || token <= s.faults.BreakAfterTokens {
 		return false
 	}
-	st.broken = true
+	st.wasBroken = true
 	return true
 }
 
@@ -466,10 +466,10 @@
 	return err
 }
 
-func (s *Server) collect(w http.ResponseWriter, r *http.Request, id string, st *stream) {
+func (s *Server) respondWhole(w http.ResponseWriter, r *http.Request, id string, st *stream) {
 	var text strings.Builder
 	for from := 0; ; {
-		tokens, _, finished, cancelled := s.next(r.Context(), st, from)
+		tokens, _, finished, cancelled := s.awaitTokens(r.Context(), st, from)
 		if cancelled {
 			return
 		}
@@ -495,10 +495,10 @@
 	delete(s.streams, id)
 	if cancelled {
 		st.cancelled = true
-		s.record.Runs[st.run].Cancelled = true
+		s.record.Runs[st.runIndex].Cancelled = true
 		close(st.changed)
 		st.changed = make(chan struct{})
 	}
-	s.noteWatts()
+	s.recordPower()
 	return true
 }
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -22,8 +22,8 @@
 // The answer depends on the prompt alone, so that a test can tell whether a
 // caller got its own answer, whole.
 func TokenText(promptHash uint64, i int) string {
-	mixed := xxhash.Sum64String(strconv.FormatUint(promptHash, 16) + ":" + strconv.Itoa(i))
-	return " " + strconv.FormatUint(mixed%tokenVariants, 36)
+	tokenHash := xxhash.Sum64String(strconv.FormatUint(promptHash, 16) + ":" + strconv.Itoa(i))
+	return " " + strconv.FormatUint(tokenHash%tokenVariants, 36)
 }
 
 // Completion gives the first n tokens of the answer to a prompt.
--- a/standin/link/addr_test.go
+++ b/standin/link/addr_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	addr, err := FreeAddr()
 	is.NoErr(err)
-	_, err = net.Listen("tcp", strings.Replace(addr, "127.0.0.1", claimHost, 1)) // as another process would
+	_, err = net.Listen("tcp", strings.Replace(addr, "127.0.0.1", reservationHost, 1)) // as another process would
 	is.True(err != nil)
 	listener, err := net.Listen("tcp", addr) // and it is free
 	is.NoErr(err)
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -24,59 +24,59 @@
 
 // Link carries connections and datagrams to a target.
 type Link struct {
-	target  string
-	addr    string
-	packets net.PacketConn
+	target     string
+	addr       string
+	packetConn net.PacketConn
 
 	mu sync.Mutex
 	// listener is nil while connections are refused.
-	listener net.Listener
-	cut      Direction
-	open     map[Direction]chan struct{} // closed while that way is whole
-	delay    time.Duration
-	pairs    map[*pair]bool
+	listener  net.Listener
+	blocked   Direction
+	passable  map[Direction]chan struct{} // closed while that way is whole
+	delay     time.Duration
+	connPairs map[*connPair]bool
 }
 
-// pair is a connection and its continuation to the target.
-type pair struct {
-	near, far net.Conn
-	// muted drops every byte either way and keeps the connections open.
-	muted atomic.Bool
+// connPair is a connection and its continuation to the target.
+type connPair struct {
+	client, target net.Conn
+	// discarding drops every byte either way and keeps the connections open.
+	discarding atomic.Bool
 }
 
-// bindTries is how many free addresses are tried: a port that was free a moment ago may
+// maxBindTries is how many free addresses are tried: a port that was free a moment ago may
 // not be.
-const bindTries = 10
+const maxBindTries = 10
 
 // New listens on a free address and carries what comes there to target.
 func New(target string) (*Link, error) {
-	var last error
-	for range bindTries {
+	var lastErr error
+	for range maxBindTries {
 		addr, err := FreeAddr()
 		if err != nil {
 			return nil, err
 		}
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		packets, err := net.ListenPacket("udp", addr)
+		packetConn, err := net.ListenPacket("udp", addr)
 		if err != nil {
 			_ = listener.Close()
-			last = err
+			lastErr = err
 			continue
 		}
-		l := &Link{target: target, addr: listener.Addr().String(), listener: listener, packets: packets, pairs: map[*pair]bool{}, open: map[Direction]chan struct{}{}}
-		for _, way := range []Direction{ToTarget, FromTarget} {
-			l.open[way] = make(chan struct{})
-			close(l.open[way])
+		l := &Link{target: target, addr: listener.Addr().String(), listener: listener, packetConn: packetConn, connPairs: map[*connPair]bool{}, passable: map[Direction]chan struct{}{}}
+		for _, direction := range []Direction{ToTarget, FromTarget} {
+			l.passable[direction] = make(chan struct{})
+			close(l.passable[direction])
 		}
 		go l.serveTCP(listener)
 		go l.serveUDP()
 		return l, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // Addr is where the link listens.
@@ -112,25 +112,25 @@
 // Close ends the link and all its connections.
 func (l *Link) Close() {
 	l.RefuseConnections()
-	_ = l.packets.Close()
+	_ = l.packetConn.Close()
 	l.ResetConnections()
 	l.SetBlocked(0)
 }
 
 // SetBlocked cuts the link in the directions given and heals it in the others; what was
 // held back is then delivered, unless Reset has lost it.
-func (l *Link) SetBlocked(cut Direction) {
+func (l *Link) SetBlocked(blocked Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, way := range []Direction{ToTarget, FromTarget} {
-		switch was, is := l.cut&way != 0, cut&way != 0; {
-		case is && !was:
-			l.open[way] = make(chan struct{})
-		case was && !is:
-			close(l.open[way])
+	for _, direction := range []Direction{ToTarget, FromTarget} {
+		switch wasBlocked, isBlocked := l.blocked&direction != 0, blocked&direction != 0; {
+		case isBlocked && !wasBlocked:
+			l.passable[direction] = make(chan struct{})
+		case wasBlocked && !isBlocked:
+			close(l.passable[direction])
 		}
 	}
-	l.cut = cut
+	l.blocked = blocked
 }
 
 // SetDelay holds back all traffic by this much.
@@ -144,9 +144,9 @@
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.muted.Store(true)
-		for _, conn := range []net.Conn{p.near, p.far} {
+	for p := range l.connPairs {
+		p.discarding.Store(true)
+		for _, conn := range []net.Conn{p.client, p.target} {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			_ = conn.Close()
 		}
@@ -157,17 +157,17 @@
 func (l *Link) BlackholeConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.muted.Store(true)
+	for p := range l.connPairs {
+		p.discarding.Store(true)
 	}
 }
 
-// pass waits until traffic that way may go on.
-func (l *Link) pass(way Direction) {
+// awaitPassable waits until traffic that way may go on.
+func (l *Link) awaitPassable(direction Direction) {
 	l.mu.Lock()
-	open, delay := l.open[way], l.delay
+	passable, delay := l.passable[direction], l.delay
 	l.mu.Unlock()
-	<-open
+	<-passable
 	if delay > 0 {
 		time.Sleep(delay)
 	}
@@ -175,39 +175,39 @@
 
 func (l *Link) serveTCP(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		clientConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.connect(near)
+		go l.connect(clientConn)
 	}
 }
 
 // connect continues a connection to the target; one that the target refuses is reset.
-func (l *Link) connect(near net.Conn) {
-	l.pass(ToTarget)
-	far, err := net.Dial("tcp", l.target)
+func (l *Link) connect(clientConn net.Conn) {
+	l.awaitPassable(ToTarget)
+	targetConn, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = near.(*net.TCPConn).SetLinger(0)
-		_ = near.Close()
+		_ = clientConn.(*net.TCPConn).SetLinger(0)
+		_ = clientConn.Close()
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &connPair{client: clientConn, target: targetConn}
 	l.mu.Lock()
-	l.pairs[p] = true
+	l.connPairs[p] = true
 	l.mu.Unlock()
-	var copying sync.WaitGroup
-	copying.Go(func() { l.copy(p, far, near, ToTarget) })
-	copying.Go(func() { l.copy(p, near, far, FromTarget) })
-	copying.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { l.copy(p, targetConn, clientConn, ToTarget) })
+	copies.Go(func() { l.copy(p, clientConn, targetConn, FromTarget) })
+	copies.Wait()
 	l.mu.Lock()
-	delete(l.pairs, p)
+	delete(l.connPairs, p)
 	l.mu.Unlock()
 }
 
 const bufferBytes = 64 << 10
 
-func (l *Link) copy(p *pair, to, from net.Conn, way Direction) {
+func (l *Link) copy(p *connPair, to, from net.Conn, direction Direction) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -215,8 +215,8 @@
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		l.pass(way)
-		if n > 0 && !p.muted.Load() {
+		l.awaitPassable(direction)
+		if n > 0 && !p.discarding.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -229,21 +229,21 @@
 
 // serveUDP forwards datagrams to the target; a cut link loses them.
 func (l *Link) serveUDP() {
-	out, err := net.Dial("udp", l.target)
+	targetConn, err := net.Dial("udp", l.target)
 	if err != nil {
 		return
 	}
 	buffer := make([]byte, bufferBytes)
 	for {
-		n, _, err := l.packets.ReadFrom(buffer)
+		n, _, err := l.packetConn.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		cut := l.cut&ToTarget != 0
+		blocked := l.blocked&ToTarget != 0
 		l.mu.Unlock()
-		if !cut {
-			_, _ = out.Write(buffer[:n])
+		if !blocked {
+			_, _ = targetConn.Write(buffer[:n])
 		}
 	}
 }
--- a/standin/platform/caller.go
+++ b/standin/platform/caller.go
@@ -15,14 +15,14 @@
 
 // Headers that callers send and get.
 const (
-	headerID       = "X-Aspenyard-Attempt-Id"
-	headerDeadline = "X-Aspenyard-Deadline-Ms"
-	headerTokens   = "X-Aspenyard-Token-Usage"
-	headerModel    = "X-Aspenyard-Model"
-	headerStamp    = "X-Aspenyard-Server-Stamp"
-	headerTenant   = "X-Aspenyard-Tenant"
-	headerHelpers  = "X-Aspenyard-Helpers"
-	headerInstance = "X-Aspenyard-Expect-Instance"
+	headerAttemptID = "X-Aspenyard-Attempt-Id"
+	headerDeadline  = "X-Aspenyard-Deadline-Ms"
+	headerTokens    = "X-Aspenyard-Token-Usage"
+	headerModel     = "X-Aspenyard-Model"
+	headerStamp     = "X-Aspenyard-Server-Stamp"
+	headerTenant    = "X-Aspenyard-Tenant"
+	headerHelpers   = "X-Aspenyard-Helpers"
+	headerInstance  = "X-Aspenyard-Expect-Instance"
 )
 
 // CallHeaders is what a caller says of a request besides its path and body.
@@ -35,7 +35,7 @@
 
 // SetHeaders writes the caller's headers.
 func (c *CallHeaders) SetHeaders(h http.Header) {
-	h.Set(headerID, c.ID)
+	h.Set(headerAttemptID, c.ID)
 	h.Set(headerDeadline, fmt.Sprint(c.Deadline.Milliseconds()))
 	h.Set("Authorization", "Bearer "+c.APIKey)
 	if c.PromptTokens > 0 {
@@ -51,22 +51,22 @@
 }
 
 // ParseResponseHeaders reads which request an answer is to, and whether a worker signed it.
-func ParseResponseHeaders(h http.Header) (id string, signed bool) {
-	return h.Get(headerID), h.Get(headerStamp) != ""
+func ParseResponseHeaders(h http.Header) (id string, stamped bool) {
+	return h.Get(headerAttemptID), h.Get(headerStamp) != ""
 }
 
 // Times and sizes of the small configuration's request.
 const (
-	callDeadline = 15 * time.Second
-	callPrompt   = 1000
-	callOutput   = 400
+	callDeadline     = 15 * time.Second
+	callPromptTokens = 1000
+	callOutputTokens = 400
 )
 
 // CallerRequest is a caller's request to a gateway at addr.
 func CallerRequest(addr, id, body string) *http.Request {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/model/a", strings.NewReader(body))
 	r.Host = Host
-	call := CallHeaders{ID: id, APIKey: APIKey, Deadline: callDeadline, PromptTokens: callPrompt, OutputTokens: callOutput}
+	call := CallHeaders{ID: id, APIKey: APIKey, Deadline: callDeadline, PromptTokens: callPromptTokens, OutputTokens: callOutputTokens}
 	call.SetHeaders(r.Header)
 	return r
 }
--- a/standin/platform/operator.go
+++ b/standin/platform/config.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// smallMemory is the KV cache of the small configuration's engines, in tokens.
-const smallMemory = 405_000
+// smallMemoryTokens is the KV cache of the small configuration's engines, in tokens.
+const smallMemoryTokens = 405_000
 
 // SmallConfig is a configuration with one account and one resumable streaming route,
 // /model/, to a service of model engines.
@@ -90,7 +90,7 @@
 			Name: "model", Host: Host, Prefix: "/model/", Kind: "streaming", Resumable: true, Service: service,
 			Timeout: 20 * time.Second, Target: time.Second, TargetPause: 500 * time.Millisecond, MaxAttempts: 4,
 		}},
-		Services: []Service{{Name: service, MaxConnections: 1000, MemoryTokens: smallMemory}},
+		Services: []Service{{Name: service, MaxConnections: 1000, MemoryTokens: smallMemoryTokens}},
 		Accounts: []Account{{Name: "acme", Keys: []string{APIKey}}},
 		Limits:   Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
--- /dev/null
+++ b/standin/platform/reservations.go
@@ -0,0 +1,123 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+)
+
+// serveReport answers GET /-/serveReport.
+func (w *Worker) serveReport(conn net.Conn) bool {
+	w.mu.Lock()
+	w.reportCount++
+	used := 0
+	reservations := []map[string]any{}
+	w.expireReservations(time.Now())
+	for id, r := range w.reservations {
+		used += r.tokens
+		reservations = append(reservations, map[string]any{"id": id, "tokens": r.tokens, "state": "held", "age_ms": 0})
+	}
+	data, _ := json.Marshal(map[string]any{
+		"phase": "mixed", "busy": false, "seq_no": w.orderCount, "queued": 0, "active": w.inFlight, "kv_used": used, "kv_total": w.MemoryTokens, "handles": 0, "pace": w.slowdown, "tickets": reservations,
+	})
+	w.mu.Unlock()
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(data), data)
+	return true
+}
+
+// reservation is memory that is set aside until a time.
+type reservation struct {
+	tokens    int
+	expiresAt time.Time
+}
+
+// lateOrderDelay is how late an order is carried out that FaultLate holds back.
+const lateOrderDelay = 1500 * time.Millisecond
+
+// fitsMemory tells whether the memory has room for a reservation, or holds it already.
+func (w *Worker) fitsMemory(id string, tokens int) bool {
+	if w.MemoryTokens == 0 {
+		return true
+	}
+	for held, r := range w.reservations {
+		if held != id {
+			tokens += r.tokens
+		}
+	}
+	return tokens <= w.MemoryTokens
+}
+
+// FreedCount counts the releases that ended a reservation.
+func (w *Worker) FreedCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.freedCount
+}
+
+// expireReservations ends reservations whose time has passed.
+func (w *Worker) expireReservations(now time.Time) {
+	for id, r := range w.reservations {
+		if now.After(r.expiresAt) {
+			delete(w.reservations, id)
+		}
+	}
+}
+
+type orderRequest struct {
+	Op     string `json:"op"`
+	ID     string `json:"id"`
+	Tokens int    `json:"tokens"`
+	HoldMS int64  `json:"hold_ms"`
+}
+
+func (w *Worker) serveOrder(conn net.Conn, r *http.Request) bool {
+	var order orderRequest
+	_ = json.NewDecoder(r.Body).Decode(&order)
+	_, _ = io.Copy(io.Discard, r.Body)
+	if expectedID := r.Header.Get("X-Aspenyard-Expect-Instance"); expectedID != "" && expectedID != w.ID {
+		fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected Request\r\nX-Aspenyard-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", w.ID)
+		return true
+	}
+	fault := w.nextOrderFault()
+	w.mu.Lock()
+	w.orderCount++
+	w.mu.Unlock()
+	if fault == FaultLateOrder {
+		time.AfterFunc(lateOrderDelay, func() { w.applyOrder(&order) })
+		return false
+	}
+	status := "409 Conflict"
+	if fault != FaultShed && w.applyOrder(&order) {
+		status = "200 OK"
+	}
+	if fault == FaultReset {
+		return false
+	}
+	fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}", status)
+	return true
+}
+
+// applyOrder does what an order asks for; false when the memory is not free.
+func (w *Worker) applyOrder(order *orderRequest) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	w.expireReservations(now)
+	switch order.Op {
+	case "reserve":
+		if !w.fitsMemory(order.ID, order.Tokens) {
+			return false
+		}
+		w.reservations[order.ID] = reservation{order.Tokens, now.Add(time.Duration(order.HoldMS) * time.Millisecond)}
+	case "release":
+		if _, held := w.reservations[order.ID]; held {
+			w.freedCount++
+		}
+		delete(w.reservations, order.ID)
+		w.releasedIDs = append(w.releasedIDs, order.ID)
+	}
+	return true
+}
--- a/standin/platform/answers.go
+++ b/standin/platform/responses.go
@@ -25,60 +25,60 @@
 	return b.String()
 }
 
-const signature = "X-Aspenyard-Server-Stamp: s1\r\n"
+const serverStamp = "X-Aspenyard-Server-Stamp: s1\r\n"
 
-func (w *Worker) plain(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
+func (w *Worker) sendPlain(conn net.Conn, headers string, run *Run, fault Fault, callerGone <-chan struct{}) bool {
 	body := PlainResponse(run.ID)
-	framed := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%sContent-Length: %d\r\n\r\n%s", head, signature, len(body), body)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s%sContent-Length: %d\r\n\r\n%s", headers, serverStamp, len(body), body)
 	switch fault {
 	case FaultError:
 		w.setStatus(run, http.StatusInternalServerError)
-		fmt.Fprintf(conn, "HTTP/1.1 500 Internal Server Error\r\n%s%sContent-Length: 4\r\n\r\nfail", head, signature)
+		fmt.Fprintf(conn, "HTTP/1.1 500 Internal Server Error\r\n%s%sContent-Length: 4\r\n\r\nfail", headers, serverStamp)
 	case FaultUnmarkedRefusal:
 		w.setStatus(run, http.StatusServiceUnavailable)
-		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 0\r\n\r\n", head, signature)
+		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 0\r\n\r\n", headers, serverStamp)
 	case FaultReset:
 		return false
 	case FaultTruncated:
-		_, _ = io.WriteString(conn, framed[:len(framed)-3])
+		_, _ = io.WriteString(conn, response[:len(response)-3])
 		return false
 	case FaultDuplicateResponse:
-		_, _ = io.WriteString(conn, framed)
+		_, _ = io.WriteString(conn, response)
 		time.Sleep(5 * time.Millisecond)
-		_, _ = io.WriteString(conn, framed)
+		_, _ = io.WriteString(conn, response)
 	case FaultUnframed:
-		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+head+signature+"Connection: close\r\n\r\n"+body)
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+headers+serverStamp+"Connection: close\r\n\r\n"+body)
 		return false
 	case FaultNoServerStamp:
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", headers, len(body), body)
 	case FaultGarbage:
 		_, _ = io.WriteString(conn, "\x00\x01 no answer\r\n\r\n")
 		return false
 	case FaultHang:
-		<-left
+		<-callerGone
 		return false
 	default:
-		_, _ = io.WriteString(conn, framed)
+		_, _ = io.WriteString(conn, response)
 	}
 	return true
 }
 
-func (w *Worker) stream(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
+func (w *Worker) sendStream(conn net.Conn, headers string, run *Run, fault Fault, callerGone <-chan struct{}) bool {
 	switch fault {
 	case FaultError, FaultReset, FaultHang, FaultGarbage, FaultUnmarkedRefusal:
-		return w.plain(conn, head, run, fault, left)
+		return w.sendPlain(conn, headers, run, fault, callerGone)
 	}
 	chunked := fault != FaultUnframed && fault != FaultTruncatedUnframed
 	framing := "Transfer-Encoding: chunked\r\n"
 	if !chunked {
 		framing = "Connection: close\r\n"
 	}
-	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"+head+signature+framing+"\r\n")
-	first, _ := strconv.Atoi(run.LastEventID)
-	for n := first + 1; n <= w.EventCount; n++ {
+	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"+headers+serverStamp+framing+"\r\n")
+	lastEventID, _ := strconv.Atoi(run.LastEventID)
+	for n := lastEventID + 1; n <= w.EventCount; n++ {
 		text := EventText(run.ID, n)
-		breaks := (fault == FaultTruncated || fault == FaultTruncatedUnframed) && n == first+2
-		if breaks {
+		truncate := (fault == FaultTruncated || fault == FaultTruncatedUnframed) && n == lastEventID+2
+		if truncate {
 			text = text[:len(text)/2]
 		}
 		if chunked {
@@ -87,14 +87,14 @@
 		if _, err := io.WriteString(conn, text); err != nil {
 			return false
 		}
-		if breaks {
+		if truncate {
 			return false
 		}
-		gap := w.EventInterval
+		interval := w.EventInterval
 		if fault == FaultSlow {
-			gap = time.Second
+			interval = time.Second
 		}
-		if !pause(gap, left) {
+		if !sleepUnlessGone(interval, callerGone) {
 			return false
 		}
 	}
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -42,27 +42,27 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Store is the metadata store.
 type Store struct {
-	mu        sync.Mutex
-	faults    StoreFaults
-	revision  uint64
-	items     map[string]Item
-	events    []event
-	compacted uint64 // events up to this revision are gone
-	leases    map[uint64]*lease
-	nextLease uint64
-	changed   chan struct{}
-	calls     map[string]int
+	mu                sync.Mutex
+	faults            StoreFaults
+	revision          uint64
+	items             map[string]Item
+	events            []event
+	compactedRevision uint64 // events up to this revision are gone
+	leases            map[uint64]*lease
+	nextLease         uint64
+	changed           chan struct{}
+	callCounts        map[string]int
 }
 
 // NewStore makes an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), calls: map[string]int{}}
+	return &Store{items: map[string]Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), callCounts: map[string]int{}}
 }
 
 // SetFaults changes the misbehaviour; it also wakes waiting watches.
@@ -70,14 +70,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
 // CallCount counts the calls of a path so far.
 func (s *Store) CallCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[path]
+	return s.callCounts[path]
 }
 
 // Put writes a key as the operator or a worker would, and gives its revision.
@@ -112,7 +112,7 @@
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	return s.items[key].Value
 }
 
@@ -120,7 +120,7 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.compacted = nil, s.revision
+	s.events, s.compactedRevision = nil, s.revision
 }
 
 func (s *Store) put(key string, value []byte, lease uint64) uint64 {
@@ -131,7 +131,7 @@
 	}
 	s.items[key] = item
 	s.events = append(s.events, event{Item: item})
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
@@ -142,27 +142,27 @@
 	delete(s.items, key)
 	s.revision++
 	s.events = append(s.events, event{Item: Item{Key: key, Revision: s.revision}, Deleted: true})
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases whose time has passed.
-func (s *Store) expire() {
+// expireLeases ends leases whose time has passed.
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.Before(l.end) {
+		if now.Before(l.expiresAt) {
 			continue
 		}
 		delete(s.leases, id)
-		s.removeLeased(id)
+		s.removeKeysOfLease(id)
 	}
 }
 
-func (s *Store) removeLeased(id uint64) {
+func (s *Store) removeKeysOfLease(id uint64) {
 	for key, item := range s.items {
 		if item.Lease == id {
 			s.remove(key)
@@ -173,22 +173,22 @@
 // Handler serves the store's calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/kv-key", s.guard(s.serveKey))
-	mux.HandleFunc("GET /-/kv-range", s.guard(s.serveRange))
-	mux.HandleFunc("GET /-/kv-watch", s.guard(s.serveWatch))
-	mux.HandleFunc("POST /-/kv-txn", s.guard(s.serveTxn))
-	mux.HandleFunc("POST /-/kv-lease", s.guard(s.serveLease))
-	mux.HandleFunc("POST /-/kv-keep/{id}", s.guard(s.serveKeep))
-	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.guard(s.serveLeaseEnd))
+	mux.HandleFunc("GET /-/kv-key", s.withFaults(s.serveKey))
+	mux.HandleFunc("GET /-/kv-range", s.withFaults(s.serveRange))
+	mux.HandleFunc("GET /-/kv-watch", s.withFaults(s.serveWatch))
+	mux.HandleFunc("POST /-/kv-txn", s.withFaults(s.serveTxn))
+	mux.HandleFunc("POST /-/kv-lease", s.withFaults(s.serveGrantLease))
+	mux.HandleFunc("POST /-/kv-keep/{id}", s.withFaults(s.serveRenewLease))
+	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.withFaults(s.serveEndLease))
 	return mux
 }
 
-// guard applies the faults that concern every call.
-func (s *Store) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the faults that concern every call.
+func (s *Store) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.calls[r.URL.Path]++
-		s.expire()
+		s.callCounts[r.URL.Path]++
+		s.expireLeases()
 		faults := s.faults
 		s.mu.Unlock()
 		if faults.Delay > 0 {
@@ -236,11 +236,11 @@
 		}
 	}
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Key < entries[j].Key })
-	more := len(entries) > pageItems
-	if more {
+	hasMore := len(entries) > pageItems
+	if hasMore {
 		entries = entries[:pageItems]
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"entries": entries, "has_more": more, "at": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"entries": entries, "has_more": hasMore, "at": s.revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -248,11 +248,11 @@
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(query.Get("wait_ms"))
 	timeout := time.After(time.Duration(ms) * time.Millisecond)
-	deaf := false // once deaf, a waiting watch stays so until it ends
+	muted := false // once deaf, a waiting watch stays so until it ends
 	for {
 		s.mu.Lock()
-		deaf = deaf || s.faults.MuteWatches
-		gone, at, changed := after < s.compacted, s.revision, s.changed
+		muted = muted || s.faults.MuteWatches
+		compacted, revision, changed := after < s.compactedRevision, s.revision, s.changed
 		events := []event{}
 		for _, e := range s.events {
 			if e.Revision > after && strings.HasPrefix(e.Key, query.Get("prefix")) {
@@ -261,20 +261,20 @@
 		}
 		s.mu.Unlock()
 		switch {
-		case !deaf && gone:
+		case !muted && compacted:
 			http.Error(w, "history gone", http.StatusGone)
 			return
-		case !deaf && len(events) > 0:
-			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": at})
+		case !muted && len(events) > 0:
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			if deaf {
-				at = after
+			if muted {
+				revision = after
 			}
-			writeJSON(w, http.StatusOK, map[string]any{"events": []event{}, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []event{}, "at": revision})
 			return
 		case <-r.Context().Done():
 			return
@@ -303,9 +303,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range txn.Expect {
-		if s.items[e.Key].Revision != e.Revision {
-			writeJSON(w, http.StatusPreconditionFailed, map[string]any{"entries": []Item{s.items[e.Key]}})
+	for _, expected := range txn.Expect {
+		if s.items[expected.Key].Revision != expected.Revision {
+			writeJSON(w, http.StatusPreconditionFailed, map[string]any{"entries": []Item{s.items[expected.Key]}})
 			return
 		}
 	}
@@ -325,11 +325,11 @@
 	for _, key := range txn.Remove {
 		s.remove(key)
 	}
-	s.answerWrite(w, map[string]uint64{"revision": s.revision})
+	s.respondToWrite(w, map[string]uint64{"revision": s.revision})
 }
 
-// answerWrite answers a write that took effect, or loses the answer.
-func (s *Store) answerWrite(w http.ResponseWriter, value any) {
+// respondToWrite answers a write that took effect, or loses the answer.
+func (s *Store) respondToWrite(w http.ResponseWriter, value any) {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
 		panic(http.ErrAbortHandler)
@@ -337,7 +337,7 @@
 	writeJSON(w, http.StatusOK, value)
 }
 
-func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveGrantLease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		TTLMS int64 `json:"ttl_ms"`
 	}
@@ -349,11 +349,11 @@
 	defer s.mu.Unlock()
 	s.nextLease++
 	ttl := time.Duration(request.TTLMS) * time.Millisecond
-	s.leases[s.nextLease] = &lease{ttl: ttl, end: time.Now().Add(ttl)}
-	s.answerWrite(w, map[string]any{"lease": s.nextLease, "ttl_ms": request.TTLMS})
+	s.leases[s.nextLease] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	s.respondToWrite(w, map[string]any{"lease": s.nextLease, "ttl_ms": request.TTLMS})
 }
 
-func (s *Store) serveKeep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRenewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -362,16 +362,16 @@
 		http.Error(w, "no such lease", http.StatusNotFound)
 		return
 	}
-	l.end = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	writeJSON(w, http.StatusOK, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveEndLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.leases, id)
-	s.removeLeased(id)
+	s.removeKeysOfLease(id)
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
@@ -381,6 +381,6 @@
 	defer s.mu.Unlock()
 	for id := range s.leases {
 		delete(s.leases, id)
-		s.removeLeased(id)
+		s.removeKeysOfLease(id)
 	}
 }
--- a/standin/platform/worker.go
+++ b/standin/platform/worker.go
@@ -72,13 +72,13 @@
 
 // ReservationIDs are the names of the reservations that a run uses.
 func (r *Run) ReservationIDs() []string {
-	var tickets []string
+	var ids []string
 	for _, helper := range strings.Split(r.Helpers, ",") {
-		if _, ticket, found := strings.Cut(helper, "/"); found {
-			tickets = append(tickets, ticket)
+		if _, id, found := strings.Cut(helper, "/"); found {
+			ids = append(ids, id)
 		}
 	}
-	return tickets
+	return ids
 }
 
 // Worker is a model worker or plain application.
@@ -103,24 +103,24 @@
 	// MemoryTokens is its KV cache, of which reservations take their part; 0: no bound.
 	MemoryTokens int
 
-	mu     sync.Mutex
-	runs   []*Run
-	faults []Fault
-	// orderFaults go before faults, for orders.
-	orderFaults []Fault
-	always      Fault
-	reserved    map[string]reservation
-	released    []string
-	orders      int
-	freed       int
-	helper      string
-	pace        float64
-	reports     int
-	listener    net.Listener
-	conns       map[net.Conn]bool
-	accepted    int
-	working     int
-	seq         int
+	mu         sync.Mutex
+	runs       []*Run
+	faultQueue []Fault
+	// orderFaultQueue go before faults, for orders.
+	orderFaultQueue []Fault
+	defaultFault    Fault
+	reservations    map[string]reservation
+	releasedIDs     []string
+	orderCount      int
+	freedCount      int
+	failedHelper    string
+	slowdown        float64
+	reportCount     int
+	listener        net.Listener
+	conns           map[net.Conn]bool
+	acceptedCount   int
+	inFlight        int
+	registrationSeq int
 }
 
 // Start listens on a free port of the loopback.
@@ -133,9 +133,9 @@
 		return err
 	}
 	w.mu.Lock()
-	w.listener, w.conns, w.reserved = listener, map[net.Conn]bool{}, map[string]reservation{}
-	if w.pace == 0 {
-		w.pace = 1
+	w.listener, w.conns, w.reservations = listener, map[net.Conn]bool{}, map[string]reservation{}
+	if w.slowdown == 0 {
+		w.slowdown = 1
 	}
 	w.mu.Unlock()
 	go w.accept(listener)
@@ -169,9 +169,9 @@
 func (w *Worker) RegistrationAt(addr, state string) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seq++
+	w.registrationSeq++
 	fields := map[string]any{
-		"service": w.Service, "address": addr, "zone": "dc1", "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq_no": w.seq,
+		"service": w.Service, "address": addr, "zone": "dc1", "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq_no": w.registrationSeq,
 	}
 	if w.StartUnixMilli != 0 {
 		fields["born"] = w.StartUnixMilli
@@ -192,43 +192,43 @@
 func (w *Worker) QueueFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, faults...)
+	w.faultQueue = append(w.faultQueue, faults...)
 }
 
 // QueueOrderFaults queues faults for the coming orders, one each.
 func (w *Worker) QueueOrderFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.orderFaults = append(w.orderFaults, faults...)
+	w.orderFaultQueue = append(w.orderFaultQueue, faults...)
 }
 
 // SetDefaultFault sets a fault for all requests that have none queued; "" for none.
 func (w *Worker) SetDefaultFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.always = f
+	w.defaultFault = f
 }
 
 // SetSlowdown sets how many times as long as described its work takes, as its report tells;
 // 0 tells that it does not say.
-func (w *Worker) SetSlowdown(pace float64) {
+func (w *Worker) SetSlowdown(slowdown float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pace = pace
+	w.slowdown = slowdown
 }
 
 // ReportCount counts how often it was asked for its report.
 func (w *Worker) ReportCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.reports
+	return w.reportCount
 }
 
 // SetFailedHelper sets the address that FaultHelper names.
 func (w *Worker) SetFailedHelper(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.helper = addr
+	w.failedHelper = addr
 }
 
 // Runs lists the requests so far.
@@ -246,14 +246,14 @@
 func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.working
+	return w.inFlight
 }
 
 // AcceptedCount counts connections.
 func (w *Worker) AcceptedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.accepted
+	return w.acceptedCount
 }
 
 // Reservations lists the reservations that are held, and how many were released.
@@ -261,11 +261,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held = map[string]int{}
-	w.expire(time.Now())
-	for id, r := range w.reserved {
+	w.expireReservations(time.Now())
+	for id, r := range w.reservations {
 		held[id] = r.tokens
 	}
-	return held, len(w.released), w.orders
+	return held, len(w.releasedIDs), w.orderCount
 }
 
 func (w *Worker) accept(listener net.Listener) {
@@ -276,7 +276,7 @@
 		}
 		w.mu.Lock()
 		w.conns[conn] = true
-		w.accepted++
+		w.acceptedCount++
 		w.mu.Unlock()
 		go w.serve(conn)
 	}
@@ -305,12 +305,12 @@
 func (w *Worker) handle(conn net.Conn, reader *bufio.Reader, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/-/order":
-		return w.order(conn, r)
+		return w.serveOrder(conn, r)
 	case "/-/report":
-		return w.report(conn)
+		return w.serveReport(conn)
 	}
-	fault := w.take()
-	run := readRun(r, fault)
+	fault := w.nextFault()
+	run := newRun(r, fault)
 	if fault == FaultEarlyResponse {
 		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", run.ID)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -321,15 +321,15 @@
 		return false
 	}
 	run.Body, run.ArrivedAt = string(body), time.Now()
-	head := fmt.Sprintf("X-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Instance-Load: 1,0,16\r\n", run.ID)
-	if status, headers := w.refusal(r, fault); status != 0 {
+	headers := fmt.Sprintf("X-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Instance-Load: 1,0,16\r\n", run.ID)
+	if status, refusalHeaders := w.refusal(r, fault); status != 0 {
 		run.Status = status
-		w.note(run)
-		fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), head, headers)
+		w.addRun(run)
+		fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers, refusalHeaders)
 		return true
 	}
 	run.Ran, run.Status = true, http.StatusOK
-	w.note(run)
+	w.addRun(run)
 	if w.CrashBody != "" && run.Body == w.CrashBody {
 		if w.OnCrash != nil {
 			w.OnCrash()
@@ -337,17 +337,17 @@
 		w.Stop()
 		return false
 	}
-	left := watchCaller(reader)
-	stays := w.run(conn, head, run, fault, left)
-	w.end(run, left)
-	if !stays {
+	callerGone := watchCaller(reader)
+	keepAlive := w.process(conn, headers, run, fault, callerGone)
+	w.finishRun(run, callerGone)
+	if !keepAlive {
 		_ = conn.Close()
 	}
-	<-left // the reader is free again
-	return stays
+	<-callerGone // the reader is free again
+	return keepAlive
 }
 
-func readRun(r *http.Request, fault Fault) *Run {
+func newRun(r *http.Request, fault Fault) *Run {
 	deadline, _ := strconv.Atoi(r.Header.Get("X-Aspenyard-Deadline-Ms"))
 	return &Run{
 		ID: r.Header.Get("X-Aspenyard-Attempt-Id"), Method: r.Method, RequestURI: r.RequestURI, Account: r.Header.Get("X-Aspenyard-Tenant"),
@@ -365,10 +365,10 @@
 		return http.StatusMisdirectedRequest, "X-Aspenyard-Instance-Id: " + w.ID + "\r\n"
 	case fault == FaultShed:
 		return http.StatusServiceUnavailable, notExecuted
-	case w.full():
+	case w.atCapacity():
 		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.Addr() + "\r\n"
 	case fault == FaultHelperFailed:
-		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.helper + "\r\n"
+		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.failedHelper + "\r\n"
 	}
 	return 0, ""
 }
@@ -384,79 +384,79 @@
 	return done
 }
 
-// run works on a request and tells whether the connection stays.
-func (w *Worker) run(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
-	w.work(1)
-	defer w.work(-1)
+// process works on a request and tells whether the connection stays.
+func (w *Worker) process(conn net.Conn, headers string, run *Run, fault Fault, callerGone <-chan struct{}) bool {
+	w.addInFlight(1)
+	defer w.addInFlight(-1)
 	if w.EventCount > 0 {
-		return w.stream(conn, head, run, fault, left)
+		return w.sendStream(conn, headers, run, fault, callerGone)
 	}
-	if w.WorkTime > 0 && !pause(w.WorkTime, left) {
+	if w.WorkTime > 0 && !sleepUnlessGone(w.WorkTime, callerGone) {
 		return false
 	}
-	return w.plain(conn, head, run, fault, left)
+	return w.sendPlain(conn, headers, run, fault, callerGone)
 }
 
-// pause waits; false when the caller left meanwhile.
-func pause(d time.Duration, left <-chan struct{}) bool {
+// sleepUnlessGone waits; false when the caller left meanwhile.
+func sleepUnlessGone(d time.Duration, callerGone <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
 		return true
-	case <-left:
+	case <-callerGone:
 		return false
 	}
 }
 
-func (w *Worker) end(run *Run, left <-chan struct{}) {
+func (w *Worker) finishRun(run *Run, callerGone <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	run.EndedAt = time.Now()
 	select {
-	case <-left:
+	case <-callerGone:
 		run.Cancelled = true
 	default:
 	}
 }
 
-// full tells whether all slots are taken.
-func (w *Worker) full() bool {
+// atCapacity tells whether all slots are taken.
+func (w *Worker) atCapacity() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Slots > 0 && w.working >= w.Slots
+	return w.Slots > 0 && w.inFlight >= w.Slots
 }
 
-func (w *Worker) take() Fault {
+func (w *Worker) nextFault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.faults) == 0 {
-		return w.always
+	if len(w.faultQueue) == 0 {
+		return w.defaultFault
 	}
-	fault := w.faults[0]
-	w.faults = w.faults[1:]
+	fault := w.faultQueue[0]
+	w.faultQueue = w.faultQueue[1:]
 	return fault
 }
 
-// takeForOrder gives the fault of the next order.
-func (w *Worker) takeForOrder() Fault {
+// nextOrderFault gives the fault of the next order.
+func (w *Worker) nextOrderFault() Fault {
 	w.mu.Lock()
-	if len(w.orderFaults) > 0 {
+	if len(w.orderFaultQueue) > 0 {
 		defer w.mu.Unlock()
-		fault := w.orderFaults[0]
-		w.orderFaults = w.orderFaults[1:]
+		fault := w.orderFaultQueue[0]
+		w.orderFaultQueue = w.orderFaultQueue[1:]
 		return fault
 	}
 	w.mu.Unlock()
-	return w.take()
+	return w.nextFault()
 }
 
-func (w *Worker) note(run *Run) {
+func (w *Worker) addRun(run *Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs = append(w.runs, run)
 }
 
-func (w *Worker) work(n int) {
+func (w *Worker) addInFlight(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.working += n
+	w.inFlight += n
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -51,11 +51,11 @@
 type Server struct {
 	settings Settings
 
-	mu     sync.Mutex
-	faults Faults
-	runs   []Run
-	fence  uint64
-	arrive int
+	mu            sync.Mutex
+	faults        Faults
+	runs          []Run
+	fencingNumber uint64
+	callCount     int
 }
 
 // New makes a stand-in.
@@ -65,9 +65,9 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /call/{kind}", s.call)
-	mux.HandleFunc("GET /v1/status", control.GetHandler(&s.mu, func() any { return map[string]uint64{"fencing_number": s.fence} }))
+	mux.HandleFunc("GET /v1/status", control.GetHandler(&s.mu, func() any { return map[string]uint64{"fencing_number": s.fencingNumber} }))
 	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, func(f Faults) { s.faults = f }))
-	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return Record{Runs: s.runs, Arrived: s.arrive} }))
+	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return Record{Runs: s.runs, Arrived: s.callCount} }))
 	return mux
 }
 
@@ -77,7 +77,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.arrive++
+	s.callCount++
 	faults := s.faults
 	if faults.DropBefore > 0 {
 		s.faults.DropBefore--
@@ -87,13 +87,13 @@
 	if faults.DropBefore > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	run, number, ok := s.run(r)
+	run, number, ok := s.execute(r)
 	if !ok {
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return
 	}
 	time.Sleep(time.Duration(faults.DelayAfterMS) * time.Millisecond)
-	if s.dropAfter() {
+	if s.takeDropAfter() {
 		panic(http.ErrAbortHandler)
 	}
 	if faults.FailStatus != 0 {
@@ -105,20 +105,20 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"key": run.Key, "run": number, "kind": run.Kind, "bytes": len(body)})
 }
 
-func (s *Server) run(r *http.Request) (Run, int, bool) {
+func (s *Server) execute(r *http.Request) (Run, int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fencing, _ := strconv.ParseUint(r.Header.Get("X-Fencing-Number"), 10, 64)
-	if s.settings.ChecksFencing && fencing < s.fence {
+	if s.settings.ChecksFencing && fencing < s.fencingNumber {
 		return Run{}, 0, false
 	}
-	s.fence = max(s.fence, fencing)
+	s.fencingNumber = max(s.fencingNumber, fencing)
 	run := Run{Key: r.Header.Get("X-Request-Key"), Kind: r.PathValue("kind"), FencingNumber: fencing, UnixNano: time.Now().UnixNano()}
 	s.runs = append(s.runs, run)
 	return run, len(s.runs), true
 }
 
-func (s *Server) dropAfter() bool {
+func (s *Server) takeDropAfter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.DropAfter == 0 {
