--- a/standin/engine/calls.go
+++ b/standin/engine/calls.go
@@ -13,7 +13,7 @@
 	defer s.mu.Unlock()
 	st := s.streams[r.PathValue("id")]
 	if st == nil || !st.held {
-		http.Error(w, "no such held sequence", http.StatusNotFound)
+		http.Error(w, "no held sequence with this ID", http.StatusNotFound)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(map[string]int{"tokens": st.promptTokens})
@@ -31,7 +31,7 @@
 	_ = json.NewEncoder(w).Encode(visible)
 }
 
-// serveLoad answers with the serveLoad as it was LoadLag ago.
+// serveLoad answers with the load as it was LoadLag ago.
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	s.record.Orders = append(s.record.Orders, string(text))
 }
 
-// Status is what an agent asks at its start.
+// Status describes the engine to an agent that starts.
 type Status struct {
 	Models                 []string `json:"models"`
 	MemoryTokens           int      `json:"memory_tokens"`
@@ -79,7 +79,8 @@
 	})
 }
 
-// currentRecord is the record with what is held now.
+// currentRecord returns the record, with the memory held and the cached tokens as they are
+// now.
 func (s *Server) currentRecord() Record {
 	record := s.record
 	record.HeldTokens = s.model.HeldTokens()
@@ -94,7 +95,7 @@
 		return
 	}
 	if !s.release(r.PathValue("id"), true) {
-		http.Error(w, "no such sequence", http.StatusNotFound)
+		http.Error(w, "no sequence with this ID", http.StatusNotFound)
 	}
 }
 
@@ -104,7 +105,7 @@
 	st := s.streams[id]
 	s.mu.Unlock()
 	if st == nil {
-		http.Error(w, "no such sequence", http.StatusNotFound)
+		http.Error(w, "no sequence with this ID", http.StatusNotFound)
 		return
 	}
 	offset, _ := strconv.Atoi(r.URL.Query().Get("offset"))
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -1,9 +1,9 @@
-// Package engine is a stand-in for a model engine: continuous batching with
-// chunked prefill, priorities, a limited memory shared by running sequences and
-// cached prompt prefixes, and a power draw that follows its work.
+// Package engine is a stand-in for a model engine: continuous batching with chunked
+// prefill, priorities, a limited KV cache shared by running sequences and cached prompt
+// prefixes, and a power draw that follows the load.
 //
-// Model is the engine without clock or network: the HTTP server steps it in
-// scaled real time and the policy bench in virtual time.
+// Model is the engine without clock or network: the HTTP server steps it in scaled real
+// time, the policy bench in virtual time.
 package engine
 
 import (
@@ -15,29 +15,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockTokens is the size of one block of the prefix cache, in tokens.
+// BlockTokens is the size of a block of the prefix cache, in tokens.
 const BlockTokens = 256
 
-// Config sizes an engine.
+// Config has the sizes and speeds of an engine.
 type Config struct {
-	// MemoryTokens is the KV cache's size in tokens; default 400,000.
+	// MemoryTokens is the size of the KV cache in tokens; default 400,000.
 	MemoryTokens int
-	// MaxRunning bounds the sequences in the batch; default 32.
+	// MaxRunning is the largest number of sequences in the batch; default 32.
 	MaxRunning int
-	// ChunkTokens bounds the prefill tokens of one step; default 512. A larger
-	// chunk prefills faster and delays each token of the running sequences more.
+	// ChunkTokens is the largest number of prefill tokens in one step; default 512. A
+	// larger chunk prefills faster and delays each token of the running sequences more.
 	ChunkTokens int
-	// StepTime is a step's fixed cost; default 4ms.
+	// StepTime is the fixed duration of a step; default 4ms.
 	StepTime time.Duration
-	// PrefillTime and DecodeTime are the cost of a prefill token and of one
-	// sequence's next token in a step; defaults 40µs and 100µs.
+	// PrefillTime and DecodeTime are what each prefill token and the next token of each
+	// sequence add to a step; defaults 40µs and 100µs.
 	PrefillTime, DecodeTime time.Duration
-	// FloorWatts is the idle draw and MaxWatts the draw of a full batch;
-	// defaults 1,000 and 5,000.
+	// FloorWatts is the idle draw and MaxWatts the draw of a full batch; defaults 1,000 and
+	// 5,000.
 	FloorWatts, MaxWatts int
 }
 
-// WithDefaults fills the fields left at zero.
+// WithDefaults returns the configuration with defaults in the fields that are 0.
 func (c Config) WithDefaults() Config {
 	setDefault := func(field *int, value int) {
 		if *field == 0 {
@@ -61,7 +61,7 @@
 	return c
 }
 
-// PrefillRate is the tokens a second of a batch that only prefills.
+// PrefillRate is the number of tokens per second that a batch without decoding prefills.
 func (c Config) PrefillRate() int {
 	step := c.StepTime + time.Duration(c.ChunkTokens)*c.PrefillTime
 	return int(float64(c.ChunkTokens) / step.Seconds())
@@ -70,13 +70,15 @@
 // Sequence is one request at the engine.
 type Sequence struct {
 	ID string
-	// Priority: a lower number goes first.
+	// Priority orders the sequences: a lower number goes first.
 	Priority int
-	// PromptTokens and MaxTokens size the sequence; both are held as memory.
+	// PromptTokens and MaxTokens are the sizes of prompt and output. The sequence takes KV
+	// cache for both.
 	PromptTokens, MaxTokens int
-	// Blocks are the prompt's block hashes, each covering all text before it.
+	// Blocks are the hashes of the prompt's blocks, each covering all text up to the
+	// block's end.
 	Blocks []uint64
-	// Hold stops after prefill and keeps the memory until Release.
+	// Hold ends the sequence after prefill and keeps its KV cache until Release.
 	Hold bool
 
 	arrival         int64
@@ -87,7 +89,7 @@
 	finished        bool
 }
 
-// SequenceState is a sequence as shown to others.
+// SequenceState is a sequence as GET /v1/sequences lists it.
 type SequenceState struct {
 	ID           string `json:"id"`
 	OutputTokens int    `json:"produced"`
@@ -97,8 +99,8 @@
 	Admitted     bool   `json:"admitted"`
 }
 
-// Event is progress of one sequence in a step: Token is the new count of output
-// tokens; Prefilled is set at the end of a held sequence's prefill.
+// Event is the progress of one sequence in a step. OutputTokens is the new number of output
+// tokens; Prefilled is set instead when the prefill of a sequence with Hold is done.
 type Event struct {
 	ID           string
 	OutputTokens int
@@ -106,7 +108,7 @@
 	Finished     bool
 }
 
-// Load is an engine's report of itself.
+// Load is the engine's load report.
 type Load struct {
 	Running          int `json:"running"`
 	Waiting          int `json:"waiting"`
@@ -114,7 +116,7 @@
 	FreeMemoryTokens int `json:"free_memory_tokens"`
 }
 
-// Model is an engine's state. Not safe for concurrent use.
+// Model is the state of an engine. It is not safe for concurrent use.
 type Model struct {
 	config     Config
 	sequences  map[string]*Sequence
@@ -123,17 +125,17 @@
 	heldTokens int
 	cache      map[uint64]*list.Element
 	recent     *list.List // most recently used blocks first
-	// evicted and added count cache changes, for cache events.
+	// cacheEvents are the cache changes since the last TakeCacheEvents.
 	cacheEvents []CacheEvent
 }
 
-// CacheEvent is one change of the prefix cache.
+// CacheEvent is one change of the prefix cache: a block that was added or evicted.
 type CacheEvent struct {
 	Block uint64 `json:"block"`
 	Added bool   `json:"added"`
 }
 
-// NewModel makes an idle engine.
+// NewModel returns an idle engine.
 func NewModel(config Config) *Model {
 	return &Model{
 		config: config.WithDefaults(), sequences: map[string]*Sequence{},
@@ -141,13 +143,14 @@
 	}
 }
 
-// Config gives the engine's sizes.
+// Config returns the engine's configuration, with the defaults filled in.
 func (m *Model) Config() Config { return m.config }
 
-// Submit adds a sequence; it waits in the engine until memory and batch allow.
+// Submit adds a sequence, which waits until KV cache and a place in the batch are free. It
+// returns an error if the ID is in use or the sequence is larger than the KV cache.
 func (m *Model) Submit(s *Sequence) error {
 	if m.sequences[s.ID] != nil {
-		return fmt.Errorf("sequence %s exists", s.ID)
+		return fmt.Errorf("sequence %s already exists", s.ID)
 	}
 	if s.PromptTokens+s.MaxTokens > m.config.MemoryTokens {
 		return fmt.Errorf("sequence %s needs %d tokens of memory, the engine has %d", s.ID, s.PromptTokens+s.MaxTokens, m.config.MemoryTokens)
@@ -167,7 +170,8 @@
 	return nil
 }
 
-// admit moves waiting sequences into the batch while memory and slots last.
+// admit moves waiting sequences into the batch, in order, while KV cache and places are
+// free.
 func (m *Model) admit() {
 	running := m.Running()
 	for _, s := range m.byPriority {
@@ -197,7 +201,7 @@
 		m.recent.MoveToFront(element)
 		tokens += BlockTokens
 	}
-	// The last token is always computed, to have something to decode from.
+	// The last prompt token is always computed: decoding starts from its result.
 	return max(0, min(tokens, s.PromptTokens-1))
 }
 
@@ -213,7 +217,8 @@
 	m.evict()
 }
 
-// evict drops the least recently used blocks that running sequences displace.
+// evict evicts the least recently used blocks until the cache fits beside the memory that
+// sequences hold.
 func (m *Model) evict() {
 	for m.recent.Len() > 0 && m.heldTokens+m.recent.Len()*BlockTokens > m.config.MemoryTokens {
 		oldest := m.recent.Back()
@@ -230,10 +235,10 @@
 	return events
 }
 
-// Busy tells whether a step would do work.
+// Busy returns true if a step would do work.
 func (m *Model) Busy() bool { return m.Running() > 0 }
 
-// Running counts the sequences in the batch.
+// Running returns the number of sequences in the batch.
 func (m *Model) Running() int {
 	n := 0
 	for _, s := range m.byPriority {
@@ -244,9 +249,9 @@
 	return n
 }
 
-// Step runs one batch step: each prefilled sequence gets a token, and prefill
-// proceeds by at most ChunkTokens in order of priority. It returns how long the
-// step takes and what it produced.
+// Step runs one batch step: each prefilled sequence gets a token, and at most ChunkTokens
+// are prefilled, in order of priority. It returns the step's duration and the progress of
+// the sequences.
 func (m *Model) Step() (time.Duration, []Event) {
 	var events []Event
 	budget := m.config.ChunkTokens
@@ -279,8 +284,8 @@
 	return duration, events
 }
 
-// Release frees a sequence, cancelling it if it still runs. It tells whether
-// there was one.
+// Release frees a sequence and cancels it if it still runs. It returns false if there is no
+// such sequence.
 func (m *Model) Release(id string) bool {
 	s := m.sequences[id]
 	if s == nil {
@@ -300,10 +305,10 @@
 	return true
 }
 
-// HeldTokens is the memory of sequences not yet released, in tokens.
+// HeldTokens is the KV cache of the sequences not yet released, in tokens.
 func (m *Model) HeldTokens() int { return m.heldTokens }
 
-// States lists the sequences in order of priority and arrival.
+// States returns the sequences in order of priority and arrival.
 func (m *Model) States() []SequenceState {
 	states := make([]SequenceState, 0, len(m.byPriority))
 	for _, s := range m.byPriority {
@@ -320,7 +325,7 @@
 	return SequenceState{ID: s.ID, OutputTokens: s.outputTokens, CachedTokens: s.cachedTokens, Finished: s.finished, HeldTokens: held, Admitted: s.admitted}
 }
 
-// Load reports the engine's load.
+// Load returns the engine's load.
 func (m *Model) Load() Load {
 	load := Load{FreeMemoryTokens: m.config.MemoryTokens - m.heldTokens}
 	for _, s := range m.byPriority {
@@ -337,14 +342,15 @@
 	return load
 }
 
-// Watts is the present draw.
+// Watts is the current power draw, in watts.
 func (m *Model) Watts() int {
 	c := m.config
 	return c.FloorWatts + (c.MaxWatts-c.FloorWatts)*min(m.Running(), c.MaxRunning)/c.MaxRunning
 }
 
-// BlockHashes gives the hash of each whole block of a prompt, each covering
-// all text before it. bytesPerToken converts the text's length.
+// BlockHashes returns the hash of each whole block of a prompt, each covering all text up
+// to the block's end. bytesPerToken is the token size that determines a block's length in
+// bytes.
 func BlockHashes(prompt string, bytesPerToken int) []uint64 {
 	size := BlockTokens * bytesPerToken
 	hashes := make([]uint64, 0, len(prompt)/size)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -16,58 +16,62 @@
 	"aspenyard.example/standin/control"
 )
 
-// Settings of the stand-in engine's process.
+// Settings configures the stand-in's process.
 type Settings struct {
 	Config
-	// Models it serves.
+	// Models are the names of the models that the engine serves.
 	Models []string
-	// TimeScale divides all durations: 10 runs ten times as fast; default 1.
+	// TimeScale divides all durations: with 10 the engine runs ten times as fast; default
+	// 1.
 	TimeScale float64
-	// ChecksFencing refuses orders with an older fencing number.
+	// ChecksFencing refuses orders whose fencing number is lower than one seen before.
 	ChecksFencing bool
-	// LoadLag is how old the reported load is.
+	// LoadLag is the age of the reported load.
 	LoadLag time.Duration
-	// EventLag is how late a cache event is shown.
+	// EventLag is the delay until a cache event is reported.
 	EventLag time.Duration
-	// EventDropInterval drops every n-th cache event; 0: none.
+	// EventDropInterval is n to drop every n-th cache event; 0 drops none.
 	EventDropInterval int
 }
 
-// Faults is the stand-in's present misbehaviour.
+// Faults are the faults that the stand-in currently simulates.
 type Faults struct {
-	// BreakAfterTokens cuts each stream once, after that many tokens.
+	// BreakAfterTokens closes each stream's connection once, after that many tokens; 0
+	// means never.
 	BreakAfterTokens int `json:"break_after_tokens"`
-	// Stall stops the engine's steps while it goes on answering.
+	// Stall stops the engine's steps while it continues to answer requests.
 	Stall bool `json:"stall"`
-	// RefuseAll answers every completion with 503.
+	// RefuseAll answers every completion with status 503.
 	RefuseAll bool `json:"refuse_all"`
 }
 
-// PowerSample is the draw from a moment on.
+// PowerSample is the power draw from a time on, until the next sample.
 type PowerSample struct {
 	UnixNano int64 `json:"unix_nano"`
 	Watts    int   `json:"watts"`
 }
 
-// Run is one sequence in the engine's own record.
+// Run is the record of one sequence.
 type Run struct {
 	ID           string `json:"id"`
 	PromptTokens int    `json:"prompt_tokens"`
 	Finished     bool   `json:"finished"`
 	Cancelled    bool   `json:"cancelled"`
-	// PromptPrefixHash is PromptPrefixHash of the prompt, by which a caller's request is found.
+	// PromptPrefixHash is the prompt's hash, by which tests find a caller's request.
 	PromptPrefixHash uint64 `json:"beginning"`
 }
 
-// prefixHashBytes are enough to tell prompts apart, and fewer than any span's part.
+// prefixHashBytes is enough to distinguish prompts, and less than any part of a split
+// prompt has.
 const prefixHashBytes = 256
 
-// PromptPrefixHash hashes the first bytes of a prompt.
+// PromptPrefixHash returns the hash of a prompt's first bytes.
 func PromptPrefixHash(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), prefixHashBytes)])
 }
 
-// Record is what truly happened.
+// Record is what really happened at the engine, for tests to compare with what callers and
+// operators were told.
 type Record struct {
 	Runs          []Run         `json:"runs"`
 	HeldTokens    int           `json:"held_tokens"`
@@ -75,12 +79,12 @@
 	Watts         []PowerSample `json:"watts"`
 	Orders        []string      `json:"orders"`
 	RefusedOrders int           `json:"refused_orders"`
-	// CachedTokens counts prompt tokens served from the prefix cache.
+	// CachedTokens is the number of prompt tokens served from the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// CompletionRequest is the engine's request, in the shape of the completions API
-// with the engine's own fields beside.
+// CompletionRequest is the body of POST /v1/completions: the fields of the completions API
+// and the engine's own.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -88,16 +92,16 @@
 	Stream    bool   `json:"stream"`
 	RequestID string `json:"request_id"`
 	Priority  int    `json:"priority"`
-	// Delivered is the text already produced elsewhere for this prompt.
+	// Delivered is the text that another attempt already produced for this prompt.
 	Delivered       string `json:"delivered,omitempty"`
 	DeliveredTokens int    `json:"delivered_tokens,omitempty"`
-	// Hold asks for prefill only.
+	// Hold requests prefill only.
 	Hold bool `json:"hold,omitempty"`
-	// Imports are the KV caches of the prompt's earlier parts, held elsewhere.
+	// Imports are the KV caches of the prompt's earlier parts, held by other engines.
 	Imports []Import `json:"imports,omitempty"`
 }
 
-// Import names a held sequence on another engine.
+// Import identifies a held sequence of another engine.
 type Import struct {
 	Engine   string `json:"engine"`
 	Sequence string `json:"sequence"`
@@ -108,9 +112,9 @@
 type Chunk struct {
 	ID      string   `json:"id"`
 	Choices []Choice `json:"choices"`
-	// Offset counts the output tokens before this chunk.
+	// Offset is the number of output tokens before this chunk.
 	Offset int `json:"offset"`
-	// Held is set when a hold request's prefill is done.
+	// Held is set when the prefill of a request with Hold is done.
 	Held bool `json:"held,omitempty"`
 }
 
@@ -122,18 +126,18 @@
 
 type stream struct {
 	tokens          []string
-	deliveredTokens int // tokens delivered before this engine began
+	deliveredTokens int // output tokens that another attempt delivered before
 	held            bool
 	finished        bool
 	cancelled       bool
-	wasBroken       bool // the fault BreakAfterTokens has struck
+	wasBroken       bool // BreakAfterTokens has closed its connection
 	changed         chan struct{}
 	promptHash      uint64
 	promptTokens    int
 	runIndex        int
 }
 
-// Server is the stand-in.
+// Server is the stand-in: an HTTP server without its listener. Safe for concurrent use.
 type Server struct {
 	settings Settings
 
@@ -160,7 +164,7 @@
 	load Load
 }
 
-// New makes an idle engine.
+// New returns an idle engine. Run must run for it to make progress.
 func New(settings Settings) *Server {
 	if settings.TimeScale == 0 {
 		settings.TimeScale = 1
@@ -201,7 +205,7 @@
 	}
 }
 
-// stallPollInterval is how often a stalled engine looks whether it may go on.
+// stallPollInterval is how often a stalled engine checks whether the fault has ended.
 const stallPollInterval = 10 * time.Millisecond
 
 func (s *Server) publish(events []Event) {
@@ -270,14 +274,15 @@
 	return mux
 }
 
-// refuseStaleFencing refuses an order whose fencing number is older than one seen before.
+// refuseStaleFencing records a request's fencing number. If it is lower than one seen
+// before, it refuses the request and returns true.
 func (s *Server) refuseStaleFencing(w http.ResponseWriter, r *http.Request) bool {
 	number, _ := strconv.ParseUint(r.Header.Get("X-Fencing-Number"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.settings.ChecksFencing && number < s.fencingNumber {
 		s.record.RefusedOrders++
-		http.Error(w, "old fencing number", http.StatusConflict)
+		http.Error(w, "stale fencing number", http.StatusConflict)
 		return true
 	}
 	s.fencingNumber = max(s.fencingNumber, number)
@@ -304,14 +309,15 @@
 		return
 	}
 	if !request.Stream {
-		// A whole answer, as a plain client of the engine asks for it.
+		// Plain clients of the engine request the whole output in one response.
 		s.respondWhole(w, r, request.RequestID, st)
 		return
 	}
 	s.streamSequence(w, r, request.RequestID, st, 0)
 }
 
-// importKV checks that each part is still held where the request says.
+// importKV checks that each imported sequence is still held by the engine that the request
+// names. It returns the sum of their tokens.
 func (s *Server) importKV(imports []Import) (int, error) {
 	tokens := 0
 	for _, imported := range imports {
@@ -333,11 +339,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.RefuseAll {
-		return nil, fmt.Errorf("refusing, as told by a test")
+		return nil, fmt.Errorf("refused by a test fault")
 	}
 	hash := xxhash.Sum64String(request.Prompt)
 	if request.Delivered != Completion(request.Prompt, request.DeliveredTokens) {
-		return nil, fmt.Errorf("delivered text is not the start of this prompt's answer")
+		return nil, fmt.Errorf("delivered text is not the beginning of this prompt's output")
 	}
 	tokens := CountTokens(request.Prompt)
 	sequence := &Sequence{
@@ -346,7 +352,8 @@
 		MaxTokens:    max(1, request.MaxTokens-request.DeliveredTokens), Hold: request.Hold,
 	}
 	if request.Hold {
-		// A held part is a slice of the prompt: what it imports comes before it.
+		// A held sequence has only its own part of the prompt: what it imports comes before
+		// it.
 		sequence.PromptTokens, sequence.MaxTokens = max(1, tokens), 0
 	}
 	if len(request.Imports) == 0 && !request.Hold {
@@ -367,7 +374,8 @@
 	return st, nil
 }
 
-// awaitTokens waits for tokens beyond from and returns them with the stream's state.
+// awaitTokens waits for tokens beyond the first from and returns them with the stream's
+// state.
 func (s *Server) awaitTokens(ctx context.Context, st *stream, from int) (tokens []string, held, finished, cancelled bool) {
 	for {
 		s.mu.Lock()
@@ -385,8 +393,9 @@
 	}
 }
 
-// streamSequence streams a sequence from an offset. A sequence is released once its end
-// was written; when the reader goes away it stays, to be resumed or cancelled.
+// streamSequence sends a sequence's output from an offset on. It releases the sequence once
+// the end is written; if the reader disconnects before, the sequence stays, to be resumed
+// or cancelled.
 func (s *Server) streamSequence(w http.ResponseWriter, r *http.Request, id string, st *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
--- a/standin/platform/caller.go
+++ b/standin/platform/caller.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Host and APIKey are those of the configuration that SmallConfig gives.
+// Host and APIKey are the host name and the API key of the configuration that SmallConfig
+// returns.
 const (
 	Host   = "front.example"
 	APIKey = "key-1"
 )
 
-// Headers that callers send and get.
+// Headers that callers send and receive.
 const (
 	headerAttemptID = "X-Aspenyard-Attempt-Id"
 	headerDeadline  = "X-Aspenyard-Deadline-Ms"
@@ -25,15 +26,15 @@
 	headerInstance  = "X-Aspenyard-Expect-Instance"
 )
 
-// CallHeaders is what a caller says of a request besides its path and body.
+// CallHeaders is what a caller sends in the headers of a request.
 type CallHeaders struct {
 	ID, APIKey string
 	Deadline   time.Duration
-	// PromptTokens and OutputTokens are given where PromptTokens is not 0.
+	// PromptTokens and OutputTokens are sent, with a model name, unless PromptTokens is 0.
 	PromptTokens, OutputTokens int
 }
 
-// SetHeaders writes the caller's headers.
+// SetHeaders sets the headers of a caller's request.
 func (c *CallHeaders) SetHeaders(h http.Header) {
 	h.Set(headerAttemptID, c.ID)
 	h.Set(headerDeadline, fmt.Sprint(c.Deadline.Milliseconds()))
@@ -44,25 +45,26 @@
 	}
 }
 
-// SetForgedHeaders adds words that only the system may say, as a caller might try.
+// SetForgedHeaders sets headers that only nodes may set, as a malicious caller could.
 func SetForgedHeaders(h http.Header) {
 	h.Set(headerTenant, "forged")
 	h.Set(headerHelpers, "127.0.0.1:1")
 }
 
-// ParseResponseHeaders reads which request an answer is to, and whether a worker signed it.
+// ParseResponseHeaders returns the ID of the request that a response belongs to, and
+// whether the response has a worker's server stamp.
 func ParseResponseHeaders(h http.Header) (id string, stamped bool) {
 	return h.Get(headerAttemptID), h.Get(headerStamp) != ""
 }
 
-// Times and sizes of the small configuration's request.
+// Deadline and sizes of the requests that CallerRequest and DirectRequest return.
 const (
 	callDeadline     = 15 * time.Second
 	callPromptTokens = 1000
 	callOutputTokens = 400
 )
 
-// CallerRequest is a caller's request to a gateway at addr.
+// CallerRequest returns a caller's request to a gateway at addr, for SmallConfig's route.
 func CallerRequest(addr, id, body string) *http.Request {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/model/a", strings.NewReader(body))
 	r.Host = Host
@@ -71,7 +73,7 @@
 	return r
 }
 
-// DirectRequest is the same request as a worker gets it.
+// DirectRequest returns the same request as a gateway would send it to the worker.
 func DirectRequest(w *Worker, id, body string) *http.Request {
 	r := CallerRequest(w.Addr(), id, body)
 	r.Header.Del("Authorization")
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config is a configuration as an operator writes it.
+// Config is a configuration as the operators write it.
 type Config struct {
 	Version  int
 	Routes   []Route
@@ -14,7 +14,7 @@
 	Limits   Limits
 }
 
-// Route sends requests to a service.
+// Route maps requests by host and path prefix to a service.
 type Route struct {
 	// Kind is idempotent, non_idempotent or streaming.
 	Name, Host, Prefix, Kind, Service string
@@ -23,25 +23,26 @@
 	MaxAttempts                       int
 }
 
-// Service is a kind of worker; MemoryTokens is set for model engines.
+// Service is what a group of workers serves. MemoryTokens, the KV cache of each, is set for
+// model engines only.
 type Service struct {
 	Name                         string
 	MaxConnections, MemoryTokens int
 }
 
-// Account is a client account and its keys.
+// Account is a client account and its API keys.
 type Account struct {
 	Name string
 	Keys []string
 }
 
-// Limits bound what callers may send.
+// Limits bound the size and the timing of what callers send.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Encode gives the text that is written to the store.
+// Encode returns the configuration as JSON, as it is written to the store.
 func (c *Config) Encode() []byte {
 	routes, services, accounts := []map[string]any{}, []map[string]any{}, []map[string]any{}
 	for _, r := range c.Routes {
@@ -60,7 +61,7 @@
 	for _, a := range c.Accounts {
 		accounts = append(accounts, map[string]any{"name": a.Name, "api_keys": a.Keys, "priority": 1})
 	}
-	data, _ := json.Marshal(map[string]any{ // only strings and numbers, which cannot fail
+	data, _ := json.Marshal(map[string]any{ // strings and numbers only: the encoding cannot fail
 		"version": c.Version, "routes": routes, "services": services, "tenants": accounts,
 		"limits": map[string]any{
 			"max_header_bytes": c.Limits.HeaderBytes, "max_body_bytes": c.Limits.BodyBytes,
@@ -70,7 +71,8 @@
 	return data
 }
 
-// SmallEngine describes engines with so much memory as a configuration does.
+// SmallEngine returns a configuration's description of engines with that much KV cache, in
+// tokens.
 func SmallEngine(memoryTokens int) map[string]any {
 	return map[string]any{
 		"slots": 16, "kv_capacity": memoryTokens, "stride": 34, "chunk": 2048, "step_ms": 1.31, "per_seq_ms": 0.001, "context_per_k": 0.002,
@@ -78,11 +80,11 @@
 	}
 }
 
-// smallMemoryTokens is the KV cache of the small configuration's engines, in tokens.
+// smallMemoryTokens is the KV cache of SmallConfig's engines, in tokens.
 const smallMemoryTokens = 405_000
 
-// SmallConfig is a configuration with one account and one resumable streaming route,
-// /model/, to a service of model engines.
+// SmallConfig returns a configuration with one client account and one resumable streaming
+// route, /model/, to a service of model engines.
 func SmallConfig(version int, service string) []byte {
 	c := Config{
 		Version: version,
--- a/standin/platform/reservations.go
+++ b/standin/platform/reservations.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// serveReport answers GET /-/serveReport.
+// serveReport answers GET /-/report. It returns true: the connection stays open.
 func (w *Worker) serveReport(conn net.Conn) bool {
 	w.mu.Lock()
 	w.reportCount++
@@ -28,16 +28,17 @@
 	return true
 }
 
-// reservation is memory that is set aside until a time.
+// reservation is KV cache that is reserved until a time.
 type reservation struct {
 	tokens    int
 	expiresAt time.Time
 }
 
-// lateOrderDelay is how late an order is carried out that FaultLate holds back.
+// lateOrderDelay is the time after which a worker applies an order under FaultLateOrder.
 const lateOrderDelay = 1500 * time.Millisecond
 
-// fitsMemory tells whether the memory has room for a reservation, or holds it already.
+// fitsMemory returns true if a reservation fits in the KV cache beside the others. A
+// reservation of the same ID is replaced and does not count.
 func (w *Worker) fitsMemory(id string, tokens int) bool {
 	if w.MemoryTokens == 0 {
 		return true
@@ -50,14 +51,14 @@
 	return tokens <= w.MemoryTokens
 }
 
-// FreedCount counts the releases that ended a reservation.
+// FreedCount is the number of release orders that ended a reservation.
 func (w *Worker) FreedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.freedCount
 }
 
-// expireReservations ends reservations whose time has passed.
+// expireReservations deletes the reservations whose time has passed.
 func (w *Worker) expireReservations(now time.Time) {
 	for id, r := range w.reservations {
 		if now.After(r.expiresAt) {
@@ -100,7 +101,8 @@
 	return true
 }
 
-// applyOrder does what an order asks for; false when the memory is not free.
+// applyOrder applies an order. It returns false if the KV cache for a reservation is not
+// free.
 func (w *Worker) applyOrder(order *orderRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/platform/responses.go
+++ b/standin/platform/responses.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// PlainResponse is the body that any worker gives for a request.
+// PlainResponse returns the body that every worker sends for a request to a plain service.
 func PlainResponse(id string) string { return "answer to " + id }
 
-// EventText is event n of the stream that any worker gives for a request.
+// EventText returns event n, counted from 1, of the stream that every worker sends for a
+// request.
 func EventText(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
-// StreamText is the whole stream.
+// StreamText returns the complete body of a stream with that many events.
 func StreamText(id string, events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the users' platform: its metadata store with
-// watches, leases and transactions, and the workers that register there. It speaks
-// the platform's published protocol, and misbehaves as tests ask.
+// Package platform is a stand-in for the users' platform: its key-value store with watches,
+// leases and transactions, and the workers that register there. It implements the
+// platform's published protocol and injects the faults that tests request.
 package platform
 
 import (
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// StoreFaults is the store's present misbehaviour.
+// StoreFaults are the faults that the store currently simulates.
 type StoreFaults struct {
-	// RefuseStatus answers every call with this status; 0: works.
+	// RefuseStatus is the HTTP status with which every call is refused; 0 means none.
 	RefuseStatus int
-	// NoResponse leaves every call without an answer until it ends.
+	// NoResponse leaves every call without a response until its caller cancels it.
 	NoResponse bool
-	// MuteWatches makes watches hear nothing until they end.
+	// MuteWatches makes watches report no events until they end.
 	MuteWatches bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseResponses drops the connection after this many further writes took effect.
+	// LoseResponses is how many further writes take effect without a response: the
+	// connection is closed instead.
 	LoseResponses int
 }
 
-// Item is one key of the store.
+// Item is a key of the store with its value.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -46,26 +47,26 @@
 	expiresAt time.Time
 }
 
-// Store is the metadata store.
+// Store is the platform's store. Safe for concurrent use.
 type Store struct {
 	mu                sync.Mutex
 	faults            StoreFaults
 	revision          uint64
 	items             map[string]Item
 	events            []event
-	compactedRevision uint64 // events up to this revision are gone
+	compactedRevision uint64 // events up to this revision were deleted
 	leases            map[uint64]*lease
 	nextLease         uint64
 	changed           chan struct{}
 	callCounts        map[string]int
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{items: map[string]Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), callCounts: map[string]int{}}
 }
 
-// SetFaults changes the misbehaviour; it also wakes waiting watches.
+// SetFaults replaces the faults and wakes the waiting watches.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,28 +74,28 @@
 	s.notifyWatches()
 }
 
-// CallCount counts the calls of a path so far.
+// CallCount returns the number of calls of a path so far.
 func (s *Store) CallCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callCounts[path]
 }
 
-// Put writes a key as the operator or a worker would, and gives its revision.
+// Put writes a key, as the operators or a worker would, and returns its revision.
 func (s *Store) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(key, value, 0)
 }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-// Keys gives the keys under a prefix, sorted.
+// Keys returns the keys with a prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +109,7 @@
 	return keys
 }
 
-// Get gives a key's value, nil where there is none.
+// Get returns a key's value, or nil if the key does not exist.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	return s.items[key].Value
 }
 
-// Compact forgets all events so far.
+// Compact deletes all events so far. Watches from an earlier revision then get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +151,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expireLeases ends leases whose time has passed.
+// expireLeases deletes the leases whose time has passed, and their keys.
 func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
@@ -183,7 +184,7 @@
 	return mux
 }
 
-// withFaults applies the faults that concern every call.
+// withFaults counts a call, expires leases and applies the faults that concern every call.
 func (s *Store) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -198,7 +199,7 @@
 		case faults.NoResponse:
 			<-r.Context().Done()
 		case faults.RefuseStatus != 0:
-			http.Error(w, "refused", faults.RefuseStatus)
+			http.Error(w, "refused by a test fault", faults.RefuseStatus)
 		default:
 			next(w, r)
 		}
@@ -222,7 +223,7 @@
 	writeJSON(w, http.StatusOK, item)
 }
 
-// pageItems is how many items a page holds, few so that tests see several pages.
+// pageItems is the number of items in a page: few, so that tests see several pages.
 const pageItems = 50
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -248,7 +249,7 @@
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(query.Get("wait_ms"))
 	timeout := time.After(time.Duration(ms) * time.Millisecond)
-	muted := false // once deaf, a waiting watch stays so until it ends
+	muted := false // a watch that was muted once stays so until it ends
 	for {
 		s.mu.Lock()
 		muted = muted || s.faults.MuteWatches
@@ -262,7 +263,7 @@
 		s.mu.Unlock()
 		switch {
 		case !muted && compacted:
-			http.Error(w, "history gone", http.StatusGone)
+			http.Error(w, "events after this revision were compacted", http.StatusGone)
 			return
 		case !muted && len(events) > 0:
 			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": revision})
@@ -298,7 +299,7 @@
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn txnRequest
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
-		http.Error(w, "not JSON", http.StatusBadRequest)
+		http.Error(w, "body is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
@@ -312,10 +313,10 @@
 	for _, write := range txn.Writes {
 		switch {
 		case strings.HasPrefix(write.Key, "op/") || strings.HasPrefix(write.Key, "servers/"):
-			http.Error(w, "not the system's key", http.StatusForbidden)
+			http.Error(w, "keys under op/ and servers/ are read-only", http.StatusForbidden)
 			return
 		case write.Lease != 0 && s.leases[write.Lease] == nil:
-			http.Error(w, "no such lease", http.StatusNotFound)
+			http.Error(w, "unknown or expired lease", http.StatusNotFound)
 			return
 		}
 	}
@@ -328,7 +329,7 @@
 	s.respondToWrite(w, map[string]uint64{"revision": s.revision})
 }
 
-// respondToWrite answers a write that took effect, or loses the answer.
+// respondToWrite responds to a write that took effect, or loses the response.
 func (s *Store) respondToWrite(w http.ResponseWriter, value any) {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
@@ -342,7 +343,7 @@
 		TTLMS int64 `json:"ttl_ms"`
 	}
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMS <= 0 {
-		http.Error(w, "no ttl_ms", http.StatusBadRequest)
+		http.Error(w, "ttl_ms must be positive", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
@@ -359,7 +360,7 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		http.Error(w, "no such lease", http.StatusNotFound)
+		http.Error(w, "unknown or expired lease", http.StatusNotFound)
 		return
 	}
 	l.expiresAt = time.Now().Add(l.ttl)
@@ -375,7 +376,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
-// RevokeLeases ends all leases, as an outage may.
+// RevokeLeases deletes all leases and their keys, as an outage may.
 func (s *Store) RevokeLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/worker.go
+++ b/standin/platform/worker.go
@@ -13,64 +13,68 @@
 	"time"
 )
 
-// Fault is what a worker does wrong with one request.
+// Fault is a fault that a worker simulates for one request.
 type Fault string
 
 // The faults.
 const (
-	// FaultShed refuses the request and says that it did not run.
+	// FaultShed refuses the request and states that it was not executed.
 	FaultShed Fault = "shed"
-	// FaultUnmarkedRefusal refuses with 503 without saying that it did not run.
+	// FaultUnmarkedRefusal responds with status 503 and does not state whether the request
+	// was executed.
 	FaultUnmarkedRefusal Fault = "bare-refusal"
-	// FaultError runs the request and answers 500.
+	// FaultError executes the request and responds with status 500.
 	FaultError Fault = "error"
-	// FaultReset runs the request and closes the connection without an answer.
+	// FaultReset executes the request and closes the connection without a response.
 	FaultReset Fault = "reset"
-	// FaultTruncated breaks off in the midst of the second event, or of a plain body.
+	// FaultTruncated closes the connection in the middle of the second event, or of a plain
+	// body.
 	FaultTruncated Fault = "cut"
-	// FaultTruncatedUnframed gives a stream without length that ends in the midst of its second event.
+	// FaultTruncatedUnframed sends a stream without a length or chunks that ends in the
+	// middle of its second event.
 	FaultTruncatedUnframed Fault = "torn"
-	// FaultDuplicateResponse answers and sends a second answer to the same request a moment later.
+	// FaultDuplicateResponse responds and sends the same response again a moment later.
 	FaultDuplicateResponse Fault = "extra"
-	// FaultUnframed gives no length: the answer ends with the connection.
+	// FaultUnframed sends no length and no chunks: the end of the connection ends the
+	// response.
 	FaultUnframed Fault = "unframed"
-	// FaultNoServerStamp leaves the signature out.
+	// FaultNoServerStamp leaves out the server stamp.
 	FaultNoServerStamp Fault = "unsigned"
-	// FaultGarbage sends bytes that are no answer.
+	// FaultGarbage sends bytes that are not an HTTP response.
 	FaultGarbage Fault = "garbage"
-	// FaultHang runs the request and never answers.
+	// FaultHang executes the request and never responds.
 	FaultHang Fault = "hang"
-	// FaultEarlyResponse answers before it has read the body, and reads on.
+	// FaultEarlyResponse responds before it has read the body, and then reads the rest.
 	FaultEarlyResponse Fault = "early"
-	// FaultSlow answers right, each event a second after the last.
+	// FaultSlow sends a correct stream with one second between events.
 	FaultSlow Fault = "slow"
-	// FaultHelperFailed refuses because of a helper, which it names.
+	// FaultHelperFailed refuses the request because of a helper, whose address it names.
 	FaultHelperFailed Fault = "helper"
-	// FaultLateOrder leaves an order unanswered and carries it out after orderDelay.
+	// FaultLateOrder leaves an order unanswered and applies it after lateOrderDelay.
 	FaultLateOrder Fault = "late"
 )
 
-// Run is one request that a worker ran, or refused.
+// Run is one request that a worker executed or refused.
 type Run struct {
 	ID, Method, RequestURI, Account, LastEventID, Helpers string
 	Priority                                              string
 	Body                                                  string
 	DeadlineMS                                            int
-	// Authorization is the caller's, which must not be passed on.
+	// Authorization is the caller's header, which a gateway must not forward.
 	Authorization string
-	// Ran is false for a request that was refused.
+	// Ran is false for a request that was refused as not executed.
 	Ran bool
-	// Status is what it was answered with, 0 for nothing that is an answer; Fault what
-	// was done wrong with it.
+	// Status is that of the response, 0 if what was sent is not a response. Fault is the
+	// fault that was simulated.
 	Status int
 	Fault  Fault
-	// ArrivedAt is when its head and body had been read; EndedAt when the work ended, zero
-	// while it goes on. Dropped is set when the caller left before that.
+	// ArrivedAt is when the request was read completely; EndedAt when its execution ended,
+	// zero while it runs. Cancelled is set if the caller disconnected before that.
 	ArrivedAt, EndedAt time.Time
 	Cancelled          bool
 }
 
-// ReservationIDs are the names of the reservations that a run uses.
+// ReservationIDs returns the IDs of the reservations that a run uses at helpers.
 func (r *Run) ReservationIDs() []string {
 	var ids []string
 	for _, helper := range strings.Split(r.Helpers, ",") {
@@ -81,32 +85,35 @@
 	return ids
 }
 
-// Worker is a model worker or plain application.
+// Worker is a model engine or a plain service, of the kind that registers in the platform's
+// store.
 type Worker struct {
-	// ID names it, Service is what it serves.
+	// ID identifies the worker; Service is the service that it belongs to.
 	ID, Service string
-	// StartUnixMilli is when this life began, in Unix milliseconds; 0: its registration does not say,
-	// as on older platforms.
+	// StartUnixMilli is when this incarnation started, in Unix milliseconds. With 0 the
+	// registration leaves it out, as on older platforms.
 	StartUnixMilli int64
-	// EventCount is how many events a stream has; 0: answers are plain.
+	// EventCount is the number of events in a stream; with 0 responses are plain.
 	EventCount int
-	// EventInterval is the time between events, WorkTime that which a plain answer takes.
+	// EventInterval is the time between events; WorkTime is how long a plain response
+	// takes.
 	EventInterval, WorkTime time.Duration
-	// Slots is how many requests it works on at once; more are refused as not run.
-	// 0: any number.
+	// Slots is the largest number of requests in flight; further ones are refused as not
+	// executed. 0 means no limit.
 	Slots int
-	// CrashBody is the body of requests under which the worker ends as it begins to run them; "":
-	// none.
+	// CrashBody is the body of requests that crash the worker when it starts to execute
+	// them; "" means none.
 	CrashBody string
-	// OnCrash is called as the worker ends under CrashOn; nil: nothing is.
+	// OnCrash is called, unless nil, when CrashBody crashes the worker.
 	OnCrash func()
-	// MemoryTokens is its KV cache, of which reservations take their part; 0: no bound.
+	// MemoryTokens is the size of the KV cache for reservations, in tokens; 0 means no
+	// limit.
 	MemoryTokens int
 
 	mu         sync.Mutex
 	runs       []*Run
 	faultQueue []Fault
-	// orderFaultQueue go before faults, for orders.
+	// orderFaultQueue is for orders and is used before faultQueue.
 	orderFaultQueue []Fault
 	defaultFault    Fault
 	reservations    map[string]reservation
@@ -123,10 +130,10 @@
 	registrationSeq int
 }
 
-// Start listens on a free port of the loopback.
+// Start listens on a free port of the loopback interface.
 func (w *Worker) Start() error { return w.StartAt("127.0.0.1:0") }
 
-// StartAt listens on an address, which a worker that has ended may have left.
+// StartAt listens on an address, which may be that of a worker that has stopped.
 func (w *Worker) StartAt(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -142,13 +149,14 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the worker listens.
 func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// StopListening closes the port and leaves the connections open, as if the worker hung.
+// StopListening closes the port and leaves the connections open, as a process that hangs
+// does.
 func (w *Worker) StopListening() { _ = w.listener.Close() }
 
-// Stop closes the port and all connections; a worker that never started stays as it is.
+// Stop closes the port and all connections. A worker that never started is left as it is.
 func (w *Worker) Stop() {
 	if w.listener == nil {
 		return
@@ -161,11 +169,11 @@
 	}
 }
 
-// Registration is what the worker writes under servers/ID, with a sequence number that
-// rises each time.
+// Registration returns the value that the worker writes under servers/ID. Its sequence
+// number is higher each time.
 func (w *Worker) Registration(state string) []byte { return w.RegistrationAt(w.Addr(), state) }
 
-// RegistrationAt is the same for a worker that is reached at another address.
+// RegistrationAt returns the registration of a worker that is reached at another address.
 func (w *Worker) RegistrationAt(addr, state string) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +188,7 @@
 	return data
 }
 
-// Incarnation names this life of the worker, in records.
+// Incarnation identifies this incarnation of the worker in records.
 func (w *Worker) Incarnation() string {
 	if w.StartUnixMilli == 0 {
 		return w.ID
@@ -188,50 +196,50 @@
 	return w.ID + "/" + strconv.FormatInt(w.StartUnixMilli, 10)
 }
 
-// QueueFaults queues faults for the coming requests, one each.
+// QueueFaults adds faults for the next requests, one for each.
 func (w *Worker) QueueFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faultQueue = append(w.faultQueue, faults...)
 }
 
-// QueueOrderFaults queues faults for the coming orders, one each.
+// QueueOrderFaults adds faults for the next orders, one for each.
 func (w *Worker) QueueOrderFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.orderFaultQueue = append(w.orderFaultQueue, faults...)
 }
 
-// SetDefaultFault sets a fault for all requests that have none queued; "" for none.
+// SetDefaultFault sets the fault for requests that have none queued; "" means none.
 func (w *Worker) SetDefaultFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.defaultFault = f
 }
 
-// SetSlowdown sets how many times as long as described its work takes, as its report tells;
-// 0 tells that it does not say.
+// SetSlowdown sets the factor that the load report gives by which work takes longer than
+// the configuration describes; with 0 the report has no valid factor.
 func (w *Worker) SetSlowdown(slowdown float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowdown = slowdown
 }
 
-// ReportCount counts how often it was asked for its report.
+// ReportCount returns how often the worker's report was read.
 func (w *Worker) ReportCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.reportCount
 }
 
-// SetFailedHelper sets the address that FaultHelper names.
+// SetFailedHelper sets the address that FaultHelperFailed names.
 func (w *Worker) SetFailedHelper(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failedHelper = addr
 }
 
-// Runs lists the requests so far.
+// Runs returns a copy of the requests so far.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -242,21 +250,22 @@
 	return list
 }
 
-// InFlight counts the requests at which it is at work.
+// InFlight returns the number of requests that the worker executes now.
 func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inFlight
 }
 
-// AcceptedCount counts connections.
+// AcceptedCount returns the number of connections accepted so far.
 func (w *Worker) AcceptedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.acceptedCount
 }
 
-// Reservations lists the reservations that are held, and how many were released.
+// Reservations returns the tokens of each reservation that is held, by ID, the number of
+// release orders and that of all orders.
 func (w *Worker) Reservations() (held map[string]int, released, orders int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -301,7 +310,7 @@
 	}
 }
 
-// handle answers one request and tells whether the connection stays.
+// handle serves one request and returns true if the connection stays open.
 func (w *Worker) handle(conn net.Conn, reader *bufio.Reader, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/-/order":
@@ -343,7 +352,7 @@
 	if !keepAlive {
 		_ = conn.Close()
 	}
-	<-callerGone // the reader is free again
+	<-callerGone // only then may the reader be used again
 	return keepAlive
 }
 
@@ -356,8 +365,8 @@
 	}
 }
 
-// refusal tells with which status, and which headers besides, a request is refused that
-// does not run; 0: it runs.
+// refusal returns the status, and further headers, with which a request is refused without
+// being executed; status 0 means that it is executed.
 func (w *Worker) refusal(r *http.Request, fault Fault) (status int, headers string) {
 	const notExecuted = "X-Aspenyard-Not-Executed: 1\r\n"
 	switch {
@@ -373,8 +382,8 @@
 	return 0, ""
 }
 
-// watchCaller gives a channel that is closed when the caller closes the connection or
-// sends its next request; until then nobody else may use the reader.
+// watchCaller returns a channel that is closed when the caller closes the connection or
+// sends its next request. Until then nothing else may use the reader.
 func watchCaller(reader *bufio.Reader) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -384,7 +393,7 @@
 	return done
 }
 
-// process works on a request and tells whether the connection stays.
+// process executes a request and returns true if the connection stays open.
 func (w *Worker) process(conn net.Conn, headers string, run *Run, fault Fault, callerGone <-chan struct{}) bool {
 	w.addInFlight(1)
 	defer w.addInFlight(-1)
@@ -397,7 +406,7 @@
 	return w.sendPlain(conn, headers, run, fault, callerGone)
 }
 
-// sleepUnlessGone waits; false when the caller left meanwhile.
+// sleepUnlessGone sleeps for d. It returns false early if the caller disconnects.
 func sleepUnlessGone(d time.Duration, callerGone <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
@@ -418,7 +427,7 @@
 	}
 }
 
-// atCapacity tells whether all slots are taken.
+// atCapacity returns true if all slots are taken.
 func (w *Worker) atCapacity() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -436,7 +445,7 @@
 	return fault
 }
 
-// nextOrderFault gives the fault of the next order.
+// nextOrderFault returns the fault for the next order.
 func (w *Worker) nextOrderFault() Fault {
 	w.mu.Lock()
 	if len(w.orderFaultQueue) > 0 {
