--- a/standin/consul/consul.go
+++ b/standin/consul/consul.go
@@ -1,7 +1,8 @@
-// Package consul is a stand-in for a Consul-shaped platform: a key-value store
-// with compare-and-swap, sessions as leases and blocking watches, its call count
-// and rate limits, and a lagging list of VMs. Faults are asked for on its
-// control paths. The HTTP shapes are those of Consul's published v1 API.
+// Package consul is a stand-in for a platform with a Consul-like API: a key-value store
+// with compare-and-swap, sessions that act as leases, blocking watches, rate limits for
+// calls, and a list of VMs that lags behind. It counts the calls, and tests request faults
+// on its control paths. Requests and responses have the form of Consul's published v1 HTTP
+// API.
 package consul
 
 import (
@@ -17,36 +18,37 @@
 	"aspenyard.example/standin/control"
 )
 
-// Settings of the stand-in.
+// Settings configures the stand-in.
 type Settings struct {
-	// ReadsPerSecond and WritesPerSecond are the rates above which calls are
-	// answered with 429; 0: no limit.
+	// ReadsPerSecond and WritesPerSecond are the rates above which calls get status 429; 0
+	// means no limit.
 	ReadsPerSecond, WritesPerSecond int
-	// ListLag delays every change of the VM list.
+	// ListLag is the delay until a change of the VM list becomes visible.
 	ListLag time.Duration
 }
 
-// VM is a line of the list.
+// VM is an entry of the VM list.
 type VM struct {
 	Name, Role, DataCentre, Addr, State string
 }
 
-// Faults is the stand-in's present misbehaviour.
+// Faults are the faults that the stand-in currently simulates.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down refuses every call with status 503.
 	Down bool `json:"down"`
-	// Delay is added to each call, in milliseconds.
+	// DelayMS is added to each call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseResponses drops the connection after this many further writes took effect.
+	// LoseResponses is how many further writes take effect without a response: the
+	// connection is closed instead.
 	LoseResponses int `json:"lose_answers"`
-	// LosePrefix limits LoseAnswers to keys with this prefix.
+	// LosePrefix limits LoseResponses to keys with this prefix.
 	LosePrefix string `json:"lose_prefix"`
-	// DownAfterLoss takes the store down as soon as an answer was lost.
+	// DownAfterLoss sets Down as soon as a response has been lost.
 	DownAfterLoss bool `json:"down_after_lose"`
-	// StalePrefix makes reads of keys with this prefix give the first value ever
-	// written, with its revision, as a replica that lags would.
+	// StalePrefix makes reads of keys with this prefix return the first value ever written
+	// and its revision, as a lagging replica would.
 	StalePrefix string `json:"stale_prefix"`
-	// ListLagMS replaces the list's lag, in milliseconds, when positive.
+	// ListLagMS replaces Settings.ListLag if positive, in milliseconds.
 	ListLagMS int `json:"list_lag_ms"`
 }
 
@@ -54,21 +56,21 @@
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
-	// firstValue is the firstValue value ever written, and firstIndex its revision.
+	// firstValue is the first value ever written, and firstIndex its revision.
 	firstValue []byte
 	firstIndex uint64
 }
 
-// Record is what truly happened, by the stand-in's own count.
+// Record is what the stand-in itself counted, for tests to compare with what nodes report.
 type Record struct {
 	Reads, Writes, Watches, Refused int
 	// PeakReads and PeakWrites are the highest counts in one second.
 	PeakReads, PeakWrites int
-	// Calls holds the calls of each second since the start.
+	// Calls is the number of calls in each second since the start.
 	Calls []int
 }
 
-// Server is the stand-in.
+// Server is the stand-in: an HTTP server without its listener. Safe for concurrent use.
 type Server struct {
 	settings Settings
 	started  time.Time
@@ -78,7 +80,8 @@
 	lastIndex uint64
 	pairs     map[string]*pair
 	visible   []VM
-	// listVersion counts the lists set, and visibleVersion is that of the visible one.
+	// listVersion counts the calls of SetVMs; visibleVersion is the one whose list is
+	// visible.
 	listVersion, visibleVersion int
 	sessions                    map[string]time.Time
 	faults                      Faults
@@ -88,7 +91,7 @@
 	writesThisSecond            int
 }
 
-// New makes a stand-in.
+// New returns a stand-in with an empty store and an empty VM list.
 func New(settings Settings) *Server {
 	return &Server{
 		settings: settings, started: time.Now(), changed: make(chan struct{}),
@@ -112,7 +115,7 @@
 	return mux
 }
 
-// SetVMs replaces the list; readers see it after the lag.
+// SetVMs replaces the VM list. Readers see the new list after the lag.
 func (s *Server) SetVMs(vms []VM) {
 	s.mu.Lock()
 	s.listVersion++
@@ -125,14 +128,15 @@
 	time.AfterFunc(lag, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		// Two timers of nearly the same time may fire in either order.
+		// Timers that expire almost together may fire in either order, and an older list
+		// must not replace a newer one.
 		if version > s.visibleVersion {
 			s.visible, s.visibleVersion = vms, version
 		}
 	})
 }
 
-// withFaults counts the call and applies the faults and rate limits.
+// withFaults counts a call and applies the faults and the rate limits to it.
 func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -143,11 +147,11 @@
 			time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
 		}
 		if faults.Down {
-			http.Error(w, "down", http.StatusServiceUnavailable)
+			http.Error(w, "outage simulated by a test", http.StatusServiceUnavailable)
 			return
 		}
 		if !allowed {
-			http.Error(w, "rate limit", http.StatusTooManyRequests)
+			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		next(w, r)
@@ -215,7 +219,7 @@
 		down := s.faults.Down
 		s.mu.Unlock()
 		if down {
-			http.Error(w, "down", http.StatusServiceUnavailable)
+			http.Error(w, "outage simulated by a test", http.StatusServiceUnavailable)
 			return
 		}
 		if !watching || revision != knownIndex {
@@ -245,7 +249,7 @@
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		http.Error(w, "value over a megabyte", http.StatusRequestEntityTooLarge)
+		http.Error(w, "value is larger than 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
 	name := key(r)
@@ -258,12 +262,13 @@
 	}
 	s.mu.Unlock()
 	if loseResponse {
-		panic(http.ErrAbortHandler) // drops the connection without an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	fmt.Fprint(w, ok)
 }
 
-// compareAndSwap writes the value if the revision matches and the session, if named, lives.
+// compareAndSwap writes a value and returns true if cas, when given, is the key's revision
+// (0 for a key that does not exist) and session, when given, has not expired.
 func (s *Server) compareAndSwap(name string, data []byte, cas, session string) bool {
 	current := s.pairs[name]
 	if cas != "" {
@@ -313,7 +318,7 @@
 	defer s.mu.Unlock()
 	id := strings.TrimPrefix(r.URL.Path, "/v1/session/renew/")
 	if time.Now().After(s.sessions[id]) {
-		http.Error(w, "session lapsed", http.StatusNotFound)
+		http.Error(w, "session is unknown or has expired", http.StatusNotFound)
 		return
 	}
 	s.sessions[id] = time.Now().Add(sessionTTL)
@@ -336,7 +341,8 @@
 	_ = json.NewEncoder(w).Encode(nodes)
 }
 
-// applyFaults sets the faults; an outage ends the waiting watches too.
+// applyFaults sets the faults. It wakes the waiting watches so that an outage ends them
+// too.
 func (s *Server) applyFaults(faults Faults) {
 	s.faults = faults
 	s.notifyWatches()
--- a/standin/consul/consul_test.go
+++ b/standin/consul/consul_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Symptom: a VM is never listed. Sequence: the list is set twice within a moment;
-// the second change becomes visible before the first. Cause: each change shown by
-// a timer of its own, whatever was shown before. Seen once in CI, in leaving.
+// Guards against a VM that is never listed: the list is set twice in quick succession, and
+// the timer that shows the second list fires before the timer of the first, so that the
+// older list remains. This occurred once in CI, in the leaving test.
 func TestLatestVMListWins(t *testing.T) {
 	const rounds, changes = 20, 200
 	last := fmt.Sprint(changes - 1)
@@ -23,12 +23,12 @@
 		for until := time.Now().Add(lastChangeTimeout); server.visibleName() != last && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(5 * time.Millisecond) // whatever is still on its way comes now
+		time.Sleep(5 * time.Millisecond) // lets the remaining timers fire
 		is.Equal(server.visibleName(), last)
 	}
 }
 
-// lastChangeTimeout bounds the wait for the last change.
+// lastChangeTimeout bounds the wait for the last list to become visible.
 const lastChangeTimeout = 10 * time.Second
 
 func (s *Server) visibleName() string {
--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -1,5 +1,5 @@
-// Package control holds what all stand-ins share: reading the faults that a test
-// asks for and showing records, as JSON.
+// Package control has the HTTP handlers that all stand-ins share: one reads the faults that
+// a test requests, the other shows state such as records. Both use JSON.
 package control
 
 import (
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// SetHandler decodes the request's body into a new value of T and, under the lock, hands
-// it to apply. A body that cannot be read is answered with status 400.
+// SetHandler returns a handler that decodes a request's JSON body into a T and passes it to
+// apply while holding mu. It answers a body that it cannot decode with status 400.
 func SetHandler[T any](mu sync.Locker, apply func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var value T
@@ -23,7 +23,8 @@
 	}
 }
 
-// GetHandler answers with what get returns under the lock.
+// GetHandler returns a handler that calls get while holding mu and answers with the result
+// as JSON.
 func GetHandler[T any](mu sync.Locker, get func() T) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
--- a/standin/link/addr.go
+++ b/standin/link/addr.go
@@ -9,27 +9,28 @@
 	"github.com/pkg/errors"
 )
 
-// Ports are picked below the range from which the kernel takes the ports of outgoing
-// connections: one of those would make a port that was free a moment ago fail to bind.
+// Ports are picked below the kernel's range of ephemeral ports: an outgoing connection that
+// got one of those would make a port that was free a moment ago fail to bind.
 const (
 	firstPort    = 10_000
 	portCount    = 20_000
 	maxPortTries = 1000
 )
 
-// reservationHost is a loopback address on which nothing is served. A listener there on a
-// port's number claims the port: test processes that run beside each other would
+// reservationHost is a loopback address on which nothing is served. A listener there
+// reserves the port of the same number: test processes that run concurrently would
 // otherwise find the same port free, and one of them could not bind it.
 const reservationHost = "127.0.0.2"
 
-// reservedPorts are held until the process ends.
+// reservedPorts are the listeners that reserve ports, kept open until the process ends.
 var reservedPorts struct {
 	mu   sync.Mutex
 	held []net.Listener
 }
 
-// FreeAddr finds a loopback port that is free for TCP and UDP and that no process has
-// been given that still runs.
+// FreeAddr returns a loopback address whose port is free for TCP and UDP and is not
+// reserved by any running process. It returns an error if it finds none in maxPortTries
+// tries.
 func FreeAddr() (string, error) {
 	for range maxPortTries {
 		port := firstPort + rand.IntN(portCount)
@@ -48,7 +49,7 @@
 	return "", errors.New("no port is free for both TCP and UDP")
 }
 
-// isFree tells whether an address can be listened on now.
+// isFree returns true if the address can be bound now, for both TCP and UDP.
 func isFree(addr string) bool {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,6 +1,7 @@
-// Package link is a loopback proxy between two parts of a system under test. It carries
-// TCP and UDP to one target and fails as tests ask: it delays, resets, cuts one way or
-// both, goes silent, and loses what is on its way.
+// Package link is a loopback proxy between two parts of a system under test. It forwards
+// TCP and UDP to one target and injects network faults: it delays traffic, resets
+// connections, blocks one or both directions, discards data without closing connections,
+// and loses data in transit.
 package link
 
 import (
@@ -12,7 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// Direction is the way of traffic through a link; Both is the two together.
+// Direction is a direction of traffic through a link. Directions can be combined: Both is
+// the two together.
 type Direction int
 
 // The directions.
@@ -22,7 +24,7 @@
 	Both = ToTarget | FromTarget
 )
 
-// Link carries connections and datagrams to a target.
+// Link forwards connections and datagrams to a target. Safe for concurrent use.
 type Link struct {
 	target     string
 	addr       string
@@ -32,23 +34,24 @@
 	// listener is nil while connections are refused.
 	listener  net.Listener
 	blocked   Direction
-	passable  map[Direction]chan struct{} // closed while that way is whole
+	passable  map[Direction]chan struct{} // a closed channel: the direction is not blocked
 	delay     time.Duration
 	connPairs map[*connPair]bool
 }
 
-// connPair is a connection and its continuation to the target.
+// connPair is a client's connection and the connection that continues it to the target.
 type connPair struct {
 	client, target net.Conn
-	// discarding drops every byte either way and keeps the connections open.
+	// discarding drops every byte in both directions and keeps the connections open.
 	discarding atomic.Bool
 }
 
-// maxBindTries is how many free addresses are tried: a port that was free a moment ago may
-// not be.
+// maxBindTries is how many free addresses New tries: a port that was free a moment ago may
+// be in use when it is bound.
 const maxBindTries = 10
 
-// New listens on a free address and carries what comes there to target.
+// New listens on a free loopback address and forwards what arrives there to target. It
+// returns an error if it cannot bind an address.
 func New(target string) (*Link, error) {
 	var lastErr error
 	for range maxBindTries {
@@ -79,11 +82,11 @@
 	return nil, lastErr
 }
 
-// Addr is where the link listens.
+// Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.addr }
 
-// RefuseConnections makes the link refuse connections, as its target does whose process has ended. Present
-// ones go on.
+// RefuseConnections makes the link refuse new connections, as a target whose process has
+// ended does. Established connections continue.
 func (l *Link) RefuseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +96,8 @@
 	}
 }
 
-// AcceptConnections takes connections again after Refuse. Error: the address is in use.
+// AcceptConnections accepts connections again after RefuseConnections. It returns an error
+// if the address is in use.
 func (l *Link) AcceptConnections() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +113,7 @@
 	return nil
 }
 
-// Close ends the link and all its connections.
+// Close closes the link and resets all its connections.
 func (l *Link) Close() {
 	l.RefuseConnections()
 	_ = l.packetConn.Close()
@@ -117,8 +121,8 @@
 	l.SetBlocked(0)
 }
 
-// SetBlocked cuts the link in the directions given and heals it in the others; what was
-// held back is then delivered, unless Reset has lost it.
+// SetBlocked blocks exactly the given directions. TCP data held back in a direction that is
+// no longer blocked is then delivered, unless ResetConnections discarded it.
 func (l *Link) SetBlocked(blocked Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,14 +137,15 @@
 	l.blocked = blocked
 }
 
-// SetDelay holds back all traffic by this much.
+// SetDelay delays new connections and TCP data, in both directions, by d.
 func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// ResetConnections resets all connections and loses what is on its way; new ones work.
+// ResetConnections resets all connections and discards data in transit. New connections
+// work.
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,7 +158,8 @@
 	}
 }
 
-// BlackholeConnections makes the present connections go silent for good; new ones work.
+// BlackholeConnections discards, from now on, all data of the established connections
+// without closing them. New connections work.
 func (l *Link) BlackholeConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +168,7 @@
 	}
 }
 
-// awaitPassable waits until traffic that way may go on.
+// awaitPassable waits until a direction is not blocked, and then for the delay.
 func (l *Link) awaitPassable(direction Direction) {
 	l.mu.Lock()
 	passable, delay := l.passable[direction], l.delay
@@ -183,7 +189,8 @@
 	}
 }
 
-// connect continues a connection to the target; one that the target refuses is reset.
+// connect continues a connection to the target. It resets a connection that the target
+// refuses.
 func (l *Link) connect(clientConn net.Conn) {
 	l.awaitPassable(ToTarget)
 	targetConn, err := net.Dial("tcp", l.target)
@@ -227,7 +234,7 @@
 	}
 }
 
-// serveUDP forwards datagrams to the target; a cut link loses them.
+// serveUDP forwards datagrams to the target. A blocked link loses them.
 func (l *Link) serveUDP() {
 	targetConn, err := net.Dial("udp", l.target)
 	if err != nil {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a plain service beside the model engines:
-// it carries out calls that may not be repeated and keeps its own record of
-// every run, to be compared with what callers were told.
+// Package service is a stand-in for a plain service, which runs beside the model engines:
+// it executes calls that are not repeatable and records every execution, so that tests can
+// compare the record with what callers were told.
 package service
 
 import (
@@ -14,26 +14,28 @@
 	"aspenyard.example/standin/control"
 )
 
-// Settings of the stand-in.
+// Settings configures the stand-in.
 type Settings struct {
-	// ChecksFencing refuses calls with an older fencing number.
+	// ChecksFencing refuses calls whose fencing number is lower than one seen before.
 	ChecksFencing bool
 }
 
-// Faults is the stand-in's present misbehaviour.
+// Faults are the faults that the stand-in currently simulates.
 type Faults struct {
-	// DelayBeforeMS and AfterMS delay a call before and after its run.
+	// DelayBeforeMS and DelayAfterMS delay a call before and after its execution, in
+	// milliseconds.
 	DelayBeforeMS int `json:"before_ms"`
 	DelayAfterMS  int `json:"after_ms"`
-	// DropBefore and DropAfter cut the connection of further calls, that many
-	// times, before or after the run.
+	// DropBefore and DropAfter are how many further calls have their connection closed
+	// before or after the execution.
 	DropBefore int `json:"drop_before"`
 	DropAfter  int `json:"drop_after"`
-	// FailStatus answers with this HTTP status after the run.
+	// FailStatus is an HTTP status sent after the execution instead of the result; 0 means
+	// none.
 	FailStatus int `json:"fail_with"`
 }
 
-// Run is one call carried out.
+// Run is one executed call.
 type Run struct {
 	Key           string `json:"key"`
 	Kind          string `json:"kind"`
@@ -41,13 +43,14 @@
 	UnixNano      int64  `json:"unix_nano"`
 }
 
-// Record is what truly happened: the runs, and how many calls arrived, run or not.
+// Record is what really happened: the executed calls, and how many calls arrived, executed
+// or not.
 type Record struct {
 	Runs    []Run `json:"runs"`
 	Arrived int   `json:"arrived"`
 }
 
-// Server is the stand-in.
+// Server is the stand-in: an HTTP server without its listener. Safe for concurrent use.
 type Server struct {
 	settings Settings
 
@@ -58,7 +61,7 @@
 	callCount     int
 }
 
-// New makes a stand-in.
+// New returns a stand-in with an empty record and no faults.
 func New(settings Settings) *Server { return &Server{settings: settings} }
 
 // Handler serves calls, and /control and /record for tests.
@@ -89,7 +92,7 @@
 	}
 	run, number, ok := s.execute(r)
 	if !ok {
-		http.Error(w, "old fencing number", http.StatusConflict)
+		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
 	time.Sleep(time.Duration(faults.DelayAfterMS) * time.Millisecond)
@@ -97,7 +100,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if faults.FailStatus != 0 {
-		http.Error(w, "failing, as told by a test", faults.FailStatus)
+		http.Error(w, "failed by a test fault", faults.FailStatus)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
