--- a/wire/generate.go
+++ b/wire/generate.go
@@ -1,4 +1,4 @@
-// Package wire holds the messages and RPCs between the project's own
-// processes. The Go code is generated from proto/wire.proto and committed, so
-// that a build needs no generator; run wire/generate.sh after an edit.
+// Package wire has the messages and RPCs between nodes. The Go code is generated
+// from proto/wire.proto and is committed, so that a build needs no generator. Run
+// wire/generate.sh after editing the file.
 package wire
--- a/wire/generate.sh
+++ b/wire/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Regenerates the committed Go code from proto/wire.proto. Needs protoc
-# (Debian: protobuf-compiler); the plugins come from wire/go.mod.
+# Generates the committed Go code from proto/wire.proto. Needs protoc (Debian
+# package protobuf-compiler); the plugins are built at the versions in wire/go.mod.
 set -euo pipefail
 cd "$(dirname "$0")"
 plugins=$(mktemp -d)
