--- a/standin/consul/consul.go
+++ b/standin/consul/consul.go
@@ -1,7 +1,8 @@
-// Package consul is a stand-in for a Consul-shaped platform: a key-value store
-// with compare-and-swap, sessions as leases and blocking watches, its call count
-// and rate limits, and a lagging list of VMs. Faults are asked for on its
-// control paths. The HTTP shapes are those of Consul's published v1 API.
+// Package consul is a stand-in for a platform with a Consul-like API: a key-value store
+// with compare-and-swap, sessions that act as leases, blocking watches, rate limits for
+// calls, and a list of VMs that lags behind. It counts the calls, and tests request faults
+// on its control paths. Requests and responses have the form of Consul's published v1 HTTP
+// API.
 package consul
 
 import (
@@ -17,36 +18,37 @@
 	"aspenyard.example/standin/control"
 )
 
-// Settings of the stand-in.
+// Settings configures the stand-in.
 type Settings struct {
-	// ReadsPerSecond and WritesPerSecond are the rates above which calls are
-	// answered with 429; 0: no limit.
+	// ReadsPerSecond and WritesPerSecond are the rates above which calls get status 429; 0
+	// means no limit.
 	ReadsPerSecond, WritesPerSecond int
-	// ListLag delays every change of the VM list.
+	// ListLag is the delay until a change of the VM list becomes visible.
 	ListLag time.Duration
 }
 
-// VM is a line of the list.
+// VM is an entry of the VM list.
 type VM struct {
 	Name, Role, DataCentre, Addr, State string
 }
 
-// Faults is the stand-in's present misbehaviour.
+// Faults are the faults that the stand-in currently simulates.
 type Faults struct {
-	// Down refuses every call with 503.
+	// Down refuses every call with status 503.
 	Down bool `json:"down"`
-	// Delay is added to each call, in milliseconds.
+	// DelayMS is added to each call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseResponses drops the connection after this many further writes took effect.
+	// LoseResponses is how many further writes take effect without a response: the
+	// connection is closed instead.
 	LoseResponses int `json:"lose_answers"`
-	// LosePrefix limits LoseAnswers to keys with this prefix.
+	// LosePrefix limits LoseResponses to keys with this prefix.
 	LosePrefix string `json:"lose_prefix"`
-	// DownAfterLoss takes the store down as soon as an answer was lost.
+	// DownAfterLoss sets Down as soon as a response has been lost.
 	DownAfterLoss bool `json:"down_after_lose"`
-	// StalePrefix makes reads of keys with this prefix give the first value ever
-	// written, with its revision, as a replica that lags would.
+	// StalePrefix makes reads of keys with this prefix return the first value ever written
+	// and its revision, as a lagging replica would.
 	StalePrefix string `json:"stale_prefix"`
-	// ListLagMS replaces the list's lag, in milliseconds, when positive.
+	// ListLagMS replaces Settings.ListLag if positive, in milliseconds.
 	ListLagMS int `json:"list_lag_ms"`
 }
 
@@ -54,41 +56,42 @@
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
-	// first is the first value ever written, and firstIndex its revision.
-	first      []byte
+	// firstValue is the first value ever written, and firstIndex its revision.
+	firstValue []byte
 	firstIndex uint64
 }
 
-// Record is what truly happened, by the stand-in's own count.
+// Record is what the stand-in itself counted, for tests to compare with what nodes report.
 type Record struct {
 	Reads, Writes, Watches, Refused int
 	// PeakReads and PeakWrites are the highest counts in one second.
 	PeakReads, PeakWrites int
-	// Calls holds the calls of each second since the start.
+	// Calls is the number of calls in each second since the start.
 	Calls []int
 }
 
-// Server is the stand-in.
+// Server is the stand-in: an HTTP server without its listener. Safe for concurrent use.
 type Server struct {
 	settings Settings
 	started  time.Time
 
-	mu      sync.Mutex
-	changed chan struct{}
-	index   uint64
-	pairs   map[string]*pair
-	visible []VM
-	// listed counts the lists set, and shownVersion is that of the visible one.
-	listed, shownVersion int
-	sessions             map[string]time.Time
-	faults               Faults
-	record               Record
-	second               int64
-	reads                int
-	writes               int
+	mu        sync.Mutex
+	changed   chan struct{}
+	lastIndex uint64
+	pairs     map[string]*pair
+	visible   []VM
+	// listVersion counts the calls of SetVMs; visibleVersion is the one whose list is
+	// visible.
+	listVersion, visibleVersion int
+	sessions                    map[string]time.Time
+	faults                      Faults
+	record                      Record
+	currentSecond               int64
+	readsThisSecond             int
+	writesThisSecond            int
 }
 
-// New makes a stand-in.
+// New returns a stand-in with an empty store and an empty VM list.
 func New(settings Settings) *Server {
 	return &Server{
 		settings: settings, started: time.Now(), changed: make(chan struct{}),
@@ -99,24 +102,24 @@
 // Handler serves the platform's paths, and /control and /record for tests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/", s.guard(s.get))
-	mux.HandleFunc("PUT /v1/kv/", s.guard(s.put))
-	mux.HandleFunc("DELETE /v1/kv/", s.guard(s.remove))
-	mux.HandleFunc("PUT /v1/session/create", s.guard(s.createSession))
-	mux.HandleFunc("PUT /v1/session/renew/", s.guard(s.renewSession))
-	mux.HandleFunc("GET /v1/catalog/nodes", s.guard(s.list))
+	mux.HandleFunc("GET /v1/kv/", s.withFaults(s.get))
+	mux.HandleFunc("PUT /v1/kv/", s.withFaults(s.put))
+	mux.HandleFunc("DELETE /v1/kv/", s.withFaults(s.remove))
+	mux.HandleFunc("PUT /v1/session/create", s.withFaults(s.createSession))
+	mux.HandleFunc("PUT /v1/session/renew/", s.withFaults(s.renewSession))
+	mux.HandleFunc("GET /v1/catalog/nodes", s.withFaults(s.listNodes))
 	mux.HandleFunc("POST /control/faults", control.SetHandler(&s.mu, s.applyFaults))
 	mux.HandleFunc("POST /control/vms", s.setVMs)
 	mux.HandleFunc("GET /record", control.GetHandler(&s.mu, func() Record { return s.record }))
-	mux.HandleFunc("GET /record/keys", s.showKeys)
+	mux.HandleFunc("GET /record/keys", s.serveKeys)
 	return mux
 }
 
-// SetVMs replaces the list; readers see it after the lag.
+// SetVMs replaces the VM list. Readers see the new list after the lag.
 func (s *Server) SetVMs(vms []VM) {
 	s.mu.Lock()
-	s.listed++
-	version := s.listed
+	s.listVersion++
+	version := s.listVersion
 	lag := s.settings.ListLag
 	if s.faults.ListLagMS > 0 {
 		lag = time.Duration(s.faults.ListLagMS) * time.Millisecond
@@ -125,57 +128,58 @@
 	time.AfterFunc(lag, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		// Two timers of nearly the same time may fire in either order.
-		if version > s.shownVersion {
-			s.visible, s.shownVersion = vms, version
+		// Timers that expire almost together may fire in either order, and an older list
+		// must not replace a newer one.
+		if version > s.visibleVersion {
+			s.visible, s.visibleVersion = vms, version
 		}
 	})
 }
 
-// guard counts the call and applies the faults and rate limits.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the faults and the rate limits to it.
+func (s *Server) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		faults := s.faults
-		allowed := s.count(r.Method == http.MethodGet)
+		allowed := s.countCall(r.Method == http.MethodGet)
 		s.mu.Unlock()
 		if faults.DelayMS > 0 {
 			time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
 		}
 		if faults.Down {
-			http.Error(w, "down", http.StatusServiceUnavailable)
+			http.Error(w, "outage simulated by a test", http.StatusServiceUnavailable)
 			return
 		}
 		if !allowed {
-			http.Error(w, "rate limit", http.StatusTooManyRequests)
+			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		next(w, r)
 	}
 }
 
-func (s *Server) count(read bool) bool {
+func (s *Server) countCall(read bool) bool {
 	second := int64(time.Since(s.started) / time.Second)
 	for int64(len(s.record.Calls)) <= second {
 		s.record.Calls = append(s.record.Calls, 0)
 	}
 	s.record.Calls[second]++
-	if second != s.second {
-		s.second, s.reads, s.writes = second, 0, 0
+	if second != s.currentSecond {
+		s.currentSecond, s.readsThisSecond, s.writesThisSecond = second, 0, 0
 	}
 	if read {
-		s.reads++
+		s.readsThisSecond++
 		s.record.Reads++
-		s.record.PeakReads = max(s.record.PeakReads, s.reads)
-		return s.within(s.reads, s.settings.ReadsPerSecond)
+		s.record.PeakReads = max(s.record.PeakReads, s.readsThisSecond)
+		return s.withinRate(s.readsThisSecond, s.settings.ReadsPerSecond)
 	}
-	s.writes++
+	s.writesThisSecond++
 	s.record.Writes++
-	s.record.PeakWrites = max(s.record.PeakWrites, s.writes)
-	return s.within(s.writes, s.settings.WritesPerSecond)
+	s.record.PeakWrites = max(s.record.PeakWrites, s.writesThisSecond)
+	return s.withinRate(s.writesThisSecond, s.settings.WritesPerSecond)
 }
 
-func (s *Server) within(calls, limit int) bool {
+func (s *Server) withinRate(calls, limit int) bool {
 	if limit > 0 && calls > limit {
 		s.record.Refused++
 		return false
@@ -189,9 +193,9 @@
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	name := key(r)
-	after, watching := uint64(0), r.URL.Query().Has("index")
+	knownIndex, watching := uint64(0), r.URL.Query().Has("index")
 	if watching {
-		after, _ = strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
+		knownIndex, _ = strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	}
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	deadline := time.After(wait)
@@ -202,12 +206,12 @@
 		var body []byte
 		if found != nil {
 			revision = found.ModifyIndex
-			shown := *found
+			returned := *found
 			if s.faults.StalePrefix != "" && strings.HasPrefix(name, s.faults.StalePrefix) {
-				shown.Value, shown.ModifyIndex = found.first, found.firstIndex
+				returned.Value, returned.ModifyIndex = found.firstValue, found.firstIndex
 				revision = found.firstIndex
 			}
-			body, _ = json.Marshal([]pair{shown})
+			body, _ = json.Marshal([]pair{returned})
 		}
 		if watching {
 			s.record.Watches++
@@ -215,17 +219,17 @@
 		down := s.faults.Down
 		s.mu.Unlock()
 		if down {
-			http.Error(w, "down", http.StatusServiceUnavailable)
+			http.Error(w, "outage simulated by a test", http.StatusServiceUnavailable)
 			return
 		}
-		if !watching || revision != after {
-			answer(w, body)
+		if !watching || revision != knownIndex {
+			respond(w, body)
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			answer(w, body)
+			respond(w, body)
 			return
 		case <-r.Context().Done():
 			return
@@ -233,7 +237,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, body []byte) {
+func respond(w http.ResponseWriter, body []byte) {
 	if body == nil {
 		http.Error(w, "", http.StatusNotFound)
 		return
@@ -245,47 +249,48 @@
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		http.Error(w, "value over a megabyte", http.StatusRequestEntityTooLarge)
+		http.Error(w, "value is larger than 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
 	name := key(r)
 	s.mu.Lock()
-	ok := s.swap(name, data, r.URL.Query().Get("cas"), r.URL.Query().Get("acquire"))
-	lose := ok && s.faults.LoseResponses > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
-	if lose {
+	ok := s.compareAndSwap(name, data, r.URL.Query().Get("cas"), r.URL.Query().Get("acquire"))
+	loseResponse := ok && s.faults.LoseResponses > 0 && strings.HasPrefix(name, s.faults.LosePrefix)
+	if loseResponse {
 		s.faults.LoseResponses--
 		s.faults.Down = s.faults.Down || s.faults.DownAfterLoss
 	}
 	s.mu.Unlock()
-	if lose {
-		panic(http.ErrAbortHandler) // drops the connection without an answer
+	if loseResponse {
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	fmt.Fprint(w, ok)
 }
 
-// swap writes the value if the revision matches and the session, if named, lives.
-func (s *Server) swap(name string, data []byte, cas, session string) bool {
+// compareAndSwap writes a value and returns true if cas, when given, is the key's revision
+// (0 for a key that does not exist) and session, when given, has not expired.
+func (s *Server) compareAndSwap(name string, data []byte, cas, session string) bool {
 	current := s.pairs[name]
 	if cas != "" {
-		want, _ := strconv.ParseUint(cas, 10, 64)
-		if (current == nil) != (want == 0) || (current != nil && current.ModifyIndex != want) {
+		expected, _ := strconv.ParseUint(cas, 10, 64)
+		if (current == nil) != (expected == 0) || (current != nil && current.ModifyIndex != expected) {
 			return false
 		}
 	}
 	if session != "" && time.Now().After(s.sessions[session]) {
 		return false
 	}
-	s.index++
-	next := &pair{Key: name, Value: data, ModifyIndex: s.index, first: data, firstIndex: s.index}
+	s.lastIndex++
+	next := &pair{Key: name, Value: data, ModifyIndex: s.lastIndex, firstValue: data, firstIndex: s.lastIndex}
 	if current != nil {
-		next.first, next.firstIndex = current.first, current.firstIndex
+		next.firstValue, next.firstIndex = current.firstValue, current.firstIndex
 	}
 	s.pairs[name] = next
-	s.wake()
+	s.notifyWatches()
 	return true
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -293,17 +298,17 @@
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.index++
+	s.lastIndex++
 	delete(s.pairs, key(r))
-	s.wake()
+	s.notifyWatches()
 	fmt.Fprint(w, true)
 }
 
 func (s *Server) createSession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.index++
-	id := fmt.Sprintf("session-%d", s.index)
+	s.lastIndex++
+	id := fmt.Sprintf("session-%d", s.lastIndex)
 	s.sessions[id] = time.Now().Add(sessionTTL)
 	_ = json.NewEncoder(w).Encode(map[string]string{"ID": id})
 }
@@ -313,7 +318,7 @@
 	defer s.mu.Unlock()
 	id := strings.TrimPrefix(r.URL.Path, "/v1/session/renew/")
 	if time.Now().After(s.sessions[id]) {
-		http.Error(w, "session lapsed", http.StatusNotFound)
+		http.Error(w, "session is unknown or has expired", http.StatusNotFound)
 		return
 	}
 	s.sessions[id] = time.Now().Add(sessionTTL)
@@ -322,7 +327,7 @@
 
 const sessionTTL = 10 * time.Second
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listNodes(w http.ResponseWriter, _ *http.Request) {
 	type node struct {
 		Node, Address, Datacenter string
 		Meta                      map[string]string
@@ -336,10 +341,11 @@
 	_ = json.NewEncoder(w).Encode(nodes)
 }
 
-// applyFaults sets the faults; an outage ends the waiting watches too.
+// applyFaults sets the faults. It wakes the waiting watches so that an outage ends them
+// too.
 func (s *Server) applyFaults(faults Faults) {
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *Server) setVMs(w http.ResponseWriter, r *http.Request) {
@@ -351,7 +357,7 @@
 	s.SetVMs(vms)
 }
 
-func (s *Server) showKeys(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveKeys(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := map[string]string{}
--- a/standin/link/addr.go
+++ b/standin/link/addr.go
@@ -9,56 +9,57 @@
 	"github.com/pkg/errors"
 )
 
-// Ports are picked below the range from which the kernel takes the ports of outgoing
-// connections: one of those would make a port that was free a moment ago fail to bind.
+// Ports are picked below the kernel's range of ephemeral ports: an outgoing connection that
+// got one of those would make a port that was free a moment ago fail to bind.
 const (
-	lowestPort = 10_000
-	portCount  = 20_000
-	portTries  = 1000
+	firstPort    = 10_000
+	portCount    = 20_000
+	maxPortTries = 1000
 )
 
-// claimHost is a loopback address on which nothing is served. A listener there on a
-// port's number claims the port: test processes that run beside each other would
+// reservationHost is a loopback address on which nothing is served. A listener there
+// reserves the port of the same number: test processes that run concurrently would
 // otherwise find the same port free, and one of them could not bind it.
-const claimHost = "127.0.0.2"
+const reservationHost = "127.0.0.2"
 
-// claims are held until the process ends.
-var claims struct {
+// reservedPorts are the listeners that reserve ports, kept open until the process ends.
+var reservedPorts struct {
 	mu   sync.Mutex
 	held []net.Listener
 }
 
-// FreeAddr finds a loopback port that is free for TCP and UDP and that no process has
-// been given that still runs.
+// FreeAddr returns a loopback address whose port is free for TCP and UDP and is not
+// reserved by any running process. It returns an error if it finds none in maxPortTries
+// tries.
 func FreeAddr() (string, error) {
-	for range portTries {
-		port := lowestPort + rand.IntN(portCount)
-		claim, err := net.Listen("tcp", fmt.Sprintf("%s:%d", claimHost, port))
+	for range maxPortTries {
+		port := firstPort + rand.IntN(portCount)
+		reservation, err := net.Listen("tcp", fmt.Sprintf("%s:%d", reservationHost, port))
 		if err != nil {
 			continue
 		}
 		if addr := fmt.Sprintf("127.0.0.1:%d", port); isFree(addr) {
-			claims.mu.Lock()
-			defer claims.mu.Unlock()
-			claims.held = append(claims.held, claim)
+			reservedPorts.mu.Lock()
+			defer reservedPorts.mu.Unlock()
+			reservedPorts.held = append(reservedPorts.held, reservation)
 			return addr, nil
 		}
-		_ = claim.Close()
+		_ = reservation.Close()
 	}
 	return "", errors.New("no port is free for both TCP and UDP")
 }
 
-// isFree tells whether an address can be listened on now.
+// isFree returns true if the address can be bound now, for both TCP and UDP.
 func isFree(addr string) bool {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = listener.Close() }()
-	packets, err := net.ListenPacket("udp", addr)
+	packetConn, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		return false
 	}
-	_ = packets.Close()
+	_ = packetConn.Close()
 	return true
 }
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,6 +1,7 @@
-// Package link is a loopback proxy between two parts of a system under test. It carries
-// TCP and UDP to one target and fails as tests ask: it delays, resets, cuts one way or
-// both, goes silent, and loses what is on its way.
+// Package link is a loopback proxy between two parts of a system under test. It forwards
+// TCP and UDP to one target and injects network faults: it delays traffic, resets
+// connections, blocks one or both directions, discards data without closing connections,
+// and loses data in transit.
 package link
 
 import (
@@ -12,7 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// Direction is the way of traffic through a link; Both is the two together.
+// Direction is a direction of traffic through a link. Directions can be combined: Both is
+// the two together.
 type Direction int
 
 // The directions.
@@ -22,68 +24,69 @@
 	Both = ToTarget | FromTarget
 )
 
-// Link carries connections and datagrams to a target.
+// Link forwards connections and datagrams to a target. Safe for concurrent use.
 type Link struct {
-	target  string
-	addr    string
-	packets net.PacketConn
+	target     string
+	addr       string
+	packetConn net.PacketConn
 
 	mu sync.Mutex
 	// listener is nil while connections are refused.
-	listener net.Listener
-	cut      Direction
-	open     map[Direction]chan struct{} // closed while that way is whole
-	delay    time.Duration
-	pairs    map[*pair]bool
+	listener  net.Listener
+	blocked   Direction
+	passable  map[Direction]chan struct{} // a closed channel: the direction is not blocked
+	delay     time.Duration
+	connPairs map[*connPair]bool
 }
 
-// pair is a connection and its continuation to the target.
-type pair struct {
-	near, far net.Conn
-	// muted drops every byte either way and keeps the connections open.
-	muted atomic.Bool
+// connPair is a client's connection and the connection that continues it to the target.
+type connPair struct {
+	client, target net.Conn
+	// discarding drops every byte in both directions and keeps the connections open.
+	discarding atomic.Bool
 }
 
-// bindTries is how many free addresses are tried: a port that was free a moment ago may
-// not be.
-const bindTries = 10
+// maxBindTries is how many free addresses New tries: a port that was free a moment ago may
+// be in use when it is bound.
+const maxBindTries = 10
 
-// New listens on a free address and carries what comes there to target.
+// New listens on a free loopback address and forwards what arrives there to target. It
+// returns an error if it cannot bind an address.
 func New(target string) (*Link, error) {
-	var last error
-	for range bindTries {
+	var lastErr error
+	for range maxBindTries {
 		addr, err := FreeAddr()
 		if err != nil {
 			return nil, err
 		}
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		packets, err := net.ListenPacket("udp", addr)
+		packetConn, err := net.ListenPacket("udp", addr)
 		if err != nil {
 			_ = listener.Close()
-			last = err
+			lastErr = err
 			continue
 		}
-		l := &Link{target: target, addr: listener.Addr().String(), listener: listener, packets: packets, pairs: map[*pair]bool{}, open: map[Direction]chan struct{}{}}
-		for _, way := range []Direction{ToTarget, FromTarget} {
-			l.open[way] = make(chan struct{})
-			close(l.open[way])
+		l := &Link{target: target, addr: listener.Addr().String(), listener: listener, packetConn: packetConn, connPairs: map[*connPair]bool{}, passable: map[Direction]chan struct{}{}}
+		for _, direction := range []Direction{ToTarget, FromTarget} {
+			l.passable[direction] = make(chan struct{})
+			close(l.passable[direction])
 		}
 		go l.serveTCP(listener)
 		go l.serveUDP()
 		return l, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// Addr is where the link listens.
+// Addr returns the address on which the link listens.
 func (l *Link) Addr() string { return l.addr }
 
-// RefuseConnections makes the link refuse connections, as its target does whose process has ended. Present
-// ones go on.
+// RefuseConnections makes the link refuse new connections, as a target whose process has
+// ended does. Established connections continue.
 func (l *Link) RefuseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +96,8 @@
 	}
 }
 
-// AcceptConnections takes connections again after Refuse. Error: the address is in use.
+// AcceptConnections accepts connections again after RefuseConnections. It returns an error
+// if the address is in use.
 func (l *Link) AcceptConnections() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,65 +113,67 @@
 	return nil
 }
 
-// Close ends the link and all its connections.
+// Close closes the link and resets all its connections.
 func (l *Link) Close() {
 	l.RefuseConnections()
-	_ = l.packets.Close()
+	_ = l.packetConn.Close()
 	l.ResetConnections()
 	l.SetBlocked(0)
 }
 
-// SetBlocked cuts the link in the directions given and heals it in the others; what was
-// held back is then delivered, unless Reset has lost it.
-func (l *Link) SetBlocked(cut Direction) {
+// SetBlocked blocks exactly the given directions. TCP data held back in a direction that is
+// no longer blocked is then delivered, unless ResetConnections discarded it.
+func (l *Link) SetBlocked(blocked Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, way := range []Direction{ToTarget, FromTarget} {
-		switch was, is := l.cut&way != 0, cut&way != 0; {
-		case is && !was:
-			l.open[way] = make(chan struct{})
-		case was && !is:
-			close(l.open[way])
+	for _, direction := range []Direction{ToTarget, FromTarget} {
+		switch wasBlocked, isBlocked := l.blocked&direction != 0, blocked&direction != 0; {
+		case isBlocked && !wasBlocked:
+			l.passable[direction] = make(chan struct{})
+		case wasBlocked && !isBlocked:
+			close(l.passable[direction])
 		}
 	}
-	l.cut = cut
+	l.blocked = blocked
 }
 
-// SetDelay holds back all traffic by this much.
+// SetDelay delays new connections and TCP data, in both directions, by d.
 func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// ResetConnections resets all connections and loses what is on its way; new ones work.
+// ResetConnections resets all connections and discards data in transit. New connections
+// work.
 func (l *Link) ResetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.muted.Store(true)
-		for _, conn := range []net.Conn{p.near, p.far} {
+	for p := range l.connPairs {
+		p.discarding.Store(true)
+		for _, conn := range []net.Conn{p.client, p.target} {
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			_ = conn.Close()
 		}
 	}
 }
 
-// BlackholeConnections makes the present connections go silent for good; new ones work.
+// BlackholeConnections discards, from now on, all data of the established connections
+// without closing them. New connections work.
 func (l *Link) BlackholeConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.muted.Store(true)
+	for p := range l.connPairs {
+		p.discarding.Store(true)
 	}
 }
 
-// pass waits until traffic that way may go on.
-func (l *Link) pass(way Direction) {
+// awaitPassable waits until a direction is not blocked, and then for the delay.
+func (l *Link) awaitPassable(direction Direction) {
 	l.mu.Lock()
-	open, delay := l.open[way], l.delay
+	passable, delay := l.passable[direction], l.delay
 	l.mu.Unlock()
-	<-open
+	<-passable
 	if delay > 0 {
 		time.Sleep(delay)
 	}
@@ -175,39 +181,40 @@
 
 func (l *Link) serveTCP(listener net.Listener) {
 	for {
-		near, err := listener.Accept()
+		clientConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.connect(near)
+		go l.connect(clientConn)
 	}
 }
 
-// connect continues a connection to the target; one that the target refuses is reset.
-func (l *Link) connect(near net.Conn) {
-	l.pass(ToTarget)
-	far, err := net.Dial("tcp", l.target)
+// connect continues a connection to the target. It resets a connection that the target
+// refuses.
+func (l *Link) connect(clientConn net.Conn) {
+	l.awaitPassable(ToTarget)
+	targetConn, err := net.Dial("tcp", l.target)
 	if err != nil {
-		_ = near.(*net.TCPConn).SetLinger(0)
-		_ = near.Close()
+		_ = clientConn.(*net.TCPConn).SetLinger(0)
+		_ = clientConn.Close()
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &connPair{client: clientConn, target: targetConn}
 	l.mu.Lock()
-	l.pairs[p] = true
+	l.connPairs[p] = true
 	l.mu.Unlock()
-	var copying sync.WaitGroup
-	copying.Go(func() { l.copy(p, far, near, ToTarget) })
-	copying.Go(func() { l.copy(p, near, far, FromTarget) })
-	copying.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { l.copy(p, targetConn, clientConn, ToTarget) })
+	copies.Go(func() { l.copy(p, clientConn, targetConn, FromTarget) })
+	copies.Wait()
 	l.mu.Lock()
-	delete(l.pairs, p)
+	delete(l.connPairs, p)
 	l.mu.Unlock()
 }
 
 const bufferBytes = 64 << 10
 
-func (l *Link) copy(p *pair, to, from net.Conn, way Direction) {
+func (l *Link) copy(p *connPair, to, from net.Conn, direction Direction) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -215,8 +222,8 @@
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		l.pass(way)
-		if n > 0 && !p.muted.Load() {
+		l.awaitPassable(direction)
+		if n > 0 && !p.discarding.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -227,23 +234,23 @@
 	}
 }
 
-// serveUDP forwards datagrams to the target; a cut link loses them.
+// serveUDP forwards datagrams to the target. A blocked link loses them.
 func (l *Link) serveUDP() {
-	out, err := net.Dial("udp", l.target)
+	targetConn, err := net.Dial("udp", l.target)
 	if err != nil {
 		return
 	}
 	buffer := make([]byte, bufferBytes)
 	for {
-		n, _, err := l.packets.ReadFrom(buffer)
+		n, _, err := l.packetConn.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		cut := l.cut&ToTarget != 0
+		blocked := l.blocked&ToTarget != 0
 		l.mu.Unlock()
-		if !cut {
-			_, _ = out.Write(buffer[:n])
+		if !blocked {
+			_, _ = targetConn.Write(buffer[:n])
 		}
 	}
 }
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the users' platform: its metadata store with
-// watches, leases and transactions, and the workers that register there. It speaks
-// the platform's published protocol, and misbehaves as tests ask.
+// Package platform is a stand-in for the users' platform: its key-value store with watches,
+// leases and transactions, and the workers that register there. It implements the
+// platform's published protocol and injects the faults that tests request.
 package platform
 
 import (
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// StoreFaults is the store's present misbehaviour.
+// StoreFaults are the faults that the store currently simulates.
 type StoreFaults struct {
-	// RefuseStatus answers every call with this status; 0: works.
+	// RefuseStatus is the HTTP status with which every call is refused; 0 means none.
 	RefuseStatus int
-	// NoResponse leaves every call without an answer until it ends.
+	// NoResponse leaves every call without a response until its caller cancels it.
 	NoResponse bool
-	// MuteWatches makes watches hear nothing until they end.
+	// MuteWatches makes watches report no events until they end.
 	MuteWatches bool
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseResponses drops the connection after this many further writes took effect.
+	// LoseResponses is how many further writes take effect without a response: the
+	// connection is closed instead.
 	LoseResponses int
 }
 
-// Item is one key of the store.
+// Item is a key of the store with its value.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -42,59 +43,59 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is the metadata store.
+// Store is the platform's store. Safe for concurrent use.
 type Store struct {
-	mu        sync.Mutex
-	faults    StoreFaults
-	revision  uint64
-	items     map[string]Item
-	events    []event
-	compacted uint64 // events up to this revision are gone
-	leases    map[uint64]*lease
-	nextLease uint64
-	changed   chan struct{}
-	calls     map[string]int
+	mu                sync.Mutex
+	faults            StoreFaults
+	revision          uint64
+	items             map[string]Item
+	events            []event
+	compactedRevision uint64 // events up to this revision were deleted
+	leases            map[uint64]*lease
+	nextLease         uint64
+	changed           chan struct{}
+	callCounts        map[string]int
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), calls: map[string]int{}}
+	return &Store{items: map[string]Item{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), callCounts: map[string]int{}}
 }
 
-// SetFaults changes the misbehaviour; it also wakes waiting watches.
+// SetFaults replaces the faults and wakes the waiting watches.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// CallCount counts the calls of a path so far.
+// CallCount returns the number of calls of a path so far.
 func (s *Store) CallCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[path]
+	return s.callCounts[path]
 }
 
-// Put writes a key as the operator or a worker would, and gives its revision.
+// Put writes a key, as the operators or a worker would, and returns its revision.
 func (s *Store) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(key, value, 0)
 }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-// Keys gives the keys under a prefix, sorted.
+// Keys returns the keys with a prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,19 +109,19 @@
 	return keys
 }
 
-// Get gives a key's value, nil where there is none.
+// Get returns a key's value, or nil if the key does not exist.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	return s.items[key].Value
 }
 
-// Compact forgets all events so far.
+// Compact deletes all events so far. Watches from an earlier revision then get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.compacted = nil, s.revision
+	s.events, s.compactedRevision = nil, s.revision
 }
 
 func (s *Store) put(key string, value []byte, lease uint64) uint64 {
@@ -131,7 +132,7 @@
 	}
 	s.items[key] = item
 	s.events = append(s.events, event{Item: item})
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
@@ -142,27 +143,27 @@
 	delete(s.items, key)
 	s.revision++
 	s.events = append(s.events, event{Item: Item{Key: key, Revision: s.revision}, Deleted: true})
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases whose time has passed.
-func (s *Store) expire() {
+// expireLeases deletes the leases whose time has passed, and their keys.
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.Before(l.end) {
+		if now.Before(l.expiresAt) {
 			continue
 		}
 		delete(s.leases, id)
-		s.removeLeased(id)
+		s.removeKeysOfLease(id)
 	}
 }
 
-func (s *Store) removeLeased(id uint64) {
+func (s *Store) removeKeysOfLease(id uint64) {
 	for key, item := range s.items {
 		if item.Lease == id {
 			s.remove(key)
@@ -173,22 +174,22 @@
 // Handler serves the store's calls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/kv-key", s.guard(s.serveKey))
-	mux.HandleFunc("GET /-/kv-range", s.guard(s.serveRange))
-	mux.HandleFunc("GET /-/kv-watch", s.guard(s.serveWatch))
-	mux.HandleFunc("POST /-/kv-txn", s.guard(s.serveTxn))
-	mux.HandleFunc("POST /-/kv-lease", s.guard(s.serveLease))
-	mux.HandleFunc("POST /-/kv-keep/{id}", s.guard(s.serveKeep))
-	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.guard(s.serveLeaseEnd))
+	mux.HandleFunc("GET /-/kv-key", s.withFaults(s.serveKey))
+	mux.HandleFunc("GET /-/kv-range", s.withFaults(s.serveRange))
+	mux.HandleFunc("GET /-/kv-watch", s.withFaults(s.serveWatch))
+	mux.HandleFunc("POST /-/kv-txn", s.withFaults(s.serveTxn))
+	mux.HandleFunc("POST /-/kv-lease", s.withFaults(s.serveGrantLease))
+	mux.HandleFunc("POST /-/kv-keep/{id}", s.withFaults(s.serveRenewLease))
+	mux.HandleFunc("DELETE /-/kv-lease-end/{id}", s.withFaults(s.serveEndLease))
 	return mux
 }
 
-// guard applies the faults that concern every call.
-func (s *Store) guard(next http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call, expires leases and applies the faults that concern every call.
+func (s *Store) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.calls[r.URL.Path]++
-		s.expire()
+		s.callCounts[r.URL.Path]++
+		s.expireLeases()
 		faults := s.faults
 		s.mu.Unlock()
 		if faults.Delay > 0 {
@@ -198,7 +199,7 @@
 		case faults.NoResponse:
 			<-r.Context().Done()
 		case faults.RefuseStatus != 0:
-			http.Error(w, "refused", faults.RefuseStatus)
+			http.Error(w, "refused by a test fault", faults.RefuseStatus)
 		default:
 			next(w, r)
 		}
@@ -222,7 +223,7 @@
 	writeJSON(w, http.StatusOK, item)
 }
 
-// pageItems is how many items a page holds, few so that tests see several pages.
+// pageItems is the number of items in a page: few, so that tests see several pages.
 const pageItems = 50
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -236,11 +237,11 @@
 		}
 	}
 	sort.Slice(entries, func(i, j int) bool { return entries[i].Key < entries[j].Key })
-	more := len(entries) > pageItems
-	if more {
+	hasMore := len(entries) > pageItems
+	if hasMore {
 		entries = entries[:pageItems]
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"entries": entries, "has_more": more, "at": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"entries": entries, "has_more": hasMore, "at": s.revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -248,11 +249,11 @@
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(query.Get("wait_ms"))
 	timeout := time.After(time.Duration(ms) * time.Millisecond)
-	deaf := false // once deaf, a waiting watch stays so until it ends
+	muted := false // a watch that was muted once stays so until it ends
 	for {
 		s.mu.Lock()
-		deaf = deaf || s.faults.MuteWatches
-		gone, at, changed := after < s.compacted, s.revision, s.changed
+		muted = muted || s.faults.MuteWatches
+		compacted, revision, changed := after < s.compactedRevision, s.revision, s.changed
 		events := []event{}
 		for _, e := range s.events {
 			if e.Revision > after && strings.HasPrefix(e.Key, query.Get("prefix")) {
@@ -261,20 +262,20 @@
 		}
 		s.mu.Unlock()
 		switch {
-		case !deaf && gone:
-			http.Error(w, "history gone", http.StatusGone)
+		case !muted && compacted:
+			http.Error(w, "events after this revision were compacted", http.StatusGone)
 			return
-		case !deaf && len(events) > 0:
-			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": at})
+		case !muted && len(events) > 0:
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			if deaf {
-				at = after
+			if muted {
+				revision = after
 			}
-			writeJSON(w, http.StatusOK, map[string]any{"events": []event{}, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []event{}, "at": revision})
 			return
 		case <-r.Context().Done():
 			return
@@ -298,24 +299,24 @@
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var txn txnRequest
 	if json.NewDecoder(r.Body).Decode(&txn) != nil {
-		http.Error(w, "not JSON", http.StatusBadRequest)
+		http.Error(w, "body is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range txn.Expect {
-		if s.items[e.Key].Revision != e.Revision {
-			writeJSON(w, http.StatusPreconditionFailed, map[string]any{"entries": []Item{s.items[e.Key]}})
+	for _, expected := range txn.Expect {
+		if s.items[expected.Key].Revision != expected.Revision {
+			writeJSON(w, http.StatusPreconditionFailed, map[string]any{"entries": []Item{s.items[expected.Key]}})
 			return
 		}
 	}
 	for _, write := range txn.Writes {
 		switch {
 		case strings.HasPrefix(write.Key, "op/") || strings.HasPrefix(write.Key, "servers/"):
-			http.Error(w, "not the system's key", http.StatusForbidden)
+			http.Error(w, "keys under op/ and servers/ are read-only", http.StatusForbidden)
 			return
 		case write.Lease != 0 && s.leases[write.Lease] == nil:
-			http.Error(w, "no such lease", http.StatusNotFound)
+			http.Error(w, "unknown or expired lease", http.StatusNotFound)
 			return
 		}
 	}
@@ -325,11 +326,11 @@
 	for _, key := range txn.Remove {
 		s.remove(key)
 	}
-	s.answerWrite(w, map[string]uint64{"revision": s.revision})
+	s.respondToWrite(w, map[string]uint64{"revision": s.revision})
 }
 
-// answerWrite answers a write that took effect, or loses the answer.
-func (s *Store) answerWrite(w http.ResponseWriter, value any) {
+// respondToWrite responds to a write that took effect, or loses the response.
+func (s *Store) respondToWrite(w http.ResponseWriter, value any) {
 	if s.faults.LoseResponses > 0 {
 		s.faults.LoseResponses--
 		panic(http.ErrAbortHandler)
@@ -337,50 +338,50 @@
 	writeJSON(w, http.StatusOK, value)
 }
 
-func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveGrantLease(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		TTLMS int64 `json:"ttl_ms"`
 	}
 	if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMS <= 0 {
-		http.Error(w, "no ttl_ms", http.StatusBadRequest)
+		http.Error(w, "ttl_ms must be positive", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextLease++
 	ttl := time.Duration(request.TTLMS) * time.Millisecond
-	s.leases[s.nextLease] = &lease{ttl: ttl, end: time.Now().Add(ttl)}
-	s.answerWrite(w, map[string]any{"lease": s.nextLease, "ttl_ms": request.TTLMS})
+	s.leases[s.nextLease] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	s.respondToWrite(w, map[string]any{"lease": s.nextLease, "ttl_ms": request.TTLMS})
 }
 
-func (s *Store) serveKeep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRenewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l == nil {
-		http.Error(w, "no such lease", http.StatusNotFound)
+		http.Error(w, "unknown or expired lease", http.StatusNotFound)
 		return
 	}
-	l.end = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	writeJSON(w, http.StatusOK, map[string]any{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveEndLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.leases, id)
-	s.removeLeased(id)
+	s.removeKeysOfLease(id)
 	writeJSON(w, http.StatusOK, map[string]any{})
 }
 
-// RevokeLeases ends all leases, as an outage may.
+// RevokeLeases deletes all leases and their keys, as an outage may.
 func (s *Store) RevokeLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
 		delete(s.leases, id)
-		s.removeLeased(id)
+		s.removeKeysOfLease(id)
 	}
 }
--- a/standin/platform/worker.go
+++ b/standin/platform/worker.go
@@ -13,142 +13,150 @@
 	"time"
 )
 
-// Fault is what a worker does wrong with one request.
+// Fault is a fault that a worker simulates for one request.
 type Fault string
 
 // The faults.
 const (
-	// FaultShed refuses the request and says that it did not run.
+	// FaultShed refuses the request and states that it was not executed.
 	FaultShed Fault = "shed"
-	// FaultUnmarkedRefusal refuses with 503 without saying that it did not run.
+	// FaultUnmarkedRefusal responds with status 503 and does not state whether the request
+	// was executed.
 	FaultUnmarkedRefusal Fault = "bare-refusal"
-	// FaultError runs the request and answers 500.
+	// FaultError executes the request and responds with status 500.
 	FaultError Fault = "error"
-	// FaultReset runs the request and closes the connection without an answer.
+	// FaultReset executes the request and closes the connection without a response.
 	FaultReset Fault = "reset"
-	// FaultTruncated breaks off in the midst of the second event, or of a plain body.
+	// FaultTruncated closes the connection in the middle of the second event, or of a plain
+	// body.
 	FaultTruncated Fault = "cut"
-	// FaultTruncatedUnframed gives a stream without length that ends in the midst of its second event.
+	// FaultTruncatedUnframed sends a stream without a length or chunks that ends in the
+	// middle of its second event.
 	FaultTruncatedUnframed Fault = "torn"
-	// FaultDuplicateResponse answers and sends a second answer to the same request a moment later.
+	// FaultDuplicateResponse responds and sends the same response again a moment later.
 	FaultDuplicateResponse Fault = "extra"
-	// FaultUnframed gives no length: the answer ends with the connection.
+	// FaultUnframed sends no length and no chunks: the end of the connection ends the
+	// response.
 	FaultUnframed Fault = "unframed"
-	// FaultNoServerStamp leaves the signature out.
+	// FaultNoServerStamp leaves out the server stamp.
 	FaultNoServerStamp Fault = "unsigned"
-	// FaultGarbage sends bytes that are no answer.
+	// FaultGarbage sends bytes that are not an HTTP response.
 	FaultGarbage Fault = "garbage"
-	// FaultHang runs the request and never answers.
+	// FaultHang executes the request and never responds.
 	FaultHang Fault = "hang"
-	// FaultEarlyResponse answers before it has read the body, and reads on.
+	// FaultEarlyResponse responds before it has read the body, and then reads the rest.
 	FaultEarlyResponse Fault = "early"
-	// FaultSlow answers right, each event a second after the last.
+	// FaultSlow sends a correct stream with one second between events.
 	FaultSlow Fault = "slow"
-	// FaultHelperFailed refuses because of a helper, which it names.
+	// FaultHelperFailed refuses the request because of a helper, whose address it names.
 	FaultHelperFailed Fault = "helper"
-	// FaultLateOrder leaves an order unanswered and carries it out after orderDelay.
+	// FaultLateOrder leaves an order unanswered and applies it after lateOrderDelay.
 	FaultLateOrder Fault = "late"
 )
 
-// Run is one request that a worker ran, or refused.
+// Run is one request that a worker executed or refused.
 type Run struct {
 	ID, Method, RequestURI, Account, LastEventID, Helpers string
 	Priority                                              string
 	Body                                                  string
 	DeadlineMS                                            int
-	// Authorization is the caller's, which must not be passed on.
+	// Authorization is the caller's header, which a gateway must not forward.
 	Authorization string
-	// Ran is false for a request that was refused.
+	// Ran is false for a request that was refused as not executed.
 	Ran bool
-	// Status is what it was answered with, 0 for nothing that is an answer; Fault what
-	// was done wrong with it.
+	// Status is that of the response, 0 if what was sent is not a response. Fault is the
+	// fault that was simulated.
 	Status int
 	Fault  Fault
-	// ArrivedAt is when its head and body had been read; EndedAt when the work ended, zero
-	// while it goes on. Dropped is set when the caller left before that.
+	// ArrivedAt is when the request was read completely; EndedAt when its execution ended,
+	// zero while it runs. Cancelled is set if the caller disconnected before that.
 	ArrivedAt, EndedAt time.Time
 	Cancelled          bool
 }
 
-// ReservationIDs are the names of the reservations that a run uses.
+// ReservationIDs returns the IDs of the reservations that a run uses at helpers.
 func (r *Run) ReservationIDs() []string {
-	var tickets []string
+	var ids []string
 	for _, helper := range strings.Split(r.Helpers, ",") {
-		if _, ticket, found := strings.Cut(helper, "/"); found {
-			tickets = append(tickets, ticket)
+		if _, id, found := strings.Cut(helper, "/"); found {
+			ids = append(ids, id)
 		}
 	}
-	return tickets
+	return ids
 }
 
-// Worker is a model worker or plain application.
+// Worker is a model engine or a plain service, of the kind that registers in the platform's
+// store.
 type Worker struct {
-	// ID names it, Service is what it serves.
+	// ID identifies the worker; Service is the service that it belongs to.
 	ID, Service string
-	// StartUnixMilli is when this life began, in Unix milliseconds; 0: its registration does not say,
-	// as on older platforms.
+	// StartUnixMilli is when this incarnation started, in Unix milliseconds. With 0 the
+	// registration leaves it out, as on older platforms.
 	StartUnixMilli int64
-	// EventCount is how many events a stream has; 0: answers are plain.
+	// EventCount is the number of events in a stream; with 0 responses are plain.
 	EventCount int
-	// EventInterval is the time between events, WorkTime that which a plain answer takes.
+	// EventInterval is the time between events; WorkTime is how long a plain response
+	// takes.
 	EventInterval, WorkTime time.Duration
-	// Slots is how many requests it works on at once; more are refused as not run.
-	// 0: any number.
+	// Slots is the largest number of requests in flight; further ones are refused as not
+	// executed. 0 means no limit.
 	Slots int
-	// CrashBody is the body of requests under which the worker ends as it begins to run them; "":
-	// none.
+	// CrashBody is the body of requests that crash the worker when it starts to execute
+	// them; "" means none.
 	CrashBody string
-	// OnCrash is called as the worker ends under CrashOn; nil: nothing is.
+	// OnCrash is called, unless nil, when CrashBody crashes the worker.
 	OnCrash func()
-	// MemoryTokens is its KV cache, of which reservations take their part; 0: no bound.
+	// MemoryTokens is the size of the KV cache for reservations, in tokens; 0 means no
+	// limit.
 	MemoryTokens int
 
-	mu     sync.Mutex
-	runs   []*Run
-	faults []Fault
-	// orderFaults go before faults, for orders.
-	orderFaults []Fault
-	always      Fault
-	reserved    map[string]reservation
-	released    []string
-	orders      int
-	freed       int
-	helper      string
-	pace        float64
-	reports     int
-	listener    net.Listener
-	conns       map[net.Conn]bool
-	accepted    int
-	working     int
-	seq         int
+	mu         sync.Mutex
+	runs       []*Run
+	faultQueue []Fault
+	// orderFaultQueue is for orders and is used before faultQueue.
+	orderFaultQueue []Fault
+	defaultFault    Fault
+	reservations    map[string]reservation
+	releasedIDs     []string
+	orderCount      int
+	freedCount      int
+	failedHelper    string
+	slowdown        float64
+	reportCount     int
+	listener        net.Listener
+	conns           map[net.Conn]bool
+	acceptedCount   int
+	inFlight        int
+	registrationSeq int
 }
 
-// Start listens on a free port of the loopback.
+// Start listens on a free port of the loopback interface.
 func (w *Worker) Start() error { return w.StartAt("127.0.0.1:0") }
 
-// StartAt listens on an address, which a worker that has ended may have left.
+// StartAt listens on an address, which may be that of a worker that has stopped.
 func (w *Worker) StartAt(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.listener, w.conns, w.reserved = listener, map[net.Conn]bool{}, map[string]reservation{}
-	if w.pace == 0 {
-		w.pace = 1
+	w.listener, w.conns, w.reservations = listener, map[net.Conn]bool{}, map[string]reservation{}
+	if w.slowdown == 0 {
+		w.slowdown = 1
 	}
 	w.mu.Unlock()
 	go w.accept(listener)
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the worker listens.
 func (w *Worker) Addr() string { return w.listener.Addr().String() }
 
-// StopListening closes the port and leaves the connections open, as if the worker hung.
+// StopListening closes the port and leaves the connections open, as a process that hangs
+// does.
 func (w *Worker) StopListening() { _ = w.listener.Close() }
 
-// Stop closes the port and all connections; a worker that never started stays as it is.
+// Stop closes the port and all connections. A worker that never started is left as it is.
 func (w *Worker) Stop() {
 	if w.listener == nil {
 		return
@@ -161,17 +169,17 @@
 	}
 }
 
-// Registration is what the worker writes under servers/ID, with a sequence number that
-// rises each time.
+// Registration returns the value that the worker writes under servers/ID. Its sequence
+// number is higher each time.
 func (w *Worker) Registration(state string) []byte { return w.RegistrationAt(w.Addr(), state) }
 
-// RegistrationAt is the same for a worker that is reached at another address.
+// RegistrationAt returns the registration of a worker that is reached at another address.
 func (w *Worker) RegistrationAt(addr, state string) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seq++
+	w.registrationSeq++
 	fields := map[string]any{
-		"service": w.Service, "address": addr, "zone": "dc1", "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq_no": w.seq,
+		"service": w.Service, "address": addr, "zone": "dc1", "version": "v1", "slots": 16, "state": state, "cold_left_ms": 0, "seq_no": w.registrationSeq,
 	}
 	if w.StartUnixMilli != 0 {
 		fields["born"] = w.StartUnixMilli
@@ -180,7 +188,7 @@
 	return data
 }
 
-// Incarnation names this life of the worker, in records.
+// Incarnation identifies this incarnation of the worker in records.
 func (w *Worker) Incarnation() string {
 	if w.StartUnixMilli == 0 {
 		return w.ID
@@ -188,50 +196,50 @@
 	return w.ID + "/" + strconv.FormatInt(w.StartUnixMilli, 10)
 }
 
-// QueueFaults queues faults for the coming requests, one each.
+// QueueFaults adds faults for the next requests, one for each.
 func (w *Worker) QueueFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, faults...)
+	w.faultQueue = append(w.faultQueue, faults...)
 }
 
-// QueueOrderFaults queues faults for the coming orders, one each.
+// QueueOrderFaults adds faults for the next orders, one for each.
 func (w *Worker) QueueOrderFaults(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.orderFaults = append(w.orderFaults, faults...)
+	w.orderFaultQueue = append(w.orderFaultQueue, faults...)
 }
 
-// SetDefaultFault sets a fault for all requests that have none queued; "" for none.
+// SetDefaultFault sets the fault for requests that have none queued; "" means none.
 func (w *Worker) SetDefaultFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.always = f
+	w.defaultFault = f
 }
 
-// SetSlowdown sets how many times as long as described its work takes, as its report tells;
-// 0 tells that it does not say.
-func (w *Worker) SetSlowdown(pace float64) {
+// SetSlowdown sets the factor that the load report gives by which work takes longer than
+// the configuration describes; with 0 the report has no valid factor.
+func (w *Worker) SetSlowdown(slowdown float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pace = pace
+	w.slowdown = slowdown
 }
 
-// ReportCount counts how often it was asked for its report.
+// ReportCount returns how often the worker's report was read.
 func (w *Worker) ReportCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.reports
+	return w.reportCount
 }
 
-// SetFailedHelper sets the address that FaultHelper names.
+// SetFailedHelper sets the address that FaultHelperFailed names.
 func (w *Worker) SetFailedHelper(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.helper = addr
+	w.failedHelper = addr
 }
 
-// Runs lists the requests so far.
+// Runs returns a copy of the requests so far.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -242,30 +250,31 @@
 	return list
 }
 
-// InFlight counts the requests at which it is at work.
+// InFlight returns the number of requests that the worker executes now.
 func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.working
+	return w.inFlight
 }
 
-// AcceptedCount counts connections.
+// AcceptedCount returns the number of connections accepted so far.
 func (w *Worker) AcceptedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.accepted
+	return w.acceptedCount
 }
 
-// Reservations lists the reservations that are held, and how many were released.
+// Reservations returns the tokens of each reservation that is held, by ID, the number of
+// release orders and that of all orders.
 func (w *Worker) Reservations() (held map[string]int, released, orders int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	held = map[string]int{}
-	w.expire(time.Now())
-	for id, r := range w.reserved {
+	w.expireReservations(time.Now())
+	for id, r := range w.reservations {
 		held[id] = r.tokens
 	}
-	return held, len(w.released), w.orders
+	return held, len(w.releasedIDs), w.orderCount
 }
 
 func (w *Worker) accept(listener net.Listener) {
@@ -276,7 +285,7 @@
 		}
 		w.mu.Lock()
 		w.conns[conn] = true
-		w.accepted++
+		w.acceptedCount++
 		w.mu.Unlock()
 		go w.serve(conn)
 	}
@@ -301,16 +310,16 @@
 	}
 }
 
-// handle answers one request and tells whether the connection stays.
+// handle serves one request and returns true if the connection stays open.
 func (w *Worker) handle(conn net.Conn, reader *bufio.Reader, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/-/order":
-		return w.order(conn, r)
+		return w.serveOrder(conn, r)
 	case "/-/report":
-		return w.report(conn)
+		return w.serveReport(conn)
 	}
-	fault := w.take()
-	run := readRun(r, fault)
+	fault := w.nextFault()
+	run := newRun(r, fault)
 	if fault == FaultEarlyResponse {
 		fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", run.ID)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -321,15 +330,15 @@
 		return false
 	}
 	run.Body, run.ArrivedAt = string(body), time.Now()
-	head := fmt.Sprintf("X-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Instance-Load: 1,0,16\r\n", run.ID)
-	if status, headers := w.refusal(r, fault); status != 0 {
+	headers := fmt.Sprintf("X-Aspenyard-Attempt-Id: %s\r\nX-Aspenyard-Instance-Load: 1,0,16\r\n", run.ID)
+	if status, refusalHeaders := w.refusal(r, fault); status != 0 {
 		run.Status = status
-		w.note(run)
-		fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), head, headers)
+		w.addRun(run)
+		fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers, refusalHeaders)
 		return true
 	}
 	run.Ran, run.Status = true, http.StatusOK
-	w.note(run)
+	w.addRun(run)
 	if w.CrashBody != "" && run.Body == w.CrashBody {
 		if w.OnCrash != nil {
 			w.OnCrash()
@@ -337,17 +346,17 @@
 		w.Stop()
 		return false
 	}
-	left := watchCaller(reader)
-	stays := w.run(conn, head, run, fault, left)
-	w.end(run, left)
-	if !stays {
+	callerGone := watchCaller(reader)
+	keepAlive := w.process(conn, headers, run, fault, callerGone)
+	w.finishRun(run, callerGone)
+	if !keepAlive {
 		_ = conn.Close()
 	}
-	<-left // the reader is free again
-	return stays
+	<-callerGone // only then may the reader be used again
+	return keepAlive
 }
 
-func readRun(r *http.Request, fault Fault) *Run {
+func newRun(r *http.Request, fault Fault) *Run {
 	deadline, _ := strconv.Atoi(r.Header.Get("X-Aspenyard-Deadline-Ms"))
 	return &Run{
 		ID: r.Header.Get("X-Aspenyard-Attempt-Id"), Method: r.Method, RequestURI: r.RequestURI, Account: r.Header.Get("X-Aspenyard-Tenant"),
@@ -356,8 +365,8 @@
 	}
 }
 
-// refusal tells with which status, and which headers besides, a request is refused that
-// does not run; 0: it runs.
+// refusal returns the status, and further headers, with which a request is refused without
+// being executed; status 0 means that it is executed.
 func (w *Worker) refusal(r *http.Request, fault Fault) (status int, headers string) {
 	const notExecuted = "X-Aspenyard-Not-Executed: 1\r\n"
 	switch {
@@ -365,16 +374,16 @@
 		return http.StatusMisdirectedRequest, "X-Aspenyard-Instance-Id: " + w.ID + "\r\n"
 	case fault == FaultShed:
 		return http.StatusServiceUnavailable, notExecuted
-	case w.full():
+	case w.atCapacity():
 		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.Addr() + "\r\n"
 	case fault == FaultHelperFailed:
-		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.helper + "\r\n"
+		return http.StatusServiceUnavailable, notExecuted + "At-Server: " + w.failedHelper + "\r\n"
 	}
 	return 0, ""
 }
 
-// watchCaller gives a channel that is closed when the caller closes the connection or
-// sends its next request; until then nobody else may use the reader.
+// watchCaller returns a channel that is closed when the caller closes the connection or
+// sends its next request. Until then nothing else may use the reader.
 func watchCaller(reader *bufio.Reader) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -384,79 +393,79 @@
 	return done
 }
 
-// run works on a request and tells whether the connection stays.
-func (w *Worker) run(conn net.Conn, head string, run *Run, fault Fault, left <-chan struct{}) bool {
-	w.work(1)
-	defer w.work(-1)
+// process executes a request and returns true if the connection stays open.
+func (w *Worker) process(conn net.Conn, headers string, run *Run, fault Fault, callerGone <-chan struct{}) bool {
+	w.addInFlight(1)
+	defer w.addInFlight(-1)
 	if w.EventCount > 0 {
-		return w.stream(conn, head, run, fault, left)
+		return w.sendStream(conn, headers, run, fault, callerGone)
 	}
-	if w.WorkTime > 0 && !pause(w.WorkTime, left) {
+	if w.WorkTime > 0 && !sleepUnlessGone(w.WorkTime, callerGone) {
 		return false
 	}
-	return w.plain(conn, head, run, fault, left)
+	return w.sendPlain(conn, headers, run, fault, callerGone)
 }
 
-// pause waits; false when the caller left meanwhile.
-func pause(d time.Duration, left <-chan struct{}) bool {
+// sleepUnlessGone sleeps for d. It returns false early if the caller disconnects.
+func sleepUnlessGone(d time.Duration, callerGone <-chan struct{}) bool {
 	select {
 	case <-time.After(d):
 		return true
-	case <-left:
+	case <-callerGone:
 		return false
 	}
 }
 
-func (w *Worker) end(run *Run, left <-chan struct{}) {
+func (w *Worker) finishRun(run *Run, callerGone <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	run.EndedAt = time.Now()
 	select {
-	case <-left:
+	case <-callerGone:
 		run.Cancelled = true
 	default:
 	}
 }
 
-// full tells whether all slots are taken.
-func (w *Worker) full() bool {
+// atCapacity returns true if all slots are taken.
+func (w *Worker) atCapacity() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Slots > 0 && w.working >= w.Slots
+	return w.Slots > 0 && w.inFlight >= w.Slots
 }
 
-func (w *Worker) take() Fault {
+func (w *Worker) nextFault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.faults) == 0 {
-		return w.always
+	if len(w.faultQueue) == 0 {
+		return w.defaultFault
 	}
-	fault := w.faults[0]
-	w.faults = w.faults[1:]
+	fault := w.faultQueue[0]
+	w.faultQueue = w.faultQueue[1:]
 	return fault
 }
 
-// takeForOrder gives the fault of the next order.
-func (w *Worker) takeForOrder() Fault {
+// nextOrderFault returns the fault for the next order.
+func (w *Worker) nextOrderFault() Fault {
 	w.mu.Lock()
-	if len(w.orderFaults) > 0 {
+	if len(w.orderFaultQueue) > 0 {
 		defer w.mu.Unlock()
-		fault := w.orderFaults[0]
-		w.orderFaults = w.orderFaults[1:]
+		fault := w.orderFaultQueue[0]
+		w.orderFaultQueue = w.orderFaultQueue[1:]
 		return fault
 	}
 	w.mu.Unlock()
-	return w.take()
+	return w.nextFault()
 }
 
-func (w *Worker) note(run *Run) {
+func (w *Worker) addRun(run *Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs = append(w.runs, run)
 }
 
-func (w *Worker) work(n int) {
+func (w *Worker) addInFlight(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.working += n
+	w.inFlight += n
 }
