--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -8,5 +8,5 @@
 
 // ReportPeerPrefill simulates a heartbeat in which another entry reports pending prefill.
 func (g *Gateway) ReportPeerPrefill(service string, pending time.Duration) {
-	g.ledger.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: pending}}, nil)
+	g.loadTracker.ReplacePeerLoad(time.Now(), "another", []direct.Demand{{Service: service, PendingPrefill: pending}}, nil)
 }
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -41,8 +41,8 @@
 	client   *http.Client
 	// extraSettings is JSON text that is appended to the settings.
 	extraSettings string
-	// firstWait is how long requests wait for the first configuration; 0 means the default.
-	firstWait time.Duration
+	// firstConfigWait is how long requests wait for the first configuration; 0 means the default.
+	firstConfigWait time.Duration
 }
 
 // syncBuffer collects the log; safe for concurrent use.
@@ -143,7 +143,7 @@
 	s.gateway = gateway.New(gateway.Config{
 		Settings: nodeSettings, Dialect: platform.HeaderCodec{}, Source: store, Registry: store, Reserver: endpointClient, SlowdownReader: endpointClient,
 		Log: eventlog.New(writer, nodeSettings.Name, "gateway"), LogWriter: writer,
-		FirstConfigWait: s.firstWait,
+		FirstConfigWait: s.firstConfigWait,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -232,7 +232,7 @@
 	known := func(incarnation directory.Incarnation) bool { return snapshot.Endpoint(incarnation) != nil }
 	w.gateway.pool.prune(known)
 	w.gateway.prober.prune(known)
-	w.gateway.paces.prune(known)
-	w.gateway.ledger.Prune(known)
+	w.gateway.slowdownMonitor.prune(known)
+	w.gateway.loadTracker.Prune(known)
 	w.gateway.peers.setMembers(snapshot)
 }
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -94,7 +94,7 @@
 // outcome says whether the request may have run.
 func (f *forwarding) sendTo(ctx context.Context, plan *direct.Plan) (attempt.SendOutcome, error) {
 	f.placementRequest.Tried[plan.Endpoint.Incarnation] = true
-	load := f.gateway.ledger.Begin(time.Now(), plan)
+	load := f.gateway.loadTracker.Begin(time.Now(), plan)
 	defer load.End()
 	if plan.Long {
 		f.gateway.peers.sendHeartbeat()
@@ -131,7 +131,7 @@
 		return sendErr.outcome, sendErr
 	}
 	if response.parsed.HasLoad {
-		f.gateway.ledger.RecordLoadReport(time.Now(), plan.Endpoint.Incarnation, response.parsed.Running, response.parsed.Waiting)
+		f.gateway.loadTracker.RecordLoadReport(time.Now(), plan.Endpoint.Incarnation, response.parsed.Running, response.parsed.Waiting)
 	}
 	if outcome, err := classify(response); err != nil {
 		response.discard()
@@ -165,7 +165,7 @@
 func (f *forwarding) avoidFaultyEndpoint(plan *direct.Plan, r *endpointResponse) attempt.SendOutcome {
 	for _, helper := range plan.Helpers {
 		if helper.Addr == r.parsed.FaultyAddr && helper.Incarnation != plan.Endpoint.Incarnation {
-			f.gateway.ledger.Avoid(helper.Incarnation, time.Now().Add(avoidGoneFor))
+			f.gateway.loadTracker.Avoid(helper.Incarnation, time.Now().Add(avoidGoneFor))
 			delete(f.placementRequest.Tried, plan.Endpoint.Incarnation)
 			return attempt.HelperFailed
 		}
@@ -174,7 +174,7 @@
 	if r.status == http.StatusMisdirectedRequest {
 		wait = avoidGoneFor
 	}
-	f.gateway.ledger.Avoid(plan.Endpoint.Incarnation, time.Now().Add(wait))
+	f.gateway.loadTracker.Avoid(plan.Endpoint.Incarnation, time.Now().Add(wait))
 	return attempt.NotExecuted
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,30 +34,30 @@
 
 // Gateway is one gateway process. New creates it and Serve runs it.
 type Gateway struct {
-	settings       settings.Gateway
-	dialect        Dialect
-	source         directory.Source
-	reserver       Reserver
-	log            *zap.Logger
-	requestLogs    *eventlog.RequestLogs
-	metrics        *metrics.Set
-	snapshot       atomic.Pointer[directory.Snapshot]
-	ledger         *direct.LoadTracker
-	policy         *direct.Policy
-	retries        *admission.RetryWindow
-	quarantine     *attempt.Quarantine
-	pool           *pool
-	callers        *callerServer
-	prober         *prober
-	longQueue      *admission.Semaphore // orders waiting long prompts; its holder starts next
-	registry       directory.Registry
-	slowdownReader SlowdownReader
-	paces          *slowdownMonitor
-	peers          *peers
-	peerLoop       atomic.Pointer[membership.Loop] // nil until the first registration
-	active         atomic.Int64                    // callers' requests in flight
-	releasing      atomic.Int64                    // requests whose reservations are being released
-	objectives     *window.Counter
+	settings        settings.Gateway
+	dialect         Dialect
+	source          directory.Source
+	reserver        Reserver
+	log             *zap.Logger
+	requestLogs     *eventlog.RequestLogs
+	metrics         *metrics.Set
+	snapshot        atomic.Pointer[directory.Snapshot]
+	loadTracker     *direct.LoadTracker
+	policy          *direct.Policy
+	retries         *admission.RetryWindow
+	quarantine      *attempt.Quarantine
+	pool            *pool
+	callers         *callerServer
+	prober          *prober
+	longQueue       *admission.Semaphore // orders waiting long prompts; its holder starts next
+	registry        directory.Registry
+	slowdownReader  SlowdownReader
+	slowdownMonitor *slowdownMonitor
+	peers           *peers
+	peerLoop        atomic.Pointer[membership.Loop] // nil until the first registration
+	active          atomic.Int64                    // callers' requests in flight
+	releasing       atomic.Int64                    // requests whose reservations are being released
+	objectives      *window.Counter
 	// configAppliedAt is when the current configuration came into force, storeAnsweredAt when
 	// the store last answered. Both are in nanoseconds since started.
 	configAppliedAt, storeAnsweredAt atomic.Int64
@@ -110,13 +110,13 @@
 
 // New creates a gateway from c; Serve runs it.
 func New(c Config) *Gateway {
-	ledger := direct.NewLoadTracker()
+	loadTracker := direct.NewLoadTracker()
 	if c.Settings.PeersListen == "" {
-		ledger.SetRank(0, 1) // without heartbeats from other entries it counts as the only one
+		loadTracker.SetRank(0, 1) // without heartbeats from other entries it counts as the only one
 	}
 	g := &Gateway{
 		settings: c.Settings, dialect: c.Dialect, source: c.Source, reserver: c.Reserver, registry: c.Registry, log: c.Log, requestLogs: eventlog.NewRequestLogs(c.Log),
-		metrics: metrics.NewSet(), ledger: ledger, policy: direct.NewPolicy(ledger, globalRand{}), pool: newPool(), objectives: window.New(), started: time.Now(),
+		metrics: metrics.NewSet(), loadTracker: loadTracker, policy: direct.NewPolicy(loadTracker, globalRand{}), pool: newPool(), objectives: window.New(), started: time.Now(),
 		configured: make(chan struct{}), firstConfigWait: cmp.Or(c.FirstConfigWait, defaultFirstConfigWait),
 	}
 	g.quarantine = attempt.NewQuarantine()
@@ -124,7 +124,7 @@
 	g.snapshot.Store(directory.EmptySnapshot())
 	g.callers = newCallerServer(g)
 	g.prober = newProber(g)
-	g.slowdownReader, g.paces = c.SlowdownReader, newSlowdownMonitor(g)
+	g.slowdownReader, g.slowdownMonitor = c.SlowdownReader, newSlowdownMonitor(g)
 	g.peers = &peers{gateway: g, lastSent: map[direct.EndpointHash]direct.EndpointLoad{}}
 	g.longQueue = admission.NewSemaphore(1)
 	g.registerMetrics(c.LogWriter)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -29,7 +29,7 @@
 func (g *Gateway) registerMetrics(writer *eventlog.Writer) {
 	g.metrics.NewGauge("aspenyard_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
 	g.metrics.NewGauge("aspenyard_gateway_endpoints", func() float64 { return float64(g.snapshot.Load().Len()) })
-	g.metrics.NewGauge("aspenyard_gateway_slow_endpoints", func() float64 { return float64(len(g.ledger.SlowEndpoints(time.Now()))) })
+	g.metrics.NewGauge("aspenyard_gateway_slow_endpoints", func() float64 { return float64(len(g.loadTracker.SlowEndpoints(time.Now()))) })
 	g.metrics.NewGauge("aspenyard_gateway_config_version", func() float64 {
 		if config := g.snapshot.Load().Config; config != nil {
 			return float64(config.Version)
@@ -56,7 +56,7 @@
 // registerPeerMetrics registers the gauges for how much of the other entries' load is known, how
 // old that knowledge is, and how many bytes the heartbeats take.
 func (g *Gateway) registerPeerMetrics() {
-	status := func() direct.PeerStatus { return g.ledger.PeerStatus(time.Now()) }
+	status := func() direct.PeerStatus { return g.loadTracker.PeerStatus(time.Now()) }
 	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(status().Peers) })
 	g.metrics.NewGauge("aspenyard_gateway_peers_heard", func() float64 { return float64(status().Heard) })
 	g.metrics.NewGauge("aspenyard_gateway_peer_age_seconds", func() float64 { return status().MeanAge.Seconds() })
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -166,7 +166,7 @@
 // FillHeartbeat implements membership.Delegate. Between full heartbeats it reports changes only,
 // which takes a tenth of the bytes and of the receivers' work.
 func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
-	loads := p.gateway.ledger.Loads(now)
+	loads := p.gateway.loadTracker.Loads(now)
 	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
 		p.fullSentAt = now
 		clear(p.lastSent)
@@ -178,12 +178,12 @@
 		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(load.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
 		appendStreams(h, load.Streams)
 	}
-	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
+	for _, s := range p.gateway.loadTracker.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
 		h.SlowPercents = append(h.SlowPercents, uint32(s.Slowdown*percent))
 	}
 	appendFindings(h, p.gateway.quarantine.Findings(now, !h.Partial, maxHeartbeatFindings))
-	for _, d := range p.gateway.ledger.Demands(now) {
+	for _, d := range p.gateway.loadTracker.Demands(now) {
 		h.Demands = append(h.Demands, &wire.Demand{
 			Service: d.Service, LongPrefillMs: uint32(d.LongPrefill.Milliseconds()), OpenShort: uint32(max(d.ShortInFlight, 0)),
 			ReadingMs: uint32(max(d.PendingPrefill.Milliseconds(), 0)), WaitingMs: uint32(max(d.QueuedPrefill.Milliseconds(), 0)),
@@ -234,15 +234,15 @@
 		loads = append(loads, load)
 	}
 	decodeStreams(h, loads)
-	p.gateway.ledger.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
+	p.gateway.loadTracker.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
 	for _, request := range p.gateway.quarantine.Merge(now, decodeFindings(h)) {
 		p.gateway.reportQuarantined(request, h.Node)
 	}
 	if h.Partial {
-		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, loads)
+		p.gateway.loadTracker.UpdatePeerLoad(now, h.Node, demands, loads)
 		return
 	}
-	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, loads)
+	p.gateway.loadTracker.ReplacePeerLoad(now, h.Node, demands, loads)
 }
 
 // streamKeyBase is the factor of the endpoint's index in a stream's key; the pause class is
@@ -304,10 +304,10 @@
 // among them by name, for the retry limits and the division of the engines.
 func (p *peers) Tick(now time.Time, members *membership.View) {
 	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
-	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
+	p.gateway.loadTracker.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
 	rank := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
-	p.gateway.ledger.SetRank(rank, len(alive)+1)
+	p.gateway.loadTracker.SetRank(rank, len(alive)+1)
 }
 
 // percent is the factor by which a slowdown is multiplied in heartbeats.
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -133,7 +133,7 @@
 // markUnreachable marks an endpoint as unreachable, so that others are preferred, until it accepts
 // connections again.
 func (g *Gateway) markUnreachable(e *directory.EndpointState, reason string) {
-	if !g.ledger.SetUnreachable(e.Incarnation, true) {
+	if !g.loadTracker.SetUnreachable(e.Incarnation, true) {
 		return
 	}
 	g.log.Warn("endpoint_unreachable", zap.String("endpoint", e.ID), zap.String("reason", reason))
@@ -142,7 +142,7 @@
 		for g.snapshot.Load().Endpoint(e.Incarnation) != nil {
 			time.Sleep(unreachableProbeInterval)
 			if g.prober.dial(e) == nil {
-				g.ledger.SetUnreachable(e.Incarnation, false)
+				g.loadTracker.SetUnreachable(e.Incarnation, false)
 				g.log.Info("endpoint_reachable", zap.String("endpoint", e.ID), zap.Duration("unreachable_ms", time.Since(start)))
 				return
 			}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -208,8 +208,8 @@
 			r.renewing.Wait()
 		}
 		var wait sync.WaitGroup
-		for _, t := range r.reservations {
-			wait.Go(func() { r.releaseReservation(t) })
+		for _, h := range r.reservations {
+			wait.Go(func() { r.releaseReservation(h) })
 		}
 		wait.Wait()
 	}()
--- a/gateway/slowdown.go
+++ b/gateway/slowdown.go
@@ -89,7 +89,7 @@
 			g.log.Warn("pace_unknown", zap.String("endpoint", e.ID), eventlog.Error(err))
 			return
 		}
-		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Incarnation, slowdown)
+		slow, changed := g.loadTracker.SetSlowdown(time.Now(), e.Incarnation, slowdown)
 		if changed {
 			g.peers.sendHeartbeat()
 			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", slowdown))
@@ -115,7 +115,7 @@
 		return func() {}
 	}
 	engines := append([]*directory.EndpointState{plan.Endpoint}, plan.Helpers...)
-	timer := time.AfterFunc(firstTokenLateFactor*plan.ExpectedFirstToken, func() { f.gateway.paces.check(engines...) })
+	timer := time.AfterFunc(firstTokenLateFactor*plan.ExpectedFirstToken, func() { f.gateway.slowdownMonitor.check(engines...) })
 	return func() { timer.Stop() }
 }
 
@@ -124,7 +124,7 @@
 	if pause <= pauseLatePasses*direct.PassTime(f.service.Engine) {
 		return
 	}
-	if f.gateway.ledger.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
-		f.gateway.paces.check(plan.Endpoint)
+	if f.gateway.loadTracker.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
+		f.gateway.slowdownMonitor.check(plan.Endpoint)
 	}
 }
--- a/gateway/state_test.go
+++ b/gateway/state_test.go
@@ -32,7 +32,7 @@
 func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
-	s.firstWait = waitTimeout
+	s.firstConfigWait = waitTimeout
 	s.launch()
 	answers := make(chan callerResponse, 1)
 	go func() { answers <- s.post("/once/a", "q1") }()
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -236,7 +236,7 @@
 
 // The parts of a long prompt go to engines where nothing decodes, even if these have a
 // little more pending prefill.
-func TestPartsOfLongPromptsKeepOffEnginesInUse(t *testing.T) {
+func TestPartsOfLongPromptsAvoidEnginesInUse(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
 	list := endpoints(40)
@@ -443,7 +443,7 @@
 // Guards against pauses of over 600 ms for prompts of 45,000 tokens. Their parts are spread
 // over engines for short and for long prompts, and they decoded where most memory was free:
 // on an engine for long prompts, which soon gets the next part of one.
-func TestAShortPromptInPartsDecodesOnAnEngineForShortOnes(t *testing.T) {
+func TestAShortPromptInPartsDecodesOnAnEngineForShortPrompts(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
 	list := endpoints(21)
@@ -462,7 +462,7 @@
 // near. Prompts of 30,000 to 90,000 tokens arrive eight times a second, and three or four
 // of their 55 ms parts share a pass. All their parts went to engines for short prompts,
 // though the streams on those for long prompts allow pauses of a second.
-func TestPartsOfShortPromptsKeepOffEnginesForShortOnes(t *testing.T) {
+func TestPartsOfShortPromptsAvoidEnginesForShortPrompts(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
 	list := endpoints(21)
--- a/routing/direct/progress_test.go
+++ b/routing/direct/progress_test.go
@@ -33,7 +33,7 @@
 
 // Whatever requests start and end at what time, the pending prefill is the sum of the
 // parts, and zero in the end.
-func TestPendingPrefillIsThatOfTheParts(t *testing.T) {
+func TestPendingPrefillIsTheSumOfTheParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, list, now := newPolicy(rapid.Uint64().Draw(t, "seed")), endpoints(20), testNow
 		var requests []*RequestLoad
--- a/routing/filter_test.go
+++ b/routing/filter_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestServes(t *testing.T) {
+func TestCanServe(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Request, *Endpoint)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestMemory(t *testing.T) {
+func TestFitsMemory(t *testing.T) {
 	is := is.New(t)
 	e := endpoint("a")
 	is.True(FitsMemory{}.Keep(request(320_000), &e))
--- a/routing/home_test.go
+++ b/routing/home_test.go
@@ -8,7 +8,7 @@
 
 // Every entry finds the same home endpoint, whatever it has tried and in whichever order it
 // knows the endpoints; other keys mostly have other home endpoints.
-func TestHomeIsTheSameAtEveryEntry(t *testing.T) {
+func TestHomeEndpointIsTheSameAtEveryEntry(t *testing.T) {
 	is := is.New(t)
 	one := []Endpoint{endpoint("a"), endpoint("b"), endpoint("c")}
 	other := []Endpoint{endpoint("c"), endpoint("a"), endpoint("b")}
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestHomeServesTheRequest(t *testing.T) {
+func TestHomeEndpointCanServeTheRequest(t *testing.T) {
 	is := is.New(t)
 	endpoints := []Endpoint{endpoint("a"), endpoint("b")}
 	endpoints[0].Suspect = true
--- a/routing/sample_test.go
+++ b/routing/sample_test.go
@@ -11,7 +11,7 @@
 // Guards against short prompts waiting longer the more entries there are: a load report
 // shows one endpoint idle, each of 16 entries has one short prompt to send before the next
 // report, and each picked the best of all endpoints, the same one.
-func TestManyEntriesDoNotCrowdTheIdleEndpoint(t *testing.T) {
+func TestManyEntriesDoNotOverloadTheIdleEndpoint(t *testing.T) {
 	is := is.New(t)
 	counts := map[string]int{}
 	const entries, count = 16, 12
--- a/routing/scorer_test.go
+++ b/routing/scorer_test.go
@@ -10,7 +10,7 @@
 	"aspenyard.example/admission"
 )
 
-func TestQueueDelayCountsOnlyWhatGoesBefore(t *testing.T) {
+func TestQueueDelayCountsOnlyWorkAhead(t *testing.T) {
 	is := is.New(t)
 	e := endpoint("a")
 	e.Backlog[admission.LevelOf(admission.Bulk, 200_000)] = 200_000
@@ -28,7 +28,7 @@
 	is.Equal(scorer.Cost(request(2000), &e), 0.3) // three times the 0.1 s by which the long prompt is delayed
 }
 
-func TestCrowding(t *testing.T) {
+func TestCapacityWait(t *testing.T) {
 	is := is.New(t)
 	e := endpoint("a")
 	is.Equal(CapacityWait{}.Cost(request(1000), &e), 0.0)
