--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -61,7 +61,7 @@
 // Dropped returns how many lines were lost, because the buffer was full or a write failed.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close waits until the buffered lines are written or until wait is closed or receives a value.
+// Close waits until the buffered lines are written, or until abort is closed or receives a value.
 func (w *Writer) Close(abort <-chan struct{}) {
 	select {
 	case w.lines <- nil:
--- a/eventlog/eventlog_test.go
+++ b/eventlog/eventlog_test.go
@@ -44,7 +44,7 @@
 	return b.b.Write(p)
 }
 
-// Of a request either all lines are written or none, and of a failed one always all.
+// Either all lines of a request are written or none; those of a failed request are always written.
 func TestRequestLogsAreWrittenWholeOrNotAtAll(t *testing.T) {
 	is := is.New(t)
 	var out lockedBuffer
@@ -63,10 +63,10 @@
 		s.Add("request_ended")
 		s.End(true)
 	}
-	wait := make(chan struct{})
-	timer := time.AfterFunc(30*time.Second, func() { close(wait) })
+	abort := make(chan struct{})
+	timer := time.AfterFunc(30*time.Second, func() { close(abort) })
 	defer timer.Stop()
-	w.Close(wait)
+	w.Close(abort)
 	text := out.b.String()
 	good, bad := strings.Count(text, `"request":"good"`), strings.Count(text, `"request":"bad"`)
 	is.Equal(bad, 2*requests)
--- a/eventlog/requestlog.go
+++ b/eventlog/requestlog.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Limit on the log lines of requests that succeeded. Those of failed requests are always written.
+// Limit on how many requests that succeeded are logged. Failed requests are always logged.
 const (
 	// requestsPerSecond keeps a node's log of successful requests under 20 KB/s, at four lines
 	// of 250 bytes for each.
@@ -16,8 +16,8 @@
 	requestBurst      = 40
 )
 
-// RequestLogs decides which requests are logged: all lines of a request are written or none, so
-// that what the log has of a request is complete. Safe for concurrent use.
+// RequestLogs decides which requests are logged. Either all lines of a request are written or none,
+// so that a request in the log is complete. Safe for concurrent use.
 type RequestLogs struct {
 	log *zap.Logger
 	mu  sync.Mutex
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -14,8 +14,8 @@
 	"aspenyard.example/graceful"
 )
 
-// Timeouts of callers' connections until a configuration is known, and limits of the HTTP server
-// itself. The configuration's limits apply in addition.
+// Timeouts of callers' connections until a configuration is known, which replaces them, and limits
+// of the HTTP server that apply besides those of the configuration.
 const (
 	initialHeaderTimeout = 5 * time.Second
 	initialIdleTimeout   = 30 * time.Second
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -195,8 +195,8 @@
 	is.Equal(s.sumMetric("aspenyard_gateway_suspect_requests "), 0.0)
 }
 
-// Guards against putting requests in quarantine that were in flight at an endpoint while another one
-// crashed it.
+// Guards against putting requests in quarantine that were in flight at an endpoint when another
+// request crashed it.
 func TestRequestsInFlightDuringACrashAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	workers := crashingWorkers(8)
@@ -215,7 +215,7 @@
 		}
 		return started == 16
 	})
-	s.do(s.request("POST", "/again/a", "p", crashingBody)) // crashes two endpoints, perhaps one to which their requests were moved
+	s.do(s.request("POST", "/again/a", "p", crashingBody)) // crashes two endpoints; requests of the first may have been moved to the second
 	for range 16 {
 		is.Equal((<-got).status, http.StatusOK)
 	}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -76,13 +76,14 @@
 	// eventEstimate is the time that an engine under load takes for one event of a stream: its
 	// decode steps and the prompts that it prefills between them.
 	eventEstimate = 150 * time.Millisecond
-	// firstEventEstimate is the wait for the first event besides the prefill.
+	// firstEventEstimate is the estimated wait for the first event in addition to the prefill.
 	firstEventEstimate = time.Second
 	// plainServiceEstimate bounds the estimate for a plain service.
 	plainServiceEstimate = 1500 * time.Millisecond
 )
 
-// estimatedDuration estimates how long a call takes, rather too long than too short.
+// estimatedDuration estimates how long a call takes. The estimate errs on the long side, so that an
+// accepted request ends before the process does.
 func (c *call) estimatedDuration() time.Duration {
 	engine := c.service.Engine
 	if engine == nil || engine.Stride <= 0 {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -40,8 +40,10 @@
 	pool        *pool
 	conn        *endpointConn
 	writeResult <-chan error
-	keepAlive   time.Duration
-	stop        func() bool
+	// keepAlive is how long the connection may be reused.
+	keepAlive time.Duration
+	// stop ends the cancellation by the context; it returns false if the context has ended.
+	stop func() bool
 	// watchdog is nil if the request could not be retried at another endpoint.
 	watchdog *watchdog
 }
@@ -77,7 +79,7 @@
 // exchange, including the body: when it ends, the connection is closed so that the endpoint
 // cancels the request.
 //
-// once is set for requests that must not run twice. silence is the time without a byte after
+// nonRepeatable is set for requests that must not run twice. silence is the time without a byte after
 // which the endpoint is probed; 0 disables probing, for requests that could not be retried at
 // another endpoint.
 func (g *Gateway) exchange(ctx context.Context, e *directory.EndpointState, out *outgoingRequest, nonRepeatable bool, silence time.Duration) (*endpointResponse, *sendError) {
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -55,8 +55,8 @@
 
 func (globalRand) Float64() float64 { return rand.Float64() }
 
-// storeWatcher keeps the replica of the store up to date. Its goroutine is the control thread:
-// it alone uses the replica, and it publishes snapshots for the goroutines that serve callers.
+// storeWatcher keeps the replica of the store up to date. Only the goroutine of watchStore uses the
+// replica; it publishes snapshots for the goroutines that serve callers.
 type storeWatcher struct {
 	gateway *Gateway
 	replica *directory.Replica
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	// SlowdownReader may be nil; slow endpoints are then not detected.
 	SlowdownReader SlowdownReader
 	Log            *zap.Logger
-	// LogWriter is the writer behind Log, which counts the dropped lines; may be nil.
+	// LogWriter is the writer behind Log; a metric reports the lines that it drops. May be nil.
 	LogWriter *eventlog.Writer
 	// FirstConfigWait is how long after the start requests wait for the first configuration;
 	// later ones are refused at once while there is none. Default 400 ms: a healthy store
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a restarted endpoint that gets no requests after it registered as draining, ended,
-// and started again with the same ID. The cause was in the replica, whose test describes it.
+// and started again with the same ID: the replica must not keep "leaving" by the ID alone.
 func TestARestartedEndpointIsUsed(t *testing.T) {
 	is := is.New(t)
 	worker := &standin.Worker{ID: "i-1", Service: "app", Born: startMillis}
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -135,7 +135,7 @@
 	is.Equal(got.body, standin.StreamText("q1", 5))
 	run := s.findRun("q1")
 	is.Equal(len(strings.Split(run.Helpers, ",")), 16)
-	is.Equal(strings.Count(run.Helpers, "/q1-"), 4) // one reservation per holding helper
+	is.Equal(strings.Count(run.Helpers, "/q1-"), 4) // one reservation per reserving helper
 	s.waitFor("all reservations are released", func() bool { return s.reservationCount() == 0 })
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// registerPeerMetrics registers the gauges for how much of the other entries' load is known, how
-// old that knowledge is, and how many bytes the heartbeats take.
+// registerPeerMetrics registers the gauges for how many of the other entries' load reports are in
+// use, how old these reports are, and how many bytes the heartbeats take.
 func (g *Gateway) registerPeerMetrics() {
 	status := func() direct.PeerStatus { return g.loadTracker.PeerStatus(time.Now()) }
 	g.metrics.NewGauge("aspenyard_gateway_peers", func() float64 { return float64(status().Peers) })
@@ -88,7 +88,7 @@
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 1.5, 2, 3, 5, 10, 20}
 
 // requestClass returns the class label of a call's metrics: the route's kind and, for streams, the
-// range of the prompt's length. Whatever callers send, there are few classes.
+// range of the prompt's length. There are few classes, whatever callers send.
 func (c *call) requestClass() string {
 	switch {
 	case c.route == nil:
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -42,12 +42,12 @@
 	// receives the heartbeats of only some of the others.
 	maxHeartbeatInterval = 300 * time.Millisecond
 	// localPeers and remotePeers are how many entries heartbeats are sent to in any case, in
-	// the own data centre and in each other one.
+	// this entry's data centre and in each of the others.
 	localPeers, remotePeers = 8, 8
 	// peerSuspectAfter is the silence after which another entry counts as failed.
 	peerSuspectAfter = time.Second
-	// heartbeatBytesPerSecond bounds the heartbeats at a receiving entry; with more entries
-	// they are sent less often.
+	// heartbeatBytesPerSecond bounds the heartbeat traffic that an entry receives; the more
+	// entries there are, the less often heartbeats are sent.
 	heartbeatBytesPerSecond = 50_000
 	// maxHeartbeatFindings is how many crash findings a heartbeat carries at most, of about
 	// 24 bytes each.
@@ -63,7 +63,7 @@
 	// lease is the registration's lease; 0 while not registered.
 	lease atomic.Uint64
 	// lastSent is what was last reported of each endpoint since fullSentAt, when the last
-	// full heartbeat was sent. Only the control thread uses the two.
+	// full heartbeat was sent. Only the membership loop's control thread uses these two fields.
 	lastSent   map[direct.EndpointHash]direct.EndpointLoad
 	fullSentAt time.Time
 }
@@ -191,8 +191,8 @@
 	}
 }
 
-// changedLoads returns those of an entry's endpoint loads that differ from what was last sent,
-// and records them as sent. An endpoint that has no load any more is returned with a count of 0.
+// changedLoads returns the endpoint loads that differ from what was last sent, and records them as
+// sent. An endpoint that no longer has any load is returned with a load of zero.
 func (p *peers) changedLoads(loads []direct.EndpointLoad) []direct.EndpointLoad {
 	var changed []direct.EndpointLoad
 	present := make(map[direct.EndpointHash]bool, len(loads))
@@ -212,8 +212,8 @@
 	return changed
 }
 
-// HandleHeartbeat implements membership.Delegate: it takes over the load, the slow endpoints and
-// the crash findings that another entry reports.
+// HandleHeartbeat implements membership.Delegate: it applies the load, the slow endpoints and the
+// crash findings that another entry reports.
 func (p *peers) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -44,9 +44,9 @@
 	return &prober{gateway: g, results: map[directory.Incarnation]*probe{}}
 }
 
-// alive reports whether the endpoint accepts connections, also when ctx ends before that is
-// known. It uses the result of a probe that began within probeResultTTL; at most one probe of an
-// endpoint runs at a time.
+// alive reports whether the endpoint accepts connections; true when ctx ends before that is known.
+// It uses the result of a probe that began within probeResultTTL; at most one probe of an endpoint
+// runs at a time.
 func (p *prober) alive(ctx context.Context, e *directory.EndpointState) bool {
 	result, ok := p.resultSince(ctx, e, time.Now().Add(-probeResultTTL))
 	return !ok || result.alive
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -14,8 +14,8 @@
 const (
 	// minRetryAfter is the smallest Retry-After value for a refused long prompt.
 	minRetryAfter = 500 * time.Millisecond
-	// backlogDrainFactor is how much longer than its own work a backlog takes to drain, because
-	// further prompts arrive meanwhile.
+	// backlogDrainFactor is the factor by which prompts that arrive meanwhile lengthen the time that
+	// a backlog takes to drain.
 	backlogDrainFactor = 3
 )
 
@@ -23,8 +23,7 @@
 // Engines prefill the parts of long prompts before anything else. When all callers retry at once
 // after an outage, a dozen long prompts at a time would delay the prefill of short ones by three
 // seconds, and their callers give up after two. The queue is ordered by arrival time plus prefill
-// time, so a longer prompt lets pass those that arrive while it could not have been prefilled
-// itself.
+// time, so that a prompt overtakes a longer one whose prefill would have ended after its own.
 func (f *forwarding) waitInQueue(ctx context.Context) *result.Error {
 	if f.service.Engine == nil || !direct.IsLongPrompt(f.service, f.PromptTokens) {
 		return nil
@@ -58,8 +57,8 @@
 }
 
 // waitForCapacity waits until the engines have capacity for the prompt. It returns false if they
-// have none by latest, when the first token would start to be late, or if ctx has ended. Without a
-// target on the route nothing is late, and it does not wait.
+// have none by latest, after which the first token would miss the target, or if ctx has ended.
+// Where the route has no target, it does not wait.
 func (f *forwarding) waitForCapacity(ctx context.Context, queued *direct.QueuedPrompt, latest time.Time) bool {
 	if f.route.Target == 0 {
 		return true
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -40,15 +40,15 @@
 }
 
 const (
-	// reservationTTLShare is a reservation's lifetime without renewal, as a share of the time
-	// within which memory must be free after a request has ended. When a node dies or the response
-	// to a call is lost, memory stays reserved for no longer than that.
+	// reservationTTLShare is a reservation's lifetime without renewal, as a share of the setting
+	// MemoryFreeWithin. When a node dies or the response to a call is lost, memory stays reserved
+	// for no longer than that.
 	reservationTTLShare = 0.75
 	// renewIntervalShare is the renewal interval as a share of the lifetime; two renewals may be
 	// lost.
 	renewIntervalShare = 0.3
-	// idleLimitShare is the part of the allowed time that memory may be reserved for a request that
-	// has not started. After it the attempt is cancelled.
+	// idleLimitShare is how long memory is reserved for a request that has not started, as a share
+	// of the setting MemoryIdleWithin. After that the attempt is cancelled.
 	idleLimitShare = 0.75
 	// reserveTimeout bounds one call to an engine; engines answer in milliseconds.
 	reserveTimeout = 400 * time.Millisecond
--- a/gateway/slowdown.go
+++ b/gateway/slowdown.go
@@ -44,7 +44,7 @@
 }
 
 // slowdownQuery records when an endpoint was last queried. active is set while the endpoint is
-// polled: callers' requests go on to show delays meanwhile, and each would start another poll.
+// polled: callers' requests are delayed meanwhile, and each of them would start another poll.
 type slowdownQuery struct {
 	lastQuery time.Time
 	active    bool
@@ -54,7 +54,8 @@
 	return &slowdownMonitor{gateway: g, queries: map[directory.Incarnation]*slowdownQuery{}}
 }
 
-// check starts to poll those of the endpoints that have not been queried recently.
+// check starts polling the given endpoints, except those that were queried less than
+// slowdownInterval ago or are being polled.
 func (m *slowdownMonitor) check(endpoints ...*directory.EndpointState) {
 	if m.gateway.slowdownReader == nil {
 		return
--- a/graceful/graceful_test.go
+++ b/graceful/graceful_test.go
@@ -68,7 +68,7 @@
 	is.True(c.StopReading())
 }
 
-// A request as it goes over the wire, in two parts.
+// head and rest are the two parts of an HTTP request as it is sent.
 const head, rest = "POST / HT", "TP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
 
 // halfSentRequest is a server and a caller that has received one response and has sent a part of its
