--- a/routing/direct/affinity.go
+++ b/routing/direct/affinity.go
@@ -35,7 +35,8 @@
 // rank yet, as when many start at once, has a count of 0 and prefers none.
 type rank struct{ index, count int }
 
-// prefers reports whether the engine at a position among so many is one of the entry's own.
+// prefers reports whether an engine is one of the entry's own, by its position among the
+// given number of engines.
 // Engines are assigned round-robin: by hashing, one of four entries might get a single
 // engine of twelve and another one five. With fewer engines than entries, several entries
 // share one.
--- a/routing/direct/demand.go
+++ b/routing/direct/demand.go
@@ -7,8 +7,8 @@
 	"aspenyard.example/directory"
 )
 
-// demand records how much prefill the long prompts of one entry asked for lately. The
-// engines are divided between short and long prompts by it.
+// demand records the prefill time of the long prompts that one entry recently received. It
+// determines how the engines are divided between short and long prompts.
 type demand struct {
 	// arrivals holds the long prompts of the last demandWindow, and total is the sum of
 	// their prefill.
@@ -91,9 +91,10 @@
 	return int(shortShare(d, engine)*float64(engines) + 0.5)
 }
 
-// enginesForShort is the number of a service's engines reserved for short prompts. It is as
-// few as those in flight fill, or one for each entry where engines abound, so that an
-// entry's prompts share a pass with no others; at most maxShortEngines and at least 1.
+// enginesForShort returns the number of a service's engines reserved for short prompts: as
+// few as the short prompts in flight fill, and spareShortEngines more, or one for each
+// entry where engines abound, so that an entry's prompts share a pass with no others. It is
+// at most maxShortEngines and at least 1.
 func enginesForShort(d Demand, engine *directory.Engine, engines, entries int) int {
 	share := maxShortEngines(d, engine, engines)
 	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillSlotShare))
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -292,14 +292,14 @@
 	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // all engines are in use
 }
 
-// streamsAllowing returns the counts of so many requests that allow the pause.
+// streamsAllowing returns the counts of the given number of requests that allow the pause.
 func streamsAllowing(pause time.Duration, count int) StreamCounts {
 	var s StreamCounts
 	s[PauseClass(pause)] = int16(count)
 	return s
 }
 
-// loadsOf returns a load of so many requests for each endpoint.
+// loadsOf returns a load of the given number of requests for each endpoint.
 func loadsOf(list []*directory.EndpointState, count int) []EndpointLoad {
 	return sameLoad(list, EndpointLoad{InFlight: count, Streams: streamsAllowing(250*time.Millisecond, count)})
 }
@@ -355,8 +355,8 @@
 			}
 			requests = append(requests, p.tracker.Begin(testNow, plan))
 		}
-		for _, c := range requests {
-			c.End()
+		for _, r := range requests {
+			r.End()
 		}
 		for id, l := range p.tracker.endpoints {
 			if l.inFlight != 0 || l.pendingPrefill != 0 || l.memoryTokens != 0 || l.streams != (StreamCounts{}) {
--- a/routing/direct/first_token.go
+++ b/routing/direct/first_token.go
@@ -22,14 +22,14 @@
 	return target > 0 && e.FirstToken() > target
 }
 
-// longEngineCount is the number of engines for long prompts at the given demand, at least
-// 1.
+// longEngineCount returns the number of engines for long prompts at the given demand, at
+// least 1.
 func (p *Policy) longEngineCount(demand Demand, service *directory.Service, engines int) int {
 	return max(engines-p.boundaryFor(demand, service, engines), 1)
 }
 
-// slowestPartFactor is the ratio of a prompt's whole prefill to the estimate for one of its
-// parts: the prefill ends when the slowest of its engines does.
+// slowestPartFactor is the ratio of the time in which all parts of a prompt are prefilled
+// to the estimate for one part: the prefill ends when the slowest engine has done its part.
 const slowestPartFactor = 1.2
 
 // LatestStart is how long after its arrival the prompt may stay queued with its first token
@@ -55,9 +55,9 @@
 	return p.estimateFirstToken(now, service, engines, promptTokens)
 }
 
-// estimateFirstToken assumes that the prompt follows all long prompts that the entries have
-// sent or queued, which the engines for long prompts work off at maxLongUtilization. The
-// caller holds the tracker's lock.
+// estimateFirstToken assumes that the engines for long prompts, at maxLongUtilization, first
+// prefill all long prompts that the entries have sent or queued. The caller holds the
+// tracker's lock.
 func (p *Policy) estimateFirstToken(now time.Time, service *directory.Service, engines, promptTokens int) FirstTokenEstimate {
 	p.tracker.updatePendingPrefill(now)
 	total := p.tracker.totalDemand(now, service.Name)
--- a/routing/direct/load_tracker.go
+++ b/routing/direct/load_tracker.go
@@ -22,8 +22,8 @@
 	// pendingPrefill is the prefill time of this entry's long prompts that engines have not
 	// done yet, and queuedPrefill that of its queued ones, by service.
 	pendingPrefill, queuedPrefill map[string]time.Duration
-	// entryCount is the number of entries with this one, rank this entry's place among
-	// them, and peerLoads the sum of the loads that other entries report of each endpoint.
+	// entryCount is the number of entries including this one, rank this entry's place among
+	// them, and peerLoads the sum of the loads that other entries report for each endpoint.
 	entryCount int
 	rank       rank
 	peerLoads  map[EndpointHash]EndpointLoad
@@ -37,8 +37,8 @@
 }
 
 // EndpointLoad is the load that an entry's requests put on an endpoint: the number in
-// flight, also by the pause that their routes allow, the pending prefill time, and the KV
-// cache that they need, in tokens.
+// flight, in total and by the pause that their routes allow (Streams), the pending prefill
+// time, and the KV cache that they need, in tokens.
 type EndpointLoad struct {
 	Endpoint       EndpointHash
 	InFlight       int
@@ -91,8 +91,8 @@
 	return Demand{Service: service, LongPrefill: d.total, ShortInFlight: l.shortInFlight[service], PendingPrefill: l.pendingPrefill[service], QueuedPrefill: l.queuedPrefill[service]}
 }
 
-// totalDemand sums a service's demand over this entry and those that reported within
-// peerLoadTTL. It removes the other entries.
+// totalDemand sums a service's demand over this entry and the peers that reported within
+// peerLoadTTL. It removes the state of peers that did not.
 func (l *LoadTracker) totalDemand(now time.Time, service string) Demand {
 	sum := l.ownDemand(now, service)
 	for name, peer := range l.peers {
@@ -120,13 +120,13 @@
 	pendingPrefill time.Duration
 	// memoryTokens is the KV cache that this entry's requests need, in tokens.
 	memoryTokens int
-	// reportedInFlight is the number of all callers' requests by the endpoint's last load
-	// report, received at reportedAt when ownAtReport of this entry's requests were in
-	// flight.
+	// reportedInFlight is the number of requests, of all entries, in the endpoint's last
+	// load report. The report was received at reportedAt, when ownAtReport of this entry's
+	// requests were in flight there.
 	reportedInFlight, ownAtReport int
 	reportedAt                    time.Time
-	// slowdown is the last measured ratio of the time its work takes to the time that the
-	// service's configuration describes, as of slowdownAt.
+	// slowdown is the slowdown that the endpoint last reported, see slowThreshold, and
+	// slowdownAt when it did.
 	slowdown   float64
 	slowdownAt time.Time
 	// unreachable is set while the endpoint accepts no connections.
@@ -261,14 +261,13 @@
 
 // loadEstimate is the estimated load of an endpoint's incarnation.
 type loadEstimate struct {
-	// inFlight is the number of requests, pendingPrefill the prefill time to be done, and
-	// memoryTokens the KV cache that the requests need; all count the requests of all
-	// entries.
+	// inFlight is the number of requests in flight, pendingPrefill the pending prefill
+	// time, and memoryTokens the KV cache that the requests need. They count the requests
+	// of all entries.
 	inFlight       int
 	pendingPrefill time.Duration
 	memoryTokens   int
-	// slowdown is the ratio of the time its work takes to the time described; 1 unless it
-	// is slow.
+	// slowdown is the endpoint's slowdown, see slowThreshold; 1 unless it is slow.
 	slowdown float64
 }
 
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -54,9 +54,9 @@
 }
 
 // splitMemory sets how much memory each engine of a plan must provide. Only the first few
-// helpers, which have the most memory free, reserve any: each of these takes a request to
+// helpers, which have the most memory free, reserve any: each of them takes one call to
 // reserve, one to release and one a second in between to renew, while the other helpers
-// prefill their parts without any.
+// prefill their parts without any calls.
 func (plan *Plan) splitMemory(engine *directory.Engine) {
 	plan.EndpointMemoryTokens = plan.MemoryTokens
 	if plan.MemoryTokens <= maxSingleEngineMemory(engine) || len(plan.Helpers) == 0 {
--- a/routing/direct/peers.go
+++ b/routing/direct/peers.go
@@ -23,8 +23,8 @@
 	l.applyPeerLoads(l.peers[name], loads)
 }
 
-// UpdatePeerLoad records the demand of another entry and those of its loads that have
-// changed since its last report. An entry that is not known yet is added.
+// UpdatePeerLoad records the demand of another entry and the loads that have changed since
+// its last report. An entry that is not known yet is added.
 func (l *LoadTracker) UpdatePeerLoad(now time.Time, name string, demands []Demand, loads []EndpointLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // knowsOtherEntries reports whether this entry has a report from another one or knows its
-// own rank, as it also does when it is the only one.
+// own rank, which it also knows when it is the only entry.
 func (l *LoadTracker) knowsOtherEntries() bool { return l.rank.count > 0 || len(l.peers) > 0 }
 
 // SetEntryCount sets the number of entries including this one, whether or not all of them
@@ -118,8 +118,8 @@
 	l.entryCount = n
 }
 
-// SetRank sets this entry's index, in the order of their names, among itself and the
-// entries whose heartbeats it receives, and the number of these.
+// SetRank sets this entry's index, by name, among all entries that are known to be alive,
+// and their count, which includes this one.
 func (l *LoadTracker) SetRank(index, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -12,9 +12,9 @@
 // displaces no long prompt, and its other parts go to engines for long prompts. Where none
 // of the engines has room, the cheapest one with room replaces the last of them: an engine
 // without room makes a request wait until another one ends, so that prompts with less than
-// a second of prefill would start after several. For a request that needs more memory than
-// one engine gives, the helpers are sorted by memory use, as the first of them reserve
-// memory. It returns the largest pending prefill of the engines.
+// a second of prefill would start only after several seconds. For a request that needs more
+// memory than one engine gives, the helpers are sorted by memory use, as the first of them
+// reserve memory. It returns the largest pending prefill of the engines.
 func (p *Policy) chooseEngines(plan *Plan, list []scored, parts, singleEngineMemory int) (maxPending time.Duration) {
 	for i := range list { // shuffle, so that equals come in random order
 		j := i + p.rand.IntN(len(list)-i)
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -30,7 +30,7 @@
 	Helpers []*directory.EndpointState
 	// PartPrefill is the estimated prefill time of each part.
 	PartPrefill time.Duration
-	// Long is set when the prefill of the whole prompt is long.
+	// Long is set for a long prompt, see IsLongPrompt.
 	Long bool
 	// MemoryTokens is the KV cache that the request needs, in tokens. Of it,
 	// EndpointMemoryTokens may be at the endpoint. Where that is less, HelperMemoryTokens
@@ -44,9 +44,9 @@
 	// ExpectedFirstToken is the estimated time from the start of the plan to the first
 	// token.
 	ExpectedFirstToken time.Duration
-	// Cost is the estimate by which the endpoint was picked.
+	// Cost is the estimated cost by which Endpoint was picked.
 	Cost time.Duration
-	// Candidates is the number of endpoints it was picked from.
+	// Candidates is the number of endpoints that Endpoint was picked from.
 	Candidates int
 	// pauseClass is the class of the pause that the request's route allows, see PauseClass.
 	pauseClass int
@@ -96,8 +96,8 @@
 	// delayCost is added to an engine's cost for each request that a part over longestPart
 	// would delay. It exceeds the pending prefill of most engines.
 	delayCost = time.Second
-	// minInterruptedPrefill is the least pending prefill of an engine for which a part
-	// counts as delaying the prompt that is being prefilled there, which it interrupts.
+	// minInterruptedPrefill is the pending prefill of an engine above which a part counts
+	// as delaying the prompt that is being prefilled there, because it interrupts it.
 	minInterruptedPrefill = 200 * time.Millisecond
 	// maxParts is the number of engines on which a prompt may be prefilled: the one that it
 	// is sent to and the helpers that it may name.
@@ -107,8 +107,7 @@
 	memoryCost = 300 * time.Millisecond
 )
 
-// Place picks the endpoints for a request. It returns nil when the request may be sent to
-// none.
+// Place picks the endpoints for a request. It returns nil when no endpoint is eligible.
 func (p *Policy) Place(now time.Time, r *Request, endpoints []*directory.EndpointState) *Plan {
 	p.tracker.mu.Lock()
 	defer p.tracker.mu.Unlock()
@@ -158,7 +157,7 @@
 	return &interrupting
 }
 
-// assign assigns that many parts to the engines of a list and completes the plan.
+// assign distributes the parts over the engines of a list and completes the plan.
 func (p *Policy) assign(plan *Plan, list []scored, parts int, engine *directory.Engine) {
 	pending := p.chooseEngines(plan, list, parts, maxSingleEngineMemory(engine))
 	plan.ExpectedFirstToken = pending + plan.PartPrefill + 2*PassTime(engine)
@@ -248,7 +247,8 @@
 	return list, parts
 }
 
-// partCount is the number of parts in which a prompt is prefilled on so many engines.
+// partCount returns the number of parts into which a prompt is split on the given number of
+// engines.
 func partCount(prefill, target time.Duration, engines int) int {
 	return max(1, min(int((prefill+target-1)/target), maxParts, engines))
 }
@@ -260,9 +260,9 @@
 // prompt may delay when it needs more engines than those for long prompts.
 const maxWidenInFlight = 12
 
-// widen adds as many of the other engines as make the prompt's parts short enough, or as
-// short as possible, starting with the cheapest. It adds none if these have too many
-// requests in flight.
+// widen adds the cheapest of the other engines to the list, as many as make the prompt's
+// parts short enough, or as short as possible. It adds none if the added engines would have
+// more than maxWidenInFlight requests in flight.
 func (p *Policy) widen(now time.Time, r *Request, others []*directory.EndpointState, list []scored, prefill time.Duration) ([]scored, int) {
 	parts := min(maxParts, len(list))
 	longest := longestPart(r.Service)
--- a/routing/direct/progress_test.go
+++ b/routing/direct/progress_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Whatever requests start and end at what time, the pending prefill is the sum of the
-// parts, and zero in the end.
+// Whichever requests start and end, and whenever they do, the pending prefill is the sum of
+// their parts, and zero in the end.
 func TestPendingPrefillIsTheSumOfTheParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, list, now := newPolicy(rapid.Uint64().Draw(t, "seed")), endpoints(20), testNow
@@ -50,8 +50,8 @@
 			}
 			checkPending(t, p.tracker, now, requests)
 		}
-		for _, c := range requests {
-			c.End()
+		for _, r := range requests {
+			r.End()
 		}
 		checkPending(t, p.tracker, now, nil)
 	})
@@ -64,10 +64,10 @@
 	for _, load := range l.Loads(now) {
 		reported += load.PendingPrefill
 	}
-	for _, c := range requests {
-		for _, p := range c.parts {
+	for _, r := range requests {
+		for _, p := range r.parts {
 			parts += p.prefill
-			if c.long {
+			if r.long {
 				longPrefill += p.prefill
 			}
 		}
--- a/routing/direct/scorer.go
+++ b/routing/direct/scorer.go
@@ -10,20 +10,20 @@
 type scored struct {
 	endpoint *directory.EndpointState
 	cost     time.Duration
-	// inFlight is the number of the engine's requests, pendingPrefill the prefill time that
-	// it has to do.
+	// inFlight is the number of the engine's requests in flight, pendingPrefill its pending
+	// prefill time.
 	inFlight       int
 	pendingPrefill time.Duration
 	// delayed is the number of its requests that would be late by the pause that a part
 	// causes; 0 where parts are short enough not to be counted.
 	delayed int
-	// memoryTokens is the KV cache that its requests need, in tokens. full is set when it
-	// has no room for the memory that the endpoint of the request must provide.
+	// memoryTokens is the KV cache that its requests need, in tokens. full is set when the
+	// engine lacks the memory that a request's endpoint must provide, see endpointMemory.
 	memoryTokens int
 	full         bool
 	// preferred is set for the engine to which the request should be sent.
 	preferred bool
-	// slowdown is the ratio of the time the engine's work takes to the time described.
+	// slowdown is the engine's slowdown, see slowThreshold; 1 unless it is slow.
 	slowdown float64
 }
 
@@ -64,7 +64,7 @@
 	return list
 }
 
-// addCost makes engines more expensive that should be left to other requests.
+// addCost adds a cost to engines that should be left to other requests.
 func addCost(list []scored, cost time.Duration) {
 	for i := range list {
 		list[i].cost += cost
--- a/routing/direct/slowdown.go
+++ b/routing/direct/slowdown.go
@@ -22,8 +22,8 @@
 	passesPerSlowdown = 2
 )
 
-// SetSlowdown records the ratio of the time an endpoint's work takes to the time described.
-// It returns whether the endpoint is slow, and whether that has changed.
+// SetSlowdown records the slowdown that an endpoint reported. It returns whether the
+// endpoint is slow, and whether that has changed.
 func (l *LoadTracker) SetSlowdown(now time.Time, endpoint directory.Incarnation, slowdown float64) (slow, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,8 +34,8 @@
 	return slow, slow != before
 }
 
-// SlowEndpoint is an endpoint that reported its slowdown to an entry: the ratio of the time
-// its work takes to the time described.
+// SlowEndpoint is an endpoint that reported to an entry that it is slow, and its slowdown,
+// see slowThreshold.
 type SlowEndpoint struct {
 	Endpoint EndpointHash
 	Slowdown float64
@@ -81,8 +81,8 @@
 	return t.slowdown >= slowThreshold && now.Sub(t.slowdownAt) <= slowdownTTL
 }
 
-// slowdown returns the slowdown of an endpoint as reported to this entry or, failing that,
-// to another one; 1 where neither has a recent report.
+// slowdown returns the slowdown of an endpoint that recently reported, to this entry or
+// else to another one, that it is slow; 1 for any other endpoint.
 func (l *LoadTracker) slowdown(now time.Time, tracked *trackedEndpoint, hash EndpointHash) float64 {
 	if tracked.isSlow(now) {
 		return tracked.slowdown
@@ -93,8 +93,8 @@
 	return 1
 }
 
-// PendingPrefill estimates the prefill time that all entries have sent to an endpoint and
-// that is not done.
+// PendingPrefill estimates the pending prefill time of an endpoint, over the requests of
+// all entries.
 func (l *LoadTracker) PendingPrefill(now time.Time, endpoint directory.Incarnation) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,8 +110,8 @@
 	return DecodeTime(e, e.Slots, e.KVCacheTokens)
 }
 
-// DecodeTime is the time of the decode steps of one pass for so many requests with so many
-// tokens of context in total.
+// DecodeTime returns the time of the decode steps of one pass for the given number of
+// requests and of their context tokens in total.
 func DecodeTime(e *directory.Engine, requests, tokens int) time.Duration {
 	step := e.StepTime + time.Duration(requests)*e.StepTimePerRequest + time.Duration(tokens/contextUnit)*e.StepTimePerContext
 	return time.Duration(e.Stride) * step
--- a/routing/direct/streams.go
+++ b/routing/direct/streams.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// pauseLimits are the pauses between events by which requests in flight are counted. Each
-// counts in the class of the longest of them that its route allows. The first class holds
-// requests of which nothing is known, the last those whose routes allow any pause.
+// pauseLimits are the pauses between events that define the classes in which requests in
+// flight are counted. A request counts in the class of the longest limit that its route
+// allows. The first class holds requests of which nothing is known, the last those whose
+// routes allow any pause.
 var pauseLimits = [pauseClasses]time.Duration{
 	0, 100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 250 * time.Millisecond,
 	300 * time.Millisecond, 400 * time.Millisecond, 500 * time.Millisecond, 600 * time.Millisecond,
@@ -62,7 +63,7 @@
 	return s
 }
 
-// delayedBy is the number of requests that do not allow such a pause.
+// delayedBy returns the number of requests whose routes do not allow the pause.
 func (s StreamCounts) delayedBy(pause time.Duration) int {
 	sum := 0
 	for i, n := range s {
--- a/routing/retry_state.go
+++ b/routing/retry_state.go
@@ -15,9 +15,9 @@
 	homeTried bool // it was tried: there is no further attempt
 }
 
-// Pick returns the endpoint for the next attempt; nil when none holds the request alone.
-// key is called only for an attempt at the home endpoint; it returns the key by which that
-// endpoint recognizes a request that it told to come back.
+// Pick returns the endpoint for the next attempt; nil when none can serve the request
+// alone. key is called only for an attempt at the home endpoint; it returns the key by
+// which that endpoint recognizes a request that it told to come back.
 func (s *RetryState) Pick(now time.Time, p *Policy, r *Request, key func() uint64, endpoints []Endpoint) *Endpoint {
 	r.Key = 0
 	if s.tryHome {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -29,8 +29,8 @@
 	// tokens a second, and MaxRunning the batch size.
 	MemoryTokens, PrefillRate, MaxRunning int
 
-	// Running and Queued requests, the free KV cache in tokens and the backlog are those of
-	// the last load report.
+	// Running and Queued are the numbers of requests, FreeMemory is the free KV cache in
+	// tokens and Backlog the prefill backlog, all by the last load report.
 	Running, Queued, FreeMemory int
 	Backlog                     admission.Backlog
 	// Reported is when this entry received that report.
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -28,8 +28,8 @@
 	return hashes
 }
 
-// PrefixIndex records which endpoints this entry sent which prefixes to, with the least
-// recently used prefixes removed first. The engines' own cache events arrive late and with
+// PrefixIndex records to which endpoints this entry has sent each prefix. When it is full,
+// it removes the least recently used prefix. The engines' own cache events arrive late and with
 // gaps, and an entry's own picks give nearly the same information; a wrong record only
 // costs a little time. It is safe for concurrent use.
 type PrefixIndex struct {
