--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -118,15 +118,15 @@
 	next := s.restartWorker(helper)
 	s.waitFor("the next incarnation is listed", func() bool { return strings.Count(s.log.String(), "endpoint_listed") > listed })
 	_, _, before := next.Reserved()
-	orderCount := func() (n int) {
+	callCount := func() (n int) {
 		for _, w := range s.workers {
 			_, _, sent := w.Reserved()
 			n += sent
 		}
 		return n
 	}
-	sent := orderCount()
-	s.waitFor("other reservations are renewed", func() bool { return orderCount() >= sent+30 })
+	sent := callCount()
+	s.waitFor("other reservations are renewed", func() bool { return callCount() >= sent+30 })
 	_, _, after := next.Reserved()
 	is.True(after <= before+1) // a renewal may have been in transit
 }
@@ -136,13 +136,13 @@
 func TestMalformedRegistrationsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
-	stranger := &standin.Worker{ID: "i-9", Service: "app"}
-	is.NoErr(stranger.Start())
-	t.Cleanup(stranger.Stop)
-	good := string(stranger.Registration("ready"))
+	unregistered := &standin.Worker{ID: "i-9", Service: "app"}
+	is.NoErr(unregistered.Start())
+	t.Cleanup(unregistered.Stop)
+	valid := string(unregistered.Registration("ready"))
 	for i, entry := range []string{
-		`{}`, `[]`, "\x00\xff", strings.Replace(good, `"ready"`, `"resting"`, 1), strings.Replace(good, `"slots":16`, `"slots":"16"`, 1),
-		strings.Replace(good, `,"zone":"dc1"`, "", 1), strings.Replace(good, `{`, `{"born":1.5,`, 1), strings.Replace(good, `{`, `{"born":null,`, 1),
+		`{}`, `[]`, "\x00\xff", strings.Replace(valid, `"ready"`, `"resting"`, 1), strings.Replace(valid, `"slots":16`, `"slots":"16"`, 1),
+		strings.Replace(valid, `,"zone":"dc1"`, "", 1), strings.Replace(valid, `{`, `{"born":1.5,`, 1), strings.Replace(valid, `{`, `{"born":null,`, 1),
 	} {
 		s.store.Put(fmt.Sprintf("servers/i-9%d", i), []byte(entry))
 	}
@@ -152,7 +152,7 @@
 	for i := range 12 {
 		is.Equal(s.post("/once/a", fmt.Sprint("q", i)).status, http.StatusOK)
 	}
-	is.Equal(len(stranger.Runs()), 0)
+	is.Equal(len(unregistered.Runs()), 0)
 	s.store.DropHistory()
 	s.configure()
 	s.waitFor("the state has been read in full again", func() bool { return strings.Contains(s.log.String(), `"version":6`) })
--- a/routing/direct/queue.go
+++ b/routing/direct/queue.go
@@ -72,11 +72,11 @@
 // same room at the same moment and learn only later what the others started. Until then,
 // the prompts that start, out of all that are queued, should on average need no more than
 // the room.
-func (p *Policy) drawStart(room, queued time.Duration) bool {
-	if queued <= room || len(p.tracker.peers) == 0 {
+func (p *Policy) drawStart(capacity, queued time.Duration) bool {
+	if queued <= capacity || len(p.tracker.peers) == 0 {
 		return true
 	}
-	probability := room.Seconds() / queued.Seconds() / pollsPerHeartbeat
+	probability := capacity.Seconds() / queued.Seconds() / pollsPerHeartbeat
 	return p.rand.IntN(drawPrecision) < int(probability*drawPrecision)
 }
 
--- a/routing/direct/queue_test.go
+++ b/routing/direct/queue_test.go
@@ -44,7 +44,7 @@
 
 // Guards against all entries filling the same room: they see it at the same moment, before
 // they learn of each other's starts.
-func TestEntriesDoNotAllFillTheSameRoom(t *testing.T) {
+func TestEntriesDoNotAllUseTheSameCapacity(t *testing.T) {
 	is := is.New(t)
 	const entries, rounds = 40, 20
 	list, prefill := endpoints(40), PrefillTime(siteEngine(), 150_000)
@@ -62,11 +62,11 @@
 			}
 		}
 	}
-	room := float64(40 * pendingPrefillLimit)
+	capacity := float64(40 * pendingPrefillLimit)
 	taken := float64(started) / rounds * float64(prefill)
-	t.Logf("%.2f of the room taken in one heartbeat", taken/room)
-	is.True(taken < 1.3*room)
-	is.True(taken > 0.3*room)
+	t.Logf("%.2f of the room taken in one heartbeat", taken/capacity)
+	is.True(taken < 1.3*capacity)
+	is.True(taken > 0.3*capacity)
 
 	alone := newPolicy(1)
 	for range entries {
