--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -79,9 +79,9 @@
 // exchange, including the body: when it ends, the connection is closed so that the endpoint
 // cancels the request.
 //
-// nonRepeatable is set for requests that must not run twice. silence is the time without a byte after
-// which the endpoint is probed; 0 disables probing, for requests that could not be retried at
-// another endpoint.
+// nonRepeatable is set for requests that must not run twice. silence is the time without a byte
+// after which the endpoint is probed; 0 disables probing, for requests that could not be retried
+// at another endpoint.
 func (g *Gateway) exchange(ctx context.Context, e *directory.EndpointState, out *outgoingRequest, nonRepeatable bool, silence time.Duration) (*endpointResponse, *sendError) {
 	conn, err := g.pool.get(ctx, e, nonRepeatable)
 	if err != nil {
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -304,9 +304,9 @@
 	return sameLoad(list, EndpointLoad{InFlight: count, Streams: streamsAllowing(250*time.Millisecond, count)})
 }
 
-// Guards against a quarter of the long prompts being refused while engines have room. The
-// mix leaves long prompts a third of the engines, on which the longest of them would have
-// parts of over 0.7 s, and they got no engine beyond the boundary.
+// Guards against a quarter of the long prompts being refused while engines have capacity.
+// The mix leaves long prompts a third of the engines, on which the longest of them would
+// have parts of over 0.7 s, and they got no engine beyond the boundary.
 func TestALongPromptTakesMoreEnginesUnderLowLoad(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(6)
@@ -378,10 +378,10 @@
 	is.True(EnginePriority(900_000, 9) <= lowestPriority)
 }
 
-// Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine has
-// room for one long prompt, and two entries each send it one; an entry knew only the memory
-// that its own requests need, and the engine made the second wait until the first had
-// ended.
+// Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine's
+// memory has room for one long prompt, and two entries each send it one; an entry knew only
+// the memory that its own requests need, and the engine made the second wait until the
+// first had ended.
 func TestALongPromptGoesWhereMemoryHasRoom(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(12)
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -10,11 +10,12 @@
 // prompt is sent to the one of them whose memory is least used. A short prompt is sent to
 // the preferred engine for short prompts, where its events come sooner and its memory
 // displaces no long prompt, and its other parts go to engines for long prompts. Where none
-// of the engines has room, the cheapest one with room replaces the last of them: an engine
-// without room makes a request wait until another one ends, so that prompts with less than
-// a second of prefill would start only after several seconds. For a request that needs more
-// memory than one engine gives, the helpers are sorted by memory use, as the first of them
-// reserve memory. It returns the largest pending prefill of the engines.
+// of the engines has room in its memory, the cheapest one with room replaces the last of
+// them: an engine without room makes a request wait until another one ends, so that
+// prompts with less than a second of prefill would start only after several seconds. For a
+// request that needs more memory than one engine gives, the helpers are sorted by memory
+// use, as the first of them reserve memory. It returns the largest pending prefill of the
+// engines.
 func (p *Policy) chooseEngines(plan *Plan, list []scored, parts, singleEngineMemory int) (maxPending time.Duration) {
 	for i := range list { // shuffle, so that equals come in random order
 		j := i + p.rand.IntN(len(list)-i)
@@ -58,8 +59,9 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// replaceLastWithRoom swaps the cheapest engine with room in for the last of the first
-// parts elements, and returns its index; it returns first where no engine has room.
+// replaceLastWithRoom replaces the last of the first parts elements by the cheapest further
+// engine whose memory has room, and returns its index; it returns first where there is no
+// such engine.
 func replaceLastWithRoom(list []scored, parts, first int) int {
 	for i := parts; i < len(list); i++ {
 		if !list[i].full {
--- a/routing/direct/queue.go
+++ b/routing/direct/queue.go
@@ -30,7 +30,7 @@
 // fraction of the prefill time of one such prompt.
 const QueuePollInterval = 20 * time.Millisecond
 
-// QueuedPrompt is a long prompt that waits until the engines have room for it.
+// QueuedPrompt is a long prompt that waits until the engines have capacity for it.
 type QueuedPrompt struct {
 	policy  *Policy
 	service *directory.Service
@@ -48,10 +48,11 @@
 func (q *QueuedPrompt) Dequeue() { q.policy.tracker.addQueuedPrefill(q.service.Name, -q.prefill) }
 
 // MayStart reports whether the engines for long prompts, which are at the end of the list,
-// have room for the prompt. Longer prompts wait until less prefill is pending, because one
-// of them would delay several shorter ones. Where at least maxParts engines are idle, the
-// prompt delays nobody and may start however much prefill is pending elsewhere. The room is
-// shared among the queued prompts of all entries at random, see drawStart.
+// have capacity for the prompt. Longer prompts wait until less prefill is pending, because
+// one of them would delay several shorter ones. Where at least maxParts engines are idle,
+// the prompt delays no other request and may start however much prefill is pending
+// elsewhere. The capacity is shared among the queued prompts of all entries at random, see
+// drawStart.
 func (q *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.EndpointState) bool {
 	p := q.policy
 	p.tracker.mu.Lock()
@@ -68,10 +69,10 @@
 	return idle >= maxParts && p.drawStart(time.Duration(idle)*pendingPrefillLimit, demand.QueuedPrefill)
 }
 
-// drawStart draws at random whether the prompt may use the room now. All entries see the
-// same room at the same moment and learn only later what the others started. Until then,
-// the prompts that start, out of all that are queued, should on average need no more than
-// the room.
+// drawStart draws at random whether the prompt may start now. All entries see the same free
+// capacity at the same moment and learn only later what the others started. Until then, the
+// prompts that start, out of all that are queued, should on average need no more than that
+// capacity.
 func (p *Policy) drawStart(capacity, queued time.Duration) bool {
 	if queued <= capacity || len(p.tracker.peers) == 0 {
 		return true
--- a/routing/direct/queue_test.go
+++ b/routing/direct/queue_test.go
@@ -42,8 +42,8 @@
 	return all
 }
 
-// Guards against all entries filling the same room: they see it at the same moment, before
-// they learn of each other's starts.
+// Guards against all entries using the same free capacity: they see it at the same moment,
+// before they learn of each other's starts.
 func TestEntriesDoNotAllUseTheSameCapacity(t *testing.T) {
 	is := is.New(t)
 	const entries, rounds = 40, 20
@@ -64,12 +64,12 @@
 	}
 	capacity := float64(40 * pendingPrefillLimit)
 	taken := float64(started) / rounds * float64(prefill)
-	t.Logf("%.2f of the room taken in one heartbeat", taken/capacity)
+	t.Logf("%.2f of the capacity used in one heartbeat", taken/capacity)
 	is.True(taken < 1.3*capacity)
 	is.True(taken > 0.3*capacity)
 
 	alone := newPolicy(1)
 	for range entries {
-		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the room
+		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the capacity
 	}
 }
