--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -97,7 +97,7 @@
 		r.watchdog = g.startWatchdog(ctx, r, silence)
 	}
 	r.writeResult = out.write(conn)
-	if err := r.readHead(g.dialect, out); err != nil {
+	if err := r.readHead(g.headerCodec, out); err != nil {
 		r.abandon()
 		return nil, &sendError{attempt.Broken, err}
 	}
@@ -106,7 +106,7 @@
 
 // readHead reads responses until one belongs to the request. A late second response to an earlier
 // request may precede it; the request ID distinguishes them.
-func (r *endpointResponse) readHead(dialect Dialect, out *outgoingRequest) error {
+func (r *endpointResponse) readHead(codec HeaderCodec, out *outgoingRequest) error {
 	for strays := 0; strays < maxStrayResponses; {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: out.method})
 		if err != nil {
@@ -116,7 +116,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		r.parsed = dialect.ReadResponse(response.StatusCode, response.Header)
+		r.parsed = codec.ReadResponse(response.StatusCode, response.Header)
 		closeDelimited := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 		if r.parsed.ID != out.id {
 			strays++
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -220,7 +220,7 @@
 		d.LastEventID = f.relay.lastEventID
 	}
 	header := forwardableHeaders(f.httpRequest.Header)
-	f.gateway.dialect.Forward(header, d)
+	f.gateway.headerCodec.Forward(header, d)
 	return &outgoingRequest{id: f.ID, method: f.httpRequest.Method, target: f.httpRequest.RequestURI, host: f.httpRequest.Host, header: header, body: f.body}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,7 +35,7 @@
 // Gateway is one gateway process. New creates it and Serve runs it.
 type Gateway struct {
 	settings        settings.Gateway
-	dialect         Dialect
+	headerCodec     HeaderCodec
 	source          directory.Source
 	reserver        Reserver
 	log             *zap.Logger
@@ -89,11 +89,11 @@
 
 // Config holds the settings and the dependencies of a Gateway.
 type Config struct {
-	Settings settings.Gateway
-	Dialect  Dialect
-	Source   directory.Source
-	Reserver Reserver
-	Registry directory.Registry
+	Settings    settings.Gateway
+	HeaderCodec HeaderCodec
+	Source      directory.Source
+	Reserver    Reserver
+	Registry    directory.Registry
 	// SlowdownReader may be nil; slow endpoints are then not detected.
 	SlowdownReader SlowdownReader
 	Log            *zap.Logger
@@ -115,7 +115,7 @@
 		loadTracker.SetRank(0, 1) // without heartbeats from other entries it counts as the only one
 	}
 	g := &Gateway{
-		settings: c.Settings, dialect: c.Dialect, source: c.Source, reserver: c.Reserver, registry: c.Registry, log: c.Log, requestLogs: eventlog.NewRequestLogs(c.Log),
+		settings: c.Settings, headerCodec: c.HeaderCodec, source: c.Source, reserver: c.Reserver, registry: c.Registry, log: c.Log, requestLogs: eventlog.NewRequestLogs(c.Log),
 		metrics: metrics.NewSet(), loadTracker: loadTracker, policy: direct.NewPolicy(loadTracker, globalRand{}), pool: newPool(), objectives: window.New(), started: time.Now(),
 		configured: make(chan struct{}), firstConfigWait: cmp.Or(c.FirstConfigWait, defaultFirstConfigWait),
 	}
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -52,7 +52,7 @@
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	c := &call{gateway: g, started: time.Now(), Request: g.dialect.ReadRequest(r.Header), writer: w, httpRequest: r}
+	c := &call{gateway: g, started: time.Now(), Request: g.headerCodec.ReadRequest(r.Header), writer: w, httpRequest: r}
 	c.log = g.requestLogs.Begin(c.ID)
 	failure := c.prepare()
 	if failure == nil {
--- a/gateway/dialect.go
+++ b/gateway/header_codec.go
@@ -59,8 +59,8 @@
 	HasLoad          bool
 }
 
-// Dialect translates between the headers of the platform and the values that the gateway uses.
-type Dialect interface {
+// HeaderCodec translates between the headers of the platform and the values that the gateway uses.
+type HeaderCodec interface {
 	// ReadRequest reads the headers of a caller's request.
 	ReadRequest(h http.Header) Request
 	// Forward replaces in a copy of a caller's headers those that an endpoint must get from the
