--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -113,8 +113,9 @@
 	is.Equal(s.runCount("q1")+s.runCount("q2"), 0)
 }
 
-// Guards against closing a connection as a caller's next request arrives: the configuration raises
-// the idle timeout while the node still applies the old one.
+// Guards against closing a connection as a caller's next request arrives: the configuration raises the
+// idle timeout, and the node goes on applying the old one. The test lowers the timeout, so that it sees
+// which one applies without a long wait.
 func TestTheIdleTimeoutFollowsTheConfiguration(t *testing.T) {
 	is := is.New(t)
 	s := newFixture(t, plainWorker())
