--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -40,8 +40,10 @@
 	pool        *pool
 	conn        *endpointConn
 	writeResult <-chan error
-	keepAlive   time.Duration
-	stop        func() bool
+	// keepAlive is how long the connection may be reused.
+	keepAlive time.Duration
+	// stop ends the cancellation by the context; it returns false if the context has ended.
+	stop func() bool
 	// watchdog is nil if the request could not be retried at another endpoint.
 	watchdog *watchdog
 }
@@ -77,11 +79,11 @@
 // exchange, including the body: when it ends, the connection is closed so that the endpoint
 // cancels the request.
 //
-// once is set for requests that must not run twice. silence is the time without a byte after
-// which the endpoint is probed; 0 disables probing, for requests that could not be retried at
-// another endpoint.
-func (g *Gateway) exchange(ctx context.Context, e *directory.EndpointState, out *outgoingRequest, once bool, silence time.Duration) (*endpointResponse, *sendError) {
-	conn, err := g.pool.get(ctx, e, once)
+// nonRepeatable is set for requests that must not run twice. silence is the time without a byte
+// after which the endpoint is probed; 0 disables probing, for requests that could not be retried
+// at another endpoint.
+func (g *Gateway) exchange(ctx context.Context, e *directory.EndpointState, out *outgoingRequest, nonRepeatable bool, silence time.Duration) (*endpointResponse, *sendError) {
+	conn, err := g.pool.get(ctx, e, nonRepeatable)
 	if err != nil {
 		if ctx.Err() == nil {
 			g.markUnreachable(e, err.Error())
@@ -95,7 +97,7 @@
 		r.watchdog = g.startWatchdog(ctx, r, silence)
 	}
 	r.writeResult = out.write(conn)
-	if err := r.readHead(g.dialect, out); err != nil {
+	if err := r.readHead(g.headerCodec, out); err != nil {
 		r.abandon()
 		return nil, &sendError{attempt.Broken, err}
 	}
@@ -104,7 +106,7 @@
 
 // readHead reads responses until one belongs to the request. A late second response to an earlier
 // request may precede it; the request ID distinguishes them.
-func (r *endpointResponse) readHead(dialect Dialect, out *outgoingRequest) error {
+func (r *endpointResponse) readHead(codec HeaderCodec, out *outgoingRequest) error {
 	for strays := 0; strays < maxStrayResponses; {
 		response, err := http.ReadResponse(r.conn.reader, &http.Request{Method: out.method})
 		if err != nil {
@@ -114,7 +116,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		r.parsed = dialect.ReadResponse(response.StatusCode, response.Header)
+		r.parsed = codec.ReadResponse(response.StatusCode, response.Header)
 		closeDelimited := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 		if r.parsed.ID != out.id {
 			strays++
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -42,12 +42,12 @@
 	// receives the heartbeats of only some of the others.
 	maxHeartbeatInterval = 300 * time.Millisecond
 	// localPeers and remotePeers are how many entries heartbeats are sent to in any case, in
-	// the own data centre and in each other one.
+	// this entry's data centre and in each of the others.
 	localPeers, remotePeers = 8, 8
 	// peerSuspectAfter is the silence after which another entry counts as failed.
 	peerSuspectAfter = time.Second
-	// heartbeatBytesPerSecond bounds the heartbeats at a receiving entry; with more entries
-	// they are sent less often.
+	// heartbeatBytesPerSecond bounds the heartbeat traffic that an entry receives; the more
+	// entries there are, the less often heartbeats are sent.
 	heartbeatBytesPerSecond = 50_000
 	// maxHeartbeatFindings is how many crash findings a heartbeat carries at most, of about
 	// 24 bytes each.
@@ -63,7 +63,7 @@
 	// lease is the registration's lease; 0 while not registered.
 	lease atomic.Uint64
 	// lastSent is what was last reported of each endpoint since fullSentAt, when the last
-	// full heartbeat was sent. Only the control thread uses the two.
+	// full heartbeat was sent. Only the membership loop's control thread uses these two fields.
 	lastSent   map[direct.EndpointHash]direct.EndpointLoad
 	fullSentAt time.Time
 }
@@ -166,7 +166,7 @@
 // FillHeartbeat implements membership.Delegate. Between full heartbeats it reports changes only,
 // which takes a tenth of the bytes and of the receivers' work.
 func (p *peers) FillHeartbeat(now time.Time, h *wire.Heartbeat) {
-	loads := p.gateway.ledger.Loads(now)
+	loads := p.gateway.loadTracker.Loads(now)
 	if h.Partial = now.Sub(p.fullSentAt) < fullHeartbeatInterval; !h.Partial {
 		p.fullSentAt = now
 		clear(p.lastSent)
@@ -178,12 +178,12 @@
 		h.MemoryKtokens = append(h.MemoryKtokens, uint32(max(load.MemoryTokens, 0)+memoryUnit-1)/memoryUnit)
 		appendStreams(h, load.Streams)
 	}
-	for _, s := range p.gateway.ledger.SlowEndpoints(now) {
+	for _, s := range p.gateway.loadTracker.SlowEndpoints(now) {
 		h.SlowEndpoints = append(h.SlowEndpoints, uint32(s.Endpoint))
 		h.SlowPercents = append(h.SlowPercents, uint32(s.Slowdown*percent))
 	}
 	appendFindings(h, p.gateway.quarantine.Findings(now, !h.Partial, maxHeartbeatFindings))
-	for _, d := range p.gateway.ledger.Demands(now) {
+	for _, d := range p.gateway.loadTracker.Demands(now) {
 		h.Demands = append(h.Demands, &wire.Demand{
 			Service: d.Service, LongPrefillMs: uint32(d.LongPrefill.Milliseconds()), OpenShort: uint32(max(d.ShortInFlight, 0)),
 			ReadingMs: uint32(max(d.PendingPrefill.Milliseconds(), 0)), WaitingMs: uint32(max(d.QueuedPrefill.Milliseconds(), 0)),
@@ -191,8 +191,8 @@
 	}
 }
 
-// changedLoads returns those of an entry's endpoint loads that differ from what was last sent,
-// and records them as sent. An endpoint that has no load any more is returned with a count of 0.
+// changedLoads returns the endpoint loads that differ from what was last sent, and records them as
+// sent. An endpoint that no longer has any load is returned with a load of zero.
 func (p *peers) changedLoads(loads []direct.EndpointLoad) []direct.EndpointLoad {
 	var changed []direct.EndpointLoad
 	present := make(map[direct.EndpointHash]bool, len(loads))
@@ -212,8 +212,8 @@
 	return changed
 }
 
-// HandleHeartbeat implements membership.Delegate: it takes over the load, the slow endpoints and
-// the crash findings that another entry reports.
+// HandleHeartbeat implements membership.Delegate: it applies the load, the slow endpoints and the
+// crash findings that another entry reports.
 func (p *peers) HandleHeartbeat(now time.Time, h *wire.Heartbeat) {
 	demands := make([]direct.Demand, 0, len(h.Demands))
 	for _, d := range h.Demands {
@@ -234,15 +234,15 @@
 		loads = append(loads, load)
 	}
 	decodeStreams(h, loads)
-	p.gateway.ledger.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
+	p.gateway.loadTracker.RecordPeerSlowEndpoints(now, decodeSlowEndpoints(h))
 	for _, request := range p.gateway.quarantine.Merge(now, decodeFindings(h)) {
 		p.gateway.reportQuarantined(request, h.Node)
 	}
 	if h.Partial {
-		p.gateway.ledger.UpdatePeerLoad(now, h.Node, demands, loads)
+		p.gateway.loadTracker.UpdatePeerLoad(now, h.Node, demands, loads)
 		return
 	}
-	p.gateway.ledger.ReplacePeerLoad(now, h.Node, demands, loads)
+	p.gateway.loadTracker.ReplacePeerLoad(now, h.Node, demands, loads)
 }
 
 // streamKeyBase is the factor of the endpoint's index in a stream's key; the pause class is
@@ -304,10 +304,10 @@
 // among them by name, for the retry limits and the division of the engines.
 func (p *peers) Tick(now time.Time, members *membership.View) {
 	p.gateway.retries.SetEntries(now, members.EntryCountWithLeaving()+1)
-	p.gateway.ledger.SetEntryCount(members.EntryCount() + 1)
+	p.gateway.loadTracker.SetEntryCount(members.EntryCount() + 1)
 	alive := members.Entries("")
 	rank := sort.Search(len(alive), func(i int) bool { return alive[i].Name() > p.gateway.settings.Name })
-	p.gateway.ledger.SetRank(rank, len(alive)+1)
+	p.gateway.loadTracker.SetRank(rank, len(alive)+1)
 }
 
 // percent is the factor by which a slowdown is multiplied in heartbeats.
--- a/gateway/slowdown.go
+++ b/gateway/slowdown.go
@@ -44,7 +44,7 @@
 }
 
 // slowdownQuery records when an endpoint was last queried. active is set while the endpoint is
-// polled: callers' requests go on to show delays meanwhile, and each would start another poll.
+// polled: callers' requests are delayed meanwhile, and each of them would start another poll.
 type slowdownQuery struct {
 	lastQuery time.Time
 	active    bool
@@ -54,7 +54,8 @@
 	return &slowdownMonitor{gateway: g, queries: map[directory.Incarnation]*slowdownQuery{}}
 }
 
-// check starts to poll those of the endpoints that have not been queried recently.
+// check starts polling the given endpoints, except those that were queried less than
+// slowdownInterval ago or are being polled.
 func (m *slowdownMonitor) check(endpoints ...*directory.EndpointState) {
 	if m.gateway.slowdownReader == nil {
 		return
@@ -89,7 +90,7 @@
 			g.log.Warn("pace_unknown", zap.String("endpoint", e.ID), eventlog.Error(err))
 			return
 		}
-		slow, changed := g.ledger.SetSlowdown(time.Now(), e.Incarnation, slowdown)
+		slow, changed := g.loadTracker.SetSlowdown(time.Now(), e.Incarnation, slowdown)
 		if changed {
 			g.peers.sendHeartbeat()
 			g.log.Warn("endpoint_pace", zap.String("endpoint", e.ID), zap.Float64("pace", slowdown))
@@ -115,7 +116,7 @@
 		return func() {}
 	}
 	engines := append([]*directory.EndpointState{plan.Endpoint}, plan.Helpers...)
-	timer := time.AfterFunc(firstTokenLateFactor*plan.ExpectedFirstToken, func() { f.gateway.paces.check(engines...) })
+	timer := time.AfterFunc(firstTokenLateFactor*plan.ExpectedFirstToken, func() { f.gateway.slowdownMonitor.check(engines...) })
 	return func() { timer.Stop() }
 }
 
@@ -124,7 +125,7 @@
 	if pause <= pauseLatePasses*direct.PassTime(f.service.Engine) {
 		return
 	}
-	if f.gateway.ledger.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
-		f.gateway.paces.check(plan.Endpoint)
+	if f.gateway.loadTracker.PendingPrefill(time.Now(), plan.Endpoint.Incarnation) == 0 {
+		f.gateway.slowdownMonitor.check(plan.Endpoint)
 	}
 }
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -236,7 +236,7 @@
 
 // The parts of a long prompt go to engines where nothing decodes, even if these have a
 // little more pending prefill.
-func TestPartsOfLongPromptsKeepOffEnginesInUse(t *testing.T) {
+func TestPartsOfLongPromptsAvoidEnginesInUse(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(1)
 	list := endpoints(40)
@@ -292,21 +292,21 @@
 	is.True(p.Place(testNow, prompt(500_000), endpoints(23)).Overloaded) // all engines are in use
 }
 
-// streamsAllowing returns the counts of so many requests that allow the pause.
+// streamsAllowing returns the counts of the given number of requests that allow the pause.
 func streamsAllowing(pause time.Duration, count int) StreamCounts {
 	var s StreamCounts
 	s[PauseClass(pause)] = int16(count)
 	return s
 }
 
-// loadsOf returns a load of so many requests for each endpoint.
+// loadsOf returns a load of the given number of requests for each endpoint.
 func loadsOf(list []*directory.EndpointState, count int) []EndpointLoad {
 	return sameLoad(list, EndpointLoad{InFlight: count, Streams: streamsAllowing(250*time.Millisecond, count)})
 }
 
-// Guards against a quarter of the long prompts being refused while engines have room. The
-// mix leaves long prompts a third of the engines, on which the longest of them would have
-// parts of over 0.7 s, and they got no engine beyond the boundary.
+// Guards against a quarter of the long prompts being refused while engines have capacity.
+// The mix leaves long prompts a third of the engines, on which the longest of them would
+// have parts of over 0.7 s, and they got no engine beyond the boundary.
 func TestALongPromptTakesMoreEnginesUnderLowLoad(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(6)
@@ -355,8 +355,8 @@
 			}
 			requests = append(requests, p.tracker.Begin(testNow, plan))
 		}
-		for _, c := range requests {
-			c.End()
+		for _, r := range requests {
+			r.End()
 		}
 		for id, l := range p.tracker.endpoints {
 			if l.inFlight != 0 || l.pendingPrefill != 0 || l.memoryTokens != 0 || l.streams != (StreamCounts{}) {
@@ -378,10 +378,10 @@
 	is.True(EnginePriority(900_000, 9) <= lowestPriority)
 }
 
-// Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine has
-// room for one long prompt, and two entries each send it one; an entry knew only the memory
-// that its own requests need, and the engine made the second wait until the first had
-// ended.
+// Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine's
+// memory has room for one long prompt, and two entries each send it one; an entry knew only
+// the memory that its own requests need, and the engine made the second wait until the
+// first had ended.
 func TestALongPromptGoesWhereMemoryHasRoom(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(12)
@@ -443,7 +443,7 @@
 // Guards against pauses of over 600 ms for prompts of 45,000 tokens. Their parts are spread
 // over engines for short and for long prompts, and they decoded where most memory was free:
 // on an engine for long prompts, which soon gets the next part of one.
-func TestAShortPromptInPartsDecodesOnAnEngineForShortOnes(t *testing.T) {
+func TestAShortPromptInPartsDecodesOnAnEngineForShortPrompts(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
 	list := endpoints(21)
@@ -462,7 +462,7 @@
 // near. Prompts of 30,000 to 90,000 tokens arrive eight times a second, and three or four
 // of their 55 ms parts share a pass. All their parts went to engines for short prompts,
 // though the streams on those for long prompts allow pauses of a second.
-func TestPartsOfShortPromptsKeepOffEnginesForShortOnes(t *testing.T) {
+func TestPartsOfShortPromptsAvoidEnginesForShortPrompts(t *testing.T) {
 	is := is.New(t)
 	p := newPolicy(3)
 	list := endpoints(21)
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -8,10 +8,10 @@
 
 const (
 	// singleEngineShare is the fraction of an engine's memory that one request may need; a
-	// request that needs more reserves memory on several engines. A request over half of
-	// the memory finds no engine with room while each holds two like it, and waits at its
-	// first engine. Meanwhile all its parts elsewhere count as pending prefill and keep
-	// others queued.
+	// request that needs more reserves memory on several engines. A request that needs over
+	// half of the memory finds no engine with enough free memory while each runs two other
+	// long prompts, and waits at its first engine. Meanwhile all its parts elsewhere count as
+	// pending prefill and keep others queued.
 	singleEngineShare = 0.5
 	// endpointShare is the fraction of its memory that the endpoint itself provides for a
 	// request that needs more than one engine's.
@@ -54,9 +54,9 @@
 }
 
 // splitMemory sets how much memory each engine of a plan must provide. Only the first few
-// helpers, which have the most memory free, reserve any: each of these takes a request to
+// helpers, which have the most memory free, reserve any: each of them takes one call to
 // reserve, one to release and one a second in between to renew, while the other helpers
-// prefill their parts without any.
+// prefill their parts without any calls.
 func (plan *Plan) splitMemory(engine *directory.Engine) {
 	plan.EndpointMemoryTokens = plan.MemoryTokens
 	if plan.MemoryTokens <= maxSingleEngineMemory(engine) || len(plan.Helpers) == 0 {
--- a/routing/direct/queue_test.go
+++ b/routing/direct/queue_test.go
@@ -42,9 +42,9 @@
 	return all
 }
 
-// Guards against all entries filling the same room: they see it at the same moment, before
-// they learn of each other's starts.
-func TestEntriesDoNotAllFillTheSameRoom(t *testing.T) {
+// Guards against all entries using the same free capacity: they see it at the same moment,
+// before they learn of each other's starts.
+func TestEntriesDoNotAllUseTheSameCapacity(t *testing.T) {
 	is := is.New(t)
 	const entries, rounds = 40, 20
 	list, prefill := endpoints(40), PrefillTime(siteEngine(), 150_000)
@@ -62,14 +62,14 @@
 			}
 		}
 	}
-	room := float64(40 * pendingPrefillLimit)
+	capacity := float64(40 * pendingPrefillLimit)
 	taken := float64(started) / rounds * float64(prefill)
-	t.Logf("%.2f of the room taken in one heartbeat", taken/room)
-	is.True(taken < 1.3*room)
-	is.True(taken > 0.3*room)
+	t.Logf("%.2f of the capacity used in one heartbeat", taken/capacity)
+	is.True(taken < 1.3*capacity)
+	is.True(taken > 0.3*capacity)
 
 	alone := newPolicy(1)
 	for range entries {
-		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the room
+		is.True(alone.Enqueue(service(), 150_000).MayStart(testNow, list)) // no other entry uses the capacity
 	}
 }
