--- a/bench/days/days_test.go
+++ b/bench/days/days_test.go
@@ -15,9 +15,9 @@
 func TestPageHasARowForEachScore(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	score := func(minute int, worth float64, why string) *Score {
+	score := func(minute int, worth float64, description string) *Score {
 		return &Score{
-			Site: "a", Commit: "0123456789", Description: why, MeasuredAt: time.Unix(0, 0).Add(time.Duration(minute) * time.Minute), Score: worth, CPUCharged: true,
+			Site: "a", Commit: "0123456789", Description: description, MeasuredAt: time.Unix(0, 0).Add(time.Duration(minute) * time.Minute), Score: worth, CPUCharged: true,
 			Days: []Day{
 				{Name: "one", Worth: worth, ClassWorths: []float64{0.9, 0.7}, Prices: map[string]float64{"orders": 0.02}},
 				{Name: "two", Worth: worth + 0.2, ClassWorths: []float64{0.8, 0.95}, Prices: map[string]float64{"orders": 0.04}},
--- a/bench/days/played.go
+++ b/bench/days/played.go
@@ -11,8 +11,8 @@
 
 // Class counts the outcomes of the requests of one kind.
 type Class struct {
-	Name                                 string
-	Asked, OnTime, Late, Refused, Failed int
+	Name                                    string
+	Requests, OnTime, Late, Refused, Failed int
 	// Earned is the earned share of the kind's worth.
 	Earned float64
 }
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -125,9 +125,10 @@
 // Result counts the outcomes of the requests of one kind.
 type Result struct {
 	Kind string
-	// Asked counts all requests; OnTime, LateFirst (first event after the target), LatePause
+	// Requests counts all requests; OnTime, LateFirst (first event after the target), LatePause
 	// (a pause longer than allowed) and Refused add up to it.
-	Asked, OnTime, LateFirst, LatePause, Refused int
+	Requests                              int `json:"Asked"`
+	OnTime, LateFirst, LatePause, Refused int
 	// Largest counts the prompts in the longest tenth of the kind's length distribution,
 	// LargestServed those of them that were not refused.
 	Largest, LargestServed int
@@ -135,7 +136,7 @@
 
 // Add adds the counts of the same kind from another run.
 func (r *Result) Add(other Result) {
-	r.Asked += other.Asked
+	r.Requests += other.Requests
 	r.OnTime += other.OnTime
 	r.LateFirst += other.LateFirst
 	r.LatePause += other.LatePause
@@ -145,7 +146,7 @@
 }
 
 // OnTimeShare is the share of requests that were on time, 0 to 1.
-func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Asked, 1)) }
+func (r Result) OnTimeShare() float64 { return float64(r.OnTime) / float64(max(r.Requests, 1)) }
 
 const (
 	// defaultHeartbeatInterval applies where Config.HeartbeatInterval is 0.
@@ -307,7 +308,7 @@
 	rate := k.RequestsPerSecond * sim.rateFactor(kind)
 	if rate > 0 && sim.Now() > 0 {
 		r := &request{sim: sim, entry: sim.pickEntry(), kind: k, result: &sim.results[kind], promptTokens: sim.drawPromptTokens(k), arrivedAt: sim.Now()}
-		r.result.Asked++
+		r.result.Requests++
 		if k.inLargestTenth(r.promptTokens) {
 			r.result.Largest++
 		}
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -149,7 +149,7 @@
 	first, second := Simulate(changingMix(7)), Simulate(changingMix(7))
 	is.Equal(first, second)
 	for _, r := range first {
-		is.Equal(r.Asked, r.OnTime+r.LateFirst+r.LatePause+r.Refused)
+		is.Equal(r.Requests, r.OnTime+r.LateFirst+r.LatePause+r.Refused)
 	}
 }
 
@@ -182,7 +182,7 @@
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			is := is.New(t)
 			_, _, long := simulateSeeds(t, highLoad(load))
-			served := float64(long.Asked-long.Refused) / float64(long.Asked)
+			served := float64(long.Requests-long.Refused) / float64(long.Requests)
 			largest := float64(long.LargestServed) / float64(long.Largest)
 			t.Logf("served: %.3f of all, %.3f of the largest tenth", served, largest)
 			is.True(largest >= served/2)
@@ -195,5 +195,5 @@
 	is := is.New(t)
 	short, _, long := simulateSeeds(t, highLoad(1))
 	is.True(short.OnTimeShare() > 0.75)
-	is.True(long.LateFirst*20 < long.Asked) // refused in time rather than late
+	is.True(long.LateFirst*20 < long.Requests) // refused in time rather than late
 }
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -177,13 +177,13 @@
 		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
 			continue
 		}
-		first := p.job.request.engine
-		first.decoding = append(first.decoding, p.job)
+		decoder := p.job.request.engine
+		decoder.decoding = append(decoder.decoding, p.job)
 		if len(p.job.helpers) == 0 {
 			decoded = append(decoded, p.job) // a prompt in one part gets its first event with the prefill
 		}
-		if first != e {
-			first.startNext()
+		if decoder != e {
+			decoder.startNext()
 		}
 	}
 	for _, j := range decoded {
@@ -214,9 +214,9 @@
 // reserveMemory reserves KV cache at the job's helpers. It reserves nothing and reports false if
 // the helpers with enough free memory would reserve less than requiredTokens in total.
 func (j *job) reserveMemory() bool {
-	holders := j.helpers[:j.reservingHelpers]
+	candidates := j.helpers[:j.reservingHelpers]
 	var accepting []*engine
-	for _, h := range holders {
+	for _, h := range candidates {
 		if h.usedTokens+j.reservedTokens <= h.spec.KVCacheTokens {
 			accepting = append(accepting, h)
 		}
--- a/bench/experiment/experiment_test.go
+++ b/bench/experiment/experiment_test.go
@@ -70,8 +70,8 @@
 	_, err := Decode([]byte(`{"name":"","seeds":0,"colour":1,"random_sites":{"count":0},
 		"sites":[{"name":"a","entries":0,"engines":1,"kinds":[{"name":"","tokens":-1,"worth":-1}],"turns":[{"factors":[]}],"slow":[{"engines":9,"pace":0}],"heartbeat_loss":2,"skew":-1}],
 		"policies":[{"name":"p","policy":"best"},{"name":"p","without":["luck"]}]}`))
-	var faults settings.FieldErrors
-	is.True(errors.As(err, &faults))
+	var fieldErrs settings.FieldErrors
+	is.True(errors.As(err, &fieldErrs))
 	for _, field := range []string{
 		"name", "seeds", "colour", "random_sites.count", "sites[0].entries", "sites[0].length", "sites[0].engine.slots", "sites[0].kinds[0].name", "sites[0].kinds[0].tokens",
 		"sites[0].kinds[0].worth", "sites[0].turns[0].factors", "sites[0].slow[0].engines", "sites[0].slow[0].pace", "sites[0].heartbeat_loss", "sites[0].skew", "policies[0].policy", "policies[1].name", "policies[1].without",
@@ -84,8 +84,8 @@
 
 func TestRandomSitesAreValidAndDeterministic(t *testing.T) {
 	is := is.New(t)
-	asked := &RandomSites{Count: 100, Seed: 5}
-	sites, again := asked.generate(), asked.generate()
+	random := &RandomSites{Count: 100, Seed: 5}
+	sites, again := random.generate(), random.generate()
 	is.Equal(sites, again)
 	f := &File{Name: "drawn", Seeds: 1, Sites: sites, Policies: []Policy{{Name: "product"}}}
 	is.NoErr(f.Check().Err())
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -134,108 +134,108 @@
 
 // Check implements settings.Checker.
 func (f *File) Check() settings.FieldErrors {
-	var faults settings.FieldErrors
+	var fieldErrs settings.FieldErrors
 	if f.Name == "" {
-		faults.Add("name", f.Name, "a non-empty text")
+		fieldErrs.Add("name", f.Name, "a non-empty text")
 	}
-	faults.CheckInt("seeds", int64(f.Seeds), 1, maxSeeds)
+	fieldErrs.CheckInt("seeds", int64(f.Seeds), 1, maxSeeds)
 	if len(f.Sites) == 0 && f.Random == nil {
-		faults.Add("sites", len(f.Sites), "at least one site, or random_sites")
+		fieldErrs.Add("sites", len(f.Sites), "at least one site, or random_sites")
 	}
 	names := map[string]bool{}
 	for i := range f.Sites {
 		field := fmt.Sprintf("sites[%d]", i)
-		f.Sites[i].check(field, &faults)
-		checkUnique(&faults, field+".name", f.Sites[i].Name, names)
+		f.Sites[i].check(field, &fieldErrs)
+		checkUnique(&fieldErrs, field+".name", f.Sites[i].Name, names)
 	}
 	if f.Random != nil {
-		f.Random.check("random_sites", &faults)
+		f.Random.check("random_sites", &fieldErrs)
 	}
 	if len(f.Policies) == 0 {
-		faults.Add("policies", 0, "at least one policy")
+		fieldErrs.Add("policies", 0, "at least one policy")
 	}
 	names = map[string]bool{}
 	for i := range f.Policies {
 		field := fmt.Sprintf("policies[%d]", i)
-		f.Policies[i].check(field, &faults)
-		checkUnique(&faults, field+".name", f.Policies[i].Name, names)
+		f.Policies[i].check(field, &fieldErrs)
+		checkUnique(&fieldErrs, field+".name", f.Policies[i].Name, names)
 	}
-	return faults
+	return fieldErrs
 }
 
 // checkUnique adds an error if a name is empty or was seen before, and marks it as seen.
-func checkUnique(faults *settings.FieldErrors, field, name string, seen map[string]bool) {
+func checkUnique(fieldErrs *settings.FieldErrors, field, name string, seen map[string]bool) {
 	if name == "" || seen[name] {
-		faults.Add(field, name, "a unique, non-empty text")
+		fieldErrs.Add(field, name, "a unique, non-empty text")
 	}
 	seen[name] = true
 }
 
-func (s *Site) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".entries", int64(s.Entries), 1, maxEntries)
-	faults.CheckInt(field+".engines", int64(s.Engines), 1, maxEngines)
-	faults.CheckRange(field+".length", s.Duration.D(), time.Second, maxDuration)
-	faults.CheckRange(field+".pace_known", s.SlowdownKnownAfter.D(), 0, maxDuration)
-	faults.CheckNumber(field+".heartbeat_loss", s.HeartbeatLoss, 0, 1)
-	faults.CheckNumber(field+".skew", s.Skew, 0, 1000)
-	s.Engine.check(field+".engine", faults)
+func (s *Site) check(field string, fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt(field+".entries", int64(s.Entries), 1, maxEntries)
+	fieldErrs.CheckInt(field+".engines", int64(s.Engines), 1, maxEngines)
+	fieldErrs.CheckRange(field+".length", s.Duration.D(), time.Second, maxDuration)
+	fieldErrs.CheckRange(field+".pace_known", s.SlowdownKnownAfter.D(), 0, maxDuration)
+	fieldErrs.CheckNumber(field+".heartbeat_loss", s.HeartbeatLoss, 0, 1)
+	fieldErrs.CheckNumber(field+".skew", s.Skew, 0, 1000)
+	s.Engine.check(field+".engine", fieldErrs)
 	if len(s.Kinds) == 0 {
-		faults.Add(field+".kinds", 0, "at least one kind")
+		fieldErrs.Add(field+".kinds", 0, "at least one kind")
 	}
 	for i := range s.Kinds {
-		s.Kinds[i].check(fmt.Sprintf("%s.kinds[%d]", field, i), faults)
+		s.Kinds[i].check(fmt.Sprintf("%s.kinds[%d]", field, i), fieldErrs)
 	}
 	for i, change := range s.LoadChanges {
 		at := fmt.Sprintf("%s.turns[%d]", field, i)
-		faults.CheckRange(at+".at", change.At.D(), 0, maxDuration)
+		fieldErrs.CheckRange(at+".at", change.At.D(), 0, maxDuration)
 		if len(change.RateFactors) != len(s.Kinds) || slices.ContainsFunc(change.RateFactors, func(x float64) bool { return !(x >= 0 && x <= maxRate) }) {
-			faults.Add(at+".factors", change.RateFactors, "a number of at least 0 for each kind")
+			fieldErrs.Add(at+".factors", change.RateFactors, "a number of at least 0 for each kind")
 		}
 	}
 	for i, slowdown := range s.Slowdowns {
 		at := fmt.Sprintf("%s.slow[%d]", field, i)
-		faults.CheckRange(at+".from", slowdown.From.D(), 0, maxDuration)
-		faults.CheckRange(at+".to", slowdown.To.D(), slowdown.From.D(), maxDuration)
-		faults.CheckInt(at+".engines", int64(slowdown.Engines), 1, int64(max((s.Engines+1)/2, 1)))
-		faults.CheckNumber(at+".pace", slowdown.Factor, 1, 1000)
+		fieldErrs.CheckRange(at+".from", slowdown.From.D(), 0, maxDuration)
+		fieldErrs.CheckRange(at+".to", slowdown.To.D(), slowdown.From.D(), maxDuration)
+		fieldErrs.CheckInt(at+".engines", int64(slowdown.Engines), 1, int64(max((s.Engines+1)/2, 1)))
+		fieldErrs.CheckNumber(at+".pace", slowdown.Factor, 1, 1000)
 	}
 }
 
-func (e *Engine) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".slots", int64(e.Slots), 1, 10_000)
-	faults.CheckInt(field+".memory_tokens", int64(e.KVCacheTokens), 1, 1e9)
-	faults.CheckInt(field+".stride", int64(e.Stride), 1, 10_000)
-	faults.CheckNumber(field+".step_us", e.StepMicros, 1, 1e6)
-	faults.CheckNumber(field+".step_per_request_us", e.StepMicrosPerRequest, 0, 1e6)
-	faults.CheckNumber(field+".step_per_thousand_us", e.StepMicrosPerThousandTokens, 0, 1e6)
-	faults.CheckNumber(field+".prefill_per_second", e.PrefillTokensPerSecond, 1, 1e9)
-	faults.CheckNumber(field+".pairs_per_million_us", e.AttentionMicrosPerMillionPairs, 0, 1e6)
+func (e *Engine) check(field string, fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt(field+".slots", int64(e.Slots), 1, 10_000)
+	fieldErrs.CheckInt(field+".memory_tokens", int64(e.KVCacheTokens), 1, 1e9)
+	fieldErrs.CheckInt(field+".stride", int64(e.Stride), 1, 10_000)
+	fieldErrs.CheckNumber(field+".step_us", e.StepMicros, 1, 1e6)
+	fieldErrs.CheckNumber(field+".step_per_request_us", e.StepMicrosPerRequest, 0, 1e6)
+	fieldErrs.CheckNumber(field+".step_per_thousand_us", e.StepMicrosPerThousandTokens, 0, 1e6)
+	fieldErrs.CheckNumber(field+".prefill_per_second", e.PrefillTokensPerSecond, 1, 1e9)
+	fieldErrs.CheckNumber(field+".pairs_per_million_us", e.AttentionMicrosPerMillionPairs, 0, 1e6)
 }
 
-func (k *Kind) check(field string, faults *settings.FieldErrors) {
+func (k *Kind) check(field string, fieldErrs *settings.FieldErrors) {
 	if k.Name == "" {
-		faults.Add(field+".name", k.Name, "a non-empty text")
+		fieldErrs.Add(field+".name", k.Name, "a non-empty text")
 	}
-	faults.CheckNumber(field+".tokens", k.MeanTokens, 1, maxPromptTokens)
-	faults.CheckNumber(field+".spread", k.Spread, 0, 10)
-	faults.CheckInt(field+".most_tokens", int64(k.MaxTokens), 1, maxPromptTokens)
-	faults.CheckInt(field+".events", int64(k.Events), 1, maxEvents)
-	faults.CheckNumber(field+".per_second", k.RequestsPerSecond, 0, maxRate)
-	faults.CheckRange(field+".target", k.Target.D(), time.Millisecond, maxDuration)
-	faults.CheckRange(field+".pause_limit", k.MaxPause.D(), time.Millisecond, maxDuration)
-	faults.CheckNumber(field+".worth", k.Worth, 0, 1e6)
+	fieldErrs.CheckNumber(field+".tokens", k.MeanTokens, 1, maxPromptTokens)
+	fieldErrs.CheckNumber(field+".spread", k.Spread, 0, 10)
+	fieldErrs.CheckInt(field+".most_tokens", int64(k.MaxTokens), 1, maxPromptTokens)
+	fieldErrs.CheckInt(field+".events", int64(k.Events), 1, maxEvents)
+	fieldErrs.CheckNumber(field+".per_second", k.RequestsPerSecond, 0, maxRate)
+	fieldErrs.CheckRange(field+".target", k.Target.D(), time.Millisecond, maxDuration)
+	fieldErrs.CheckRange(field+".pause_limit", k.MaxPause.D(), time.Millisecond, maxDuration)
+	fieldErrs.CheckNumber(field+".worth", k.Worth, 0, 1e6)
 }
 
-func (p *Policy) check(field string, faults *settings.FieldErrors) {
+func (p *Policy) check(field string, fieldErrs *settings.FieldErrors) {
 	if p.Policy != "" && !slices.Contains(emulator.Policies(), p.Policy) {
-		faults.Add(field+".policy", p.Policy, fmt.Sprintf("one of %v", emulator.Policies()))
+		fieldErrs.Add(field+".policy", p.Policy, fmt.Sprintf("one of %v", emulator.Policies()))
 	}
 	for _, m := range p.Disabled {
 		if !slices.Contains(emulator.Mechanisms(), m) {
-			faults.Add(field+".without", m, fmt.Sprintf("any of %v", emulator.Mechanisms()))
+			fieldErrs.Add(field+".without", m, fmt.Sprintf("any of %v", emulator.Mechanisms()))
 		}
 	}
-	faults.CheckRange(field+".heartbeat", p.HeartbeatInterval.D(), 0, time.Minute)
+	fieldErrs.CheckRange(field+".heartbeat", p.HeartbeatInterval.D(), 0, time.Minute)
 }
 
 // emulatorConfig returns the configuration of one run of the site under a policy.
--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -16,9 +16,9 @@
 	Seed  int64 `json:"seed"`
 }
 
-func (r *RandomSites) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".count", int64(r.Count), 1, maxSites)
-	faults.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
+func (r *RandomSites) check(field string, fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt(field+".count", int64(r.Count), 1, maxSites)
+	fieldErrs.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
 }
 
 // Parameters of random sites. The ranges of engines, memory and prompts in sampler.site extend
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -106,7 +106,7 @@
 		if worth == 0 {
 			worth = 1
 		}
-		total += worth * float64(r.Asked)
+		total += worth * float64(r.Requests)
 		earned += worth * (float64(r.OnTime) + lateWorth*float64(r.LateFirst+r.LatePause))
 	}
 	if total == 0 {
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -51,15 +51,15 @@
 
 // limitsRun is the state of one run.
 type limitsRun struct {
-	name     string
-	entries  int
-	lending  bool
-	random   *rand.Rand
-	limiters []*admission.Limiter
-	shares   []*admission.Borrower
-	lender   *admission.Lender
-	admitted []int // requests by second
-	offered  []int // requests by second
+	name      string
+	entries   int
+	lending   bool
+	random    *rand.Rand
+	limiters  []*admission.Limiter
+	borrowers []*admission.Borrower
+	lender    *admission.Lender
+	admitted  []int // requests by second
+	offered   []int // requests by second
 }
 
 // runLimits runs one case.
@@ -68,7 +68,7 @@
 	r := &limitsRun{name: name, entries: entries, lending: lending, random: rand.New(rand.NewPCG(seed, uint64(entries))), lender: admission.NewLender(epoch)}
 	for range entries {
 		r.limiters = append(r.limiters, admission.NewLimiter())
-		r.shares = append(r.shares, admission.NewBorrower())
+		r.borrowers = append(r.borrowers, admission.NewBorrower())
 	}
 	seconds := int(limitsDuration / time.Second)
 	r.admitted, r.offered = make([]int, seconds), make([]int, seconds)
@@ -96,7 +96,7 @@
 			continue
 		}
 		share := r.lender.Lend(now, "account", strconv.Itoa(i), demand/admission.BorrowInterval.Seconds())
-		r.shares[i].SetLoan(now, "account", share)
+		r.borrowers[i].SetLoan(now, "account", share)
 	}
 }
 
@@ -109,7 +109,7 @@
 		i := r.entryOf(at)
 		share := 1 / float64(r.entries)
 		if r.lending {
-			share = r.shares[i].Share(now, "account", r.entries)
+			share = r.borrowers[i].Share(now, "account", r.entries)
 		}
 		second := int(at / time.Second)
 		r.offered[second]++
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -123,9 +123,9 @@
 // RouteTotal sums the requests of one route.
 type RouteTotal struct {
 	Route string
-	// Asked counts the requests that are not excluded. MeanPromptTokens is their mean prompt
+	// Requests counts the requests that are not excluded. MeanPromptTokens is their mean prompt
 	// length.
-	Asked            int
+	Requests         int
 	MeanPromptTokens int
 	OnTime           int
 }
@@ -222,9 +222,9 @@
 			totals[q.Route] = &RouteTotal{Route: q.Route}
 		}
 		t := totals[q.Route]
-		t.Asked++
+		t.Requests++
 		tokens[q.Route] += q.PromptTokens
-		t.MeanPromptTokens = tokens[q.Route] / t.Asked
+		t.MeanPromptTokens = tokens[q.Route] / t.Requests
 		if isServed(q) && q.Late == OnTime {
 			t.OnTime++
 		}
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -22,8 +22,8 @@
 }
 
 // servedRequest is a request for a stream at endpoint e-1 that was served on time.
-func servedRequest(id string, began float64, tokens int) Request {
-	return Request{ID: id, Route: "short", ArrivedAt: testTime(began), EndedAt: testTime(began + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
+func servedRequest(id string, arrivedAt float64, tokens int) Request {
+	return Request{ID: id, Route: "short", ArrivedAt: testTime(arrivedAt), EndedAt: testTime(arrivedAt + 1), PromptTokens: tokens, Code: result.OK, TimeToFirstEvent: 100 * time.Millisecond, Endpoint: "e-1"}
 }
 
 // part is a prefill part at endpoint e-1 between two times in seconds, with a prefill in ms.
@@ -87,7 +87,7 @@
 	big := servedRequest("b", 2.5, 3000)
 	big.Code, big.Refused = 3004, true
 	report := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), servedRequest("c", 1, 2000), big}})
-	is.Equal(report.Routes, []RouteTotal{{Route: "short", Asked: 3, MeanPromptTokens: 2000, OnTime: 2}})
+	is.Equal(report.Routes, []RouteTotal{{Route: "short", Requests: 3, MeanPromptTokens: 2000, OnTime: 2}})
 	is.Equal(len(report.Losses), 1)
 	want := (0.3 + 0.7*1.5) / 3
 	is.True(report.Losses[0].Share > want-1e-9 && report.Losses[0].Share < want+1e-9)
@@ -114,10 +114,10 @@
 	is.Equal(len(sizes), sizeClassCount+1)
 	first, fifth, tenth := sizes[0], sizes[4], sizes[5]
 	is.Equal(first.Name, "fifth 1")
-	is.Equal([]int{first.MinTokens, first.MaxTokens, first.Asked, first.OnTime}, []int{1000, 8000, 8, 8})
-	is.Equal([]int{fifth.Asked, fifth.OnTime, fifth.LateOrResumed, fifth.Refused[RefusedLongParts], fifth.Failed}, []int{8, 0, 4, 2, 2})
+	is.Equal([]int{first.MinTokens, first.MaxTokens, first.Requests, first.OnTime}, []int{1000, 8000, 8, 8})
+	is.Equal([]int{fifth.Requests, fifth.OnTime, fifth.LateOrResumed, fifth.Refused[RefusedLongParts], fifth.Failed}, []int{8, 0, 4, 2, 2})
 	is.Equal([]time.Duration{fifth.QueueTime, fifth.ExpectedFirstToken, fifth.TimeToFirstEvent}, []time.Duration{2 * time.Second, time.Second, 100 * time.Millisecond})
-	is.Equal([]int{tenth.Asked, tenth.Refused[RefusedLongParts], tenth.Failed}, []int{4, 2, 2})
+	is.Equal([]int{tenth.Requests, tenth.Refused[RefusedLongParts], tenth.Failed}, []int{4, 2, 2})
 	is.Equal(first.PrefillingShare, 0.5)                 // one of two engines, by another request
 	is.Equal(first.PendingPrefill, 200*time.Millisecond) // 400 ms at one of two
 }
@@ -128,7 +128,7 @@
 	late := servedRequest("q", 1, 1000)
 	late.Late = LateFirst
 	report := Analyze(&Records{Requests: []Request{servedRequest("a", 0, 1000), late}})
-	is.NoErr(report.Write(dir, "day", &days.DayReport{Worth: 0.7, Classes: []days.Class{{Name: "kind", Asked: 2}}, Prices: map[string]float64{"orders": 0.01}}))
+	is.NoErr(report.Write(dir, "day", &days.DayReport{Worth: 0.7, Classes: []days.Class{{Name: "kind", Requests: 2}}, Prices: map[string]float64{"orders": 0.01}}))
 	page, err := os.ReadFile(filepath.Join(dir, "day.md"))
 	is.NoErr(err)
 	for _, text := range []string{"Worth 0.700", "| kind | 2 |", "| orders | 0.0100 |", "| short | 2 | 1000 | 1 |"} {
--- a/bench/losses/page.go
+++ b/bench/losses/page.go
@@ -50,7 +50,7 @@
 	}
 	b.WriteString("\n| Route | Logged | Mean prompt | On time | Lost to | Requests | Share |\n|---|---|---|---|---|---|---|\n")
 	for _, total := range r.Routes {
-		head := fmt.Sprintf("| %s | %d | %d | %d ", total.Route, total.Asked, total.MeanPromptTokens, total.OnTime)
+		head := fmt.Sprintf("| %s | %d | %d | %d ", total.Route, total.Requests, total.MeanPromptTokens, total.OnTime)
 		for _, l := range r.Losses {
 			if l.Route == total.Route {
 				fmt.Fprintf(&b, "%s| %s | %d | %.3f |\n", head, l.Cause, l.Count, l.Share)
@@ -69,7 +69,7 @@
 func writeDayReport(b *strings.Builder, reported *days.DayReport) {
 	fmt.Fprintf(b, "\nWorth %.3f as reported.\n\n| Kind | Asked | On time | Late | Refused | Failed | Earned |\n|---|---|---|---|---|---|---|\n", reported.Worth)
 	for _, c := range reported.Classes {
-		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %.3f |\n", c.Name, c.Asked, c.OnTime, c.Late, c.Refused, c.Failed, c.Earned)
+		fmt.Fprintf(b, "| %s | %d | %d | %d | %d | %d | %.3f |\n", c.Name, c.Requests, c.OnTime, c.Late, c.Refused, c.Failed, c.Earned)
 	}
 	b.WriteString("\n| Price | Worth |\n|---|---|\n")
 	for _, name := range slices.Sorted(maps.Keys(reported.Prices)) {
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -40,8 +40,8 @@
 	Route, Name string
 	// MinTokens and MaxTokens are the shortest and the longest prompt.
 	MinTokens, MaxTokens int
-	// Asked counts all requests, and LateOrResumed those that were served but not on time.
-	Asked, OnTime, LateOrResumed int
+	// Requests counts all requests, and LateOrResumed those that were served but not on time.
+	Requests, OnTime, LateOrResumed int
 	// Refused counts the refused requests by reason, Failed all others that were not served.
 	Refused map[RefusalReason]int
 	Failed  int
@@ -83,7 +83,7 @@
 
 // sizeClass sums a list of requests that is sorted by prompt length.
 func sizeClass(route, name string, list []*Request, engines *prefillActivity) SizeClass {
-	c := SizeClass{Route: route, Name: name, MinTokens: list[0].PromptTokens, MaxTokens: list[len(list)-1].PromptTokens, Asked: len(list), Refused: map[RefusalReason]int{}}
+	c := SizeClass{Route: route, Name: name, MinTokens: list[0].PromptTokens, MaxTokens: list[len(list)-1].PromptTokens, Requests: len(list), Refused: map[RefusalReason]int{}}
 	var queueTimes, expected, first []time.Duration
 	for _, q := range list {
 		switch {
@@ -169,7 +169,7 @@
 	}
 	b.WriteString(" Failed | Held, ms | Expected, ms | First, ms | Prefilling | Ahead, ms |\n|" + strings.Repeat("---|", 12+len(refusalReasons)) + "\n")
 	for _, c := range classes {
-		fmt.Fprintf(b, "| %s | %s | %d to %d | %d | %d | %d |", c.Route, c.Name, c.MinTokens, c.MaxTokens, c.Asked, c.OnTime, c.LateOrResumed)
+		fmt.Fprintf(b, "| %s | %s | %d to %d | %d | %d | %d |", c.Route, c.Name, c.MinTokens, c.MaxTokens, c.Requests, c.OnTime, c.LateOrResumed)
 		for _, reason := range refusalReasons {
 			fmt.Fprintf(b, " %d |", c.Refused[reason])
 		}
--- a/bench/power.go
+++ b/bench/power.go
@@ -39,12 +39,12 @@
 	demand int
 }
 
-func (w *simulatedEndpoint) running() int { return min(w.demand, w.limit.Slots()) }
+func (e *simulatedEndpoint) running() int { return min(e.demand, e.limit.Slots()) }
 
-func (w *simulatedEndpoint) report(name string) power.Report {
+func (e *simulatedEndpoint) report(name string) power.Report {
 	return power.Report{
-		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: w.limit.WorstCaseDraw(w.demand),
-		LimitWatts: w.limit.EnforcedWatts(w.running()), Revision: w.limit.Revision(),
+		Endpoint: name, Incarnation: 1, FloorWatts: powerFloor, MaxWatts: powerMax, WantWatts: e.limit.WorstCaseDraw(e.demand),
+		LimitWatts: e.limit.EnforcedWatts(e.running()), Revision: e.limit.Revision(),
 	}
 }
 
@@ -69,30 +69,30 @@
 	if err != nil {
 		return PowerResult{}, err
 	}
-	workers := make([]*simulatedEndpoint, powerEndpoints)
-	for i := range workers {
-		workers[i] = &simulatedEndpoint{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
-		workers[i].limit.SetCapped(true)
+	endpoints := make([]*simulatedEndpoint, powerEndpoints)
+	for i := range endpoints {
+		endpoints[i] = &simulatedEndpoint{limit: power.NewLimit(1, powerFloor, powerMax, powerSlots)}
+		endpoints[i].limit.SetCapped(true)
 	}
 	result := PowerResult{Case: name}
 	usable, used, equalUsed, writes := 0.0, 0.0, 0.0, 0
 	for round := range powerRounds {
-		for i, w := range workers {
-			w.demand = demandOf(random, name, round, i, w.demand)
+		for i, e := range endpoints {
+			e.demand = demandOf(random, name, round, i, e.demand)
 		}
-		reports := make([]power.Report, 0, len(workers))
-		for i, w := range workers {
-			reports = append(reports, w.report(fmt.Sprint("worker-", i)))
+		reports := make([]power.Report, 0, len(endpoints))
+		for i, e := range endpoints {
+			reports = append(reports, e.report(fmt.Sprint("worker-", i)))
 		}
 		if next := power.Plan(ledger, powerCap, reports); next != nil {
 			ledger = next
 			writes++
 		}
-		for i, w := range workers {
+		for i, e := range endpoints {
 			grant := ledger.Grants[fmt.Sprint("worker-", i)]
-			w.limit.Apply(grant.Incarnation, grant.Revision, grant.Watts)
+			e.limit.Apply(grant.Incarnation, grant.Revision, grant.Watts)
 		}
-		roundUsable, roundUsed, roundEqual, draw := sumUsage(workers)
+		roundUsable, roundUsed, roundEqual, draw := sumUsage(endpoints)
 		usable, used, equalUsed = usable+roundUsable, used+roundUsed, equalUsed+roundEqual
 		if draw > powerCap {
 			result.Exceeded++
@@ -105,15 +105,15 @@
 
 // sumUsage sums the watts above the floors that the demand could use within the cap, that it used,
 // and that it would use with equal shares of the cap, and the total draw in watts.
-func sumUsage(workers []*simulatedEndpoint) (usable, used, equal float64, draw uint64) {
+func sumUsage(endpoints []*simulatedEndpoint) (usable, used, equal float64, draw uint64) {
 	const perSlot = (powerMax - powerFloor) / powerSlots
 	const equalSlots = (powerCap/powerEndpoints - powerFloor) / perSlot
 	demand := 0
-	for _, w := range workers {
-		demand += w.demand
-		used += float64(w.running() * perSlot)
-		equal += float64(min(w.demand, equalSlots) * perSlot)
-		draw += w.limit.WorstCaseDraw(w.running())
+	for _, e := range endpoints {
+		demand += e.demand
+		used += float64(e.running() * perSlot)
+		equal += float64(min(e.demand, equalSlots) * perSlot)
+		draw += e.limit.WorstCaseDraw(e.running())
 	}
 	usable = min(float64(demand*perSlot), powerCap-powerEndpoints*powerFloor)
 	return usable, used, equal, draw
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -245,18 +245,18 @@
 }
 
 func (c *benchCapacity) run(t terminal) int {
-	slopes, err := bench.Capacity()
+	costs, err := bench.Capacity()
 	if err != nil {
 		return t.failf("%v", err)
 	}
 	if c.JSON {
-		return t.json(slopes)
+		return t.json(costs)
 	}
 	fmt.Fprintf(t.out, "%s, %d processors\n", runtime.Version(), runtime.NumCPU())
 	fmt.Fprintf(t.out, "%-58s %-18s %12s %10s %12s\n", "what", "size", "µs", "bytes", "heap bytes")
 	fmt.Fprintln(t.out, strings.Repeat("-", 114))
-	for _, s := range slopes {
-		fmt.Fprintf(t.out, "%-58s %-18s %12.2f %10d %12d  %s\n", s.Name, s.Size, s.Microseconds, s.Bytes, s.HeapBytes, s.Note)
+	for _, cost := range costs {
+		fmt.Fprintf(t.out, "%-58s %-18s %12.2f %10d %12d  %s\n", cost.Name, cost.Size, cost.Microseconds, cost.Bytes, cost.HeapBytes, cost.Note)
 	}
 	return exitOK
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -43,14 +43,14 @@
 	summary := experiment.NewSummary(file)
 	var writeErr error
 	completed := 0
-	runErr := file.Run(ctx, func(p *experiment.RunResult, of int) {
-		summary.Add(p)
+	runErr := file.Run(ctx, func(result *experiment.RunResult, total int) {
+		summary.Add(result)
 		if output != nil && writeErr == nil {
-			writeErr = json.NewEncoder(output).Encode(p)
+			writeErr = json.NewEncoder(output).Encode(result)
 		}
 		completed++
 		if !c.Quiet {
-			fmt.Fprintf(t.err, "\r%d of %d runs", completed, of)
+			fmt.Fprintf(t.err, "\r%d of %d runs", completed, total)
 		}
 	})
 	if !c.Quiet {
