--- a/agent/control.go
+++ b/agent/control.go
@@ -19,8 +19,8 @@
 // again. It is longer than any deadline that an entry accepts.
 const outcomeRetention = time.Hour
 
-// job is a reservation that is not yet over, from its acceptance to the queue until its
-// batch slot and memory are free. Its mutable fields belong to the control thread.
+// job is a reservation from its acceptance into the queue until its batch slot and memory
+// are free. Its mutable fields belong to the control thread.
 type job struct {
 	reservation attempt.Reservation
 	class       admission.Class
@@ -116,8 +116,8 @@
 }
 
 // startReady starts the jobs that the queue has capacity for. While the endpoint is down or
-// the agent drains it starts none: refuseQueued refuses the queued jobs one by one, and each
-// removal would otherwise start the next job just before that is refused.
+// the agent drains it starts none: refuseQueued removes the queued jobs one by one, and each
+// removal would otherwise start the next job shortly before refuseQueued removes it too.
 func (c *controlState) startReady() {
 	for !c.endpointDown && !c.leaving {
 		id, found := c.queue.StartNext()
--- a/agent/health.go
+++ b/agent/health.go
@@ -16,8 +16,8 @@
 const (
 	// probeInterval is the wait between health probes and probeTimeout the limit on one
 	// probe. probeFailures consecutive failures mark the endpoint as down. Without probes, a
-	// suspended endpoint, which keeps its connections open, would hold its callers until
-	// their deadlines.
+	// suspended endpoint, which keeps its connections open, would keep its callers waiting
+	// until their deadlines.
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = time.Second
 	probeFailures = 2
@@ -60,8 +60,8 @@
 	return strconv.FormatUint(r.Incarnation, 10) + "-" + strconv.FormatUint(r.Number, 10)
 }
 
-// parseSequenceID returns the reservation of a sequence ID, or false if the ID has not the
-// form that sequenceID gives it.
+// parseSequenceID returns the reservation of a sequence ID, or false if the ID does not
+// have the form of sequenceID's.
 func parseSequenceID(id string) (attempt.Reservation, bool) {
 	incarnation, number, found := strings.Cut(id, "-")
 	if !found {
@@ -73,8 +73,8 @@
 }
 
 // sweepSequences cancels sequences at the engine that no job owns, until ctx ends. Such a
-// sequence remains when a request reaches the engine after the agent has given it up, and
-// would hold its memory forever.
+// sequence exists if its request reached the engine after the agent had abandoned the
+// request. It would hold its memory forever.
 func (a *Agent) sweepSequences(ctx context.Context) {
 	if a.settings.Kind == "service" {
 		return
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -95,7 +95,7 @@
 	a.activeRuns.Add(1)
 	defer a.activeRuns.Done()
 	deadline := time.Now().Add(time.Duration(request.Msg.RemainingMs) * time.Millisecond)
-	ctx, cancel := context.WithDeadlineCause(ctx, deadline, result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed"))
+	ctx, cancel := context.WithDeadlineCause(ctx, deadline, result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed before the request ended"))
 	defer cancel()
 	j, refusal := a.awaitStart(ctx, reservationFromWire(request.Msg.Reservation))
 	if refusal != nil {
@@ -149,7 +149,7 @@
 	state := attempt.Running
 	_ = a.loop.Do(context.Background(), func() { state, _ = a.control.withdraw(time.Now(), reservation, false) })
 	if state == attempt.DidNotRun {
-		return nil, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed in the queue")
+		return nil, result.Refuse(result.DeadlineExceeded, 0, "the deadline passed while the request was queued")
 	}
 	return j, <-j.decision
 }
@@ -189,8 +189,8 @@
 const serviceGrace = time.Minute
 
 // callService calls the plain service and returns the outcome. The call goes on when the
-// entry closes the stream: it is not repeatable, so its outcome must be known to later
-// requests for it.
+// entry closes the stream: it is not repeatable, so entries that ask for its outcome later
+// must find it.
 func (a *Agent) callService(j *job, request *wire.RunRequest) *wire.End {
 	wait := time.Duration(request.RemainingMs)*time.Millisecond + serviceGrace
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -264,9 +264,9 @@
 	case errors.Is(cause, context.Canceled):
 		return result.Fail(result.Cancelled, result.RanYes, "the entry closed the stream")
 	case errors.Is(cause, context.DeadlineExceeded):
-		// The deadline of the RPC itself passed shortly before the one that Run set, which
-		// has a cause of its own.
-		return result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed")
+		// The RPC's own deadline passed shortly before the deadline that Run set, whose cause
+		// is a result.Error.
+		return result.Fail(result.DeadlineExceeded, result.RanYes, "the deadline passed before the request ended")
 	}
 	return result.FromError(cause)
 }
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -177,7 +177,7 @@
 func (r *Replica) View() *View { return r.view }
 
 // Apply merges a change and reports whether it was newer than the replica's page.
-// Of a newer change, records that are not newer than the replica's own are skipped.
+// In a newer change, Apply skips records that are not newer than the replica's own.
 //
 // The change must hold all records that are newer than some revision that the
 // replica has had. The response to a pull with the replica's own revisions does.
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -301,8 +301,8 @@
 const maxResponseBytes = 256 << 10
 
 // Call calls a plain service. kind selects the service, and key identifies the caller's
-// request. The errors ErrNotSent and ErrRefused, the answer to an outdated fencing number,
-// mean that the call did not run. After any other error this is unknown.
+// request. The error ErrNotSent, and ErrRefused for an outdated fencing number, mean that the
+// call did not run. After any other error, it is unknown whether the call ran.
 func (c *Client) Call(ctx context.Context, kind, key string, body []byte) (ServiceResponse, error) {
 	response, err := c.post(ctx, "/call/"+kind, body, http.Header{requestKeyHeader: {key}})
 	if err != nil {
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -93,7 +93,7 @@
 	addr := server.Listener.Addr().String()
 	server.Close()
 	_, err = New(addr).Call(context.Background(), "filing", "k", nil)
-	is.True(errors.Is(err, ErrNotSent)) // nobody listens
+	is.True(errors.Is(err, ErrNotSent)) // no server listens at addr
 }
 
 func TestEndpointRefusalIsErrRefused(t *testing.T) {
--- a/node/catalogue.go
+++ b/node/catalogue.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// PostPage applies a page read from the store at a later time and does not wait for it.
+// PostPage schedules a page read from the store to be applied on the control thread, and
+// returns at once.
 func (c *CatalogueSync) PostPage(number int, page catalogue.Page) {
 	c.loop.Post(func() { c.applyPage(number, page) })
 }
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -18,8 +18,8 @@
 const (
 	// pingAfter is the time without data after which a connection is pinged, and pingTimeout
 	// the time that the answer may take. Together they bound how long a suspended or
-	// unreachable peer keeps a stream open, and with it what the stream holds. TCP alone
-	// would wait for many minutes.
+	// unreachable peer keeps a stream open, and with it the resources of the stream's request.
+	// TCP alone would wait for many minutes.
 	pingAfter   = time.Second
 	pingTimeout = time.Second
 	// maxMessageBytes bounds one RPC message. The largest holds a prompt of a million tokens
@@ -60,8 +60,8 @@
 	peers  map[string]wireconnect.PeerClient
 }
 
-// maxClients bounds the cached clients of each kind. VMs are replaced all the time, and their
-// addresses with them, so a full cache is cleared.
+// maxClients bounds the cached clients of each kind. VMs are replaced often and get new
+// addresses, so a full cache is cleared.
 const maxClients = 20_000
 
 // NewClients returns an empty cache. Its clients share one HTTP transport.
