--- a/cli/losses.go
+++ b/cli/losses.go
@@ -52,7 +52,7 @@
 	return journal.DecodeReport(data)
 }
 
-// requestTrace collects what the log says of a request before it ended.
+// requestTrace collects the log lines about a request from before its end.
 type requestTrace struct {
 	// placed is the last event of the request's placement; nil if it was not placed.
 	placed *logLine
--- a/cli/node.go
+++ b/cli/node.go
@@ -8,7 +8,7 @@
 	"aspenyard.example/settings"
 )
 
-// runEntry runs an entry until it is told to stop.
+// runEntry runs an entry until a signal stops it or it fails.
 func (c *nodeCommand) runEntry(t terminal) int {
 	var s settings.Entry
 	if err := settings.Load(c.Settings, &s); err != nil {
@@ -27,7 +27,7 @@
 	return exitOK
 }
 
-// runAgent runs an agent until it is told to stop.
+// runAgent runs an agent until a signal stops it or it fails.
 func (c *nodeCommand) runAgent(t terminal) int {
 	var s settings.Agent
 	if err := settings.Load(c.Settings, &s); err != nil {
