--- a/bench/capacity.go
+++ b/bench/capacity.go
@@ -26,7 +26,7 @@
 
 // Cost is the measured cost of one operation or object.
 type Cost struct {
-	// Name is what was measured, Size the size of the system at which it was.
+	// Name is the operation or object, Size the size of the system that it was measured in.
 	Name string `json:"name"`
 	Size string `json:"size"`
 	// Microseconds is the time on one thread, Bytes the size on the wire or in the store, and
@@ -51,7 +51,7 @@
 	return float64(time.Since(start).Nanoseconds()) / 1000 / float64(calls)
 }
 
-// heapGrowth measures the bytes by which what build returns enlarges the live heap.
+// heapGrowth measures by how many bytes the live heap grows when build runs and its result is kept.
 func heapGrowth(build func() any) int {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -236,7 +236,7 @@
 	return costs, err
 }
 
-// fillReplica applies the records of that many accounts to a replica.
+// fillReplica applies the records of a number of accounts to a replica.
 func fillReplica(replica *catalogue.Replica, accounts int) {
 	var changes [catalogue.PageCount]catalogue.Change
 	for i := range accounts {
--- a/bench/days/days.go
+++ b/bench/days/days.go
@@ -1,6 +1,6 @@
-// Package days writes a page with plots of how a deployment scored on its standard days, from
-// which the effect of each change can be seen. A standard day is a day's load that the users run
-// against a deployment and score.
+// Package days writes a page with plots of a deployment's scores on its standard days, so that the
+// effect of each change can be seen. A standard day is a day's load that the users run against a
+// deployment and score.
 package days
 
 import (
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -56,7 +56,8 @@
 	Kinds            []Kind
 	LoadChanges      []LoadChange
 	Slowdowns        []Slowdown
-	// Duration is the time during which requests arrive; those in flight then still end.
+	// Duration is the time during which requests arrive. A run lasts until all of them have
+	// ended.
 	Duration time.Duration
 	// SlowdownKnownAfter is the delay after which the entries know that an engine has become
 	// slow or normal again; 0: they never do.
@@ -108,7 +109,7 @@
 	Heartbeats Mechanism = "heartbeats"
 	// Announcing: an entry sends a heartbeat as soon as it sends a long prompt.
 	Announcing Mechanism = "announcing"
-	// Waiting: long prompts are queued while the engines have enough to prefill.
+	// Waiting: long prompts are queued while enough prefill is pending at the engines.
 	Waiting Mechanism = "waiting"
 	// Refusing: long prompts whose first token is expected too late are refused.
 	Refusing Mechanism = "refusing"
--- a/bench/emulator/emulator_test.go
+++ b/bench/emulator/emulator_test.go
@@ -63,10 +63,10 @@
 // Guards against pauses of over 250 ms in short streams, and first tokens of long prompts after
 // seconds, when the mix changes as in changingMix. Each cause was seen with its mechanism
 // removed: entries do not know what memory others use (0.75 of long prompts on time); short
-// prompts run on engines for long ones (0.75 of short ones on time); long prompts do not wait
-// for engines with enough to prefill (0.76 of short ones); prompts that would delay others are
-// not refused (0.73 of long ones); parts of medium prompts run on engines for short ones (0.809
-// of short ones).
+// prompts run on engines for long ones (0.75 of short ones on time); long prompts are not queued
+// while enough prefill is pending at the engines (0.76 of short ones); prompts that would delay
+// others are not refused (0.73 of long ones); parts of medium prompts run on engines for short
+// ones (0.809 of short ones).
 func TestTargetsAreMetAsTheLoadMixChanges(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := simulateSeeds(t, changingMix)
@@ -111,11 +111,11 @@
 // engines where two such prompts decode, and the largest prompts start before shorter ones. Each
 // cause was seen with its fix removed. Without a reservation for such prompts they waited at
 // their engine, and all their parts at helpers counted as pending prefill for three to six
-// seconds (0.599 of short prompts on time, 0.911 of medium ones). With one limit for all prompts,
-// however much of it each takes: 0.755 of long ones and 0.701 of short ones. With neither fix:
-// 0.488 of short, 0.867 of medium and 0.625 of long ones. Short prompts of several entries
-// also met in one pass of an engine when entries compared engines drawn anew for each prompt
-// (0.764 of short ones).
+// seconds (0.599 of short prompts on time, 0.911 of medium ones). When all
+// prompts started below the same limit on pending prefill, whatever their own prefill, 0.755 of
+// long and 0.701 of short ones were on time; with neither fix, 0.488 of short, 0.867 of medium
+// and 0.625 of long ones. Short prompts of several entries also met in one pass of an engine when
+// entries drew anew, for each prompt, the engines that they compared (0.764 of short ones).
 func TestPromptsAsLargeAsAnEngineDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	short, medium, long := simulateSeeds(t, largeSite)
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -171,7 +171,7 @@
 }
 
 // finishParts marks parts as prefilled and writes an event of each job in decoded. A job
-// whose last part this was starts to decode at the engine that it was sent to.
+// whose parts are all prefilled starts to decode at the engine that it was sent to.
 func (e *engine) finishParts(parts []promptPart, decoded []*job) {
 	for _, p := range parts {
 		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// setRates draws the load of the site, as a share of its engines' capacity, and the part that
-// each kind has of it.
+// setRates draws the load of the site, as a share of its engines' capacity, and the share of each
+// kind in that load.
 func (sample sampler) setRates(s *Site) {
 	load := minLoad + sample.Float64()*(maxLoad-minLoad)
 	parts := []float64{0.2 + sample.Float64(), 0.1 + sample.Float64()/2, 0.2 + sample.Float64()}
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -21,7 +21,7 @@
 	Kinds []emulator.Result `json:"kinds"`
 }
 
-// task is one run to make.
+// task describes one run of an experiment.
 type task struct {
 	site   *Site
 	policy *Policy
@@ -52,9 +52,9 @@
 	return sites
 }
 
-// Run makes the runs of an experiment on all cores. It calls done with each result and the total
-// number of runs, in any order but never concurrently. It returns the context's error when ctx
-// ends, and drops the runs that are under way then.
+// Run executes the runs of an experiment on all cores. It calls done with each result and the
+// total number of runs, in any order but never concurrently. When ctx ends, it returns the
+// context's error and drops the runs that have not finished.
 func (f *File) Run(ctx context.Context, done func(result *RunResult, total int)) error {
 	tasks := f.tasks()
 	next := make(chan task, len(tasks))
--- a/bench/experiment/summary.go
+++ b/bench/experiment/summary.go
@@ -95,7 +95,7 @@
 }
 
 // row sums a policy's runs in the order of their keys. Floating-point sums depend on the order,
-// and that of a map differs each time.
+// and maps iterate in a random order.
 func (s *Summary) row(site, policy string, selected func(k runKey) bool) Row {
 	row := Row{Site: site, Policy: policy}
 	runs, reference := s.results[policy], s.results[s.file.Policies[0].Name]
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -357,8 +357,8 @@
 	return Stream(ctx, f.client, "http://"+f.Callers[c.Entry%len(f.Callers)]+"/v1/completions", header, body)
 }
 
-// Stream posts a completion request and reads its server-sent events. Any HTTP status but 200 and
-// an error event are errors.
+// Stream posts a completion request and reads its server-sent events. An HTTP status other than 200
+// and an error event are errors.
 func Stream(ctx context.Context, client *http.Client, url string, header http.Header, body []byte) (CompletionResult, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
--- a/bench/input_test.go
+++ b/bench/input_test.go
@@ -57,11 +57,11 @@
 		completion("negative tokens", `"max_tokens":4`, `"max_tokens":-1`, 2006),
 		completion("too many tokens", `"max_tokens":4`, `"max_tokens":2000000`, 2006),
 		completion("over-long body", "tie a bowline", strings.Repeat("tie ", 5_000_000), 2005),
-		completion("no endpoints hold it", "tie a bowline", strings.Repeat("tie ", 900_000), 2009),
+		completion("prompt larger than any endpoint's memory", "tie a bowline", strings.Repeat("tie ", 900_000), 2009),
 		header("no key", "Authorization", "", 2003),
 		header("not a bearer", "Authorization", "Basic abc", 2003),
 		header("wrong key", "Authorization", "Bearer demo.wrong", 2004),
-		header("key of nobody", "Authorization", "Bearer nobody.secret", 2004),
+		header("key of an unknown account", "Authorization", "Bearer nobody.secret", 2004),
 		header("deadline of zero", "X-Request-Deadline", "0s", 2007),
 		header("negative deadline", "X-Request-Deadline", "-5s", 2007),
 		header("deadline without unit", "X-Request-Deadline", "30", 2007),
@@ -148,10 +148,10 @@
 		{"an account's key", "GET", "/v1/status", fleetKey, "", "", 2015},
 		{"unknown record", "GET", "/v1/catalogue/work/none", fleetOperator, "", "", 2016},
 		{"not JSON", "PUT", "/v1/catalogue/site/port", fleetOperator, "", "{", 2014},
-		{"another id", "PUT", "/v1/catalogue/site/other", fleetOperator, "", site, 2014},
+		{"ID differs from the path", "PUT", "/v1/catalogue/site/other", fleetOperator, "", site, 2014},
 		{"bad revision", "PUT", "/v1/catalogue/site/port", fleetOperator, "new", site, 2006},
-		{"lost race", "PUT", "/v1/catalogue/site/port", fleetOperator, "77", site, 2013},
-		{"delete of nothing", "DELETE", "/v1/catalogue/site/port", fleetOperator, "1", "", 2013},
+		{"outdated revision", "PUT", "/v1/catalogue/site/port", fleetOperator, "77", site, 2013},
+		{"delete of a missing record", "DELETE", "/v1/catalogue/site/port", fleetOperator, "1", "", 2013},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/bench/limits.go
+++ b/bench/limits.go
@@ -76,7 +76,7 @@
 	for at := time.Duration(0); at < limitsDuration; at += limitsStep {
 		now := epoch.Add(at)
 		if name == "home dies" && at == limitsDuration/2 {
-			// A new home does not know what the previous one has lent.
+			// The new lender does not know what the previous one has lent.
 			r.lender = admission.NewLender(now)
 		}
 		if lending && at >= nextBorrow {
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -74,7 +74,7 @@
 // Cause is why a request was late, refused or failed, as reports show it.
 type Cause string
 
-// The causes. Long pauses are put down to the route whose prefill caused most of the pause, as
+// The causes. Long pauses are attributed to the route with the most prefill during the pause, as
 // causePausePrefix and the route's name.
 const (
 	CauseRefused  Cause = "refused"
--- a/bench/losses/sizes.go
+++ b/bench/losses/sizes.go
@@ -109,7 +109,7 @@
 	return c
 }
 
-// appendNonZero appends a duration that is known, which 0 is not.
+// appendNonZero appends a duration to a list unless it is 0, which means that it is unknown.
 func appendNonZero(list []time.Duration, d time.Duration) []time.Duration {
 	if d == 0 {
 		return list
@@ -126,8 +126,8 @@
 	return list[len(list)/2]
 }
 
-// prefillActivity is what engines had to prefill over time. It knows the engines that parts were
-// sent to.
+// prefillActivity tells how much prefill was pending at the engines at a time. It counts only
+// engines that parts were sent to.
 type prefillActivity struct {
 	parts   []PrefillPart
 	engines int
--- a/bench/power.go
+++ b/bench/power.go
@@ -29,7 +29,7 @@
 	powerSlots     = 32
 	powerFloor     = 1000
 	powerMax       = 5000
-	powerCap       = 75_000 // in watts, as powerFloor and powerMax
+	powerCap       = 75_000 // in watts, like powerFloor and powerMax
 	moveRounds     = 50
 )
 
@@ -48,8 +48,9 @@
 	}
 }
 
-// Power runs the real power ledger over rounds of changing demand, for each case. A round is that of
-// a power coordinator: reports, plan, grants. What the agents confirm is reported in the next one.
+// Power runs the real power ledger over rounds of changing demand, for each case. In each
+// round the power coordinator gets the reports, plans the ledger and sends the grants. The agents
+// confirm a grant with their report of the next round.
 func Power(seed uint64) ([]PowerResult, error) {
 	var results []PowerResult
 	for _, name := range powerCases {
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -35,7 +35,7 @@
 	refusalDeadline     = 10 * time.Second
 )
 
-// Refusals measures the time of that many refusals for each prompt length, one after the other.
+// Refusals measures the times of count refusals for each prompt length, one after the other.
 func Refusals(ctx context.Context, count int, lengths []int) ([]RefusalResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -132,8 +132,8 @@
 // size.
 const memoryFactor = 4.0 / 3
 
-// EngineFor returns engines of which one holds a prompt of the given tokens: those of the default size
-// if they do, else larger ones.
+// EngineFor returns the configuration of an engine that can hold a prompt of longest tokens: the
+// default size if that is enough, else a larger one.
 func EngineFor(longest int) standin.Config {
 	if longest <= DefaultLongestPrompt {
 		return standin.Config{}
