--- a/agent/agent.go
+++ b/agent/agent.go
@@ -213,7 +213,7 @@
 	case <-done:
 		// The last answers may still be in the sockets' buffers. This wait lets the entries
 		// read them before the connections are closed.
-		time.Sleep(answerFlushDelay)
+		time.Sleep(responseFlushDelay)
 		a.log.Info("drained")
 	case <-signals:
 		a.log.Warn("second signal; stopping with unfinished requests")
@@ -222,5 +222,5 @@
 	}
 }
 
-// answerFlushDelay is the wait between the last answer and the end of the process.
-const answerFlushDelay = 200 * time.Millisecond
+// responseFlushDelay is the wait between the last answer and the end of the process.
+const responseFlushDelay = 200 * time.Millisecond
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
-	var answer bytes.Buffer
-	_, err = answer.ReadFrom(response.Body)
+	var responseBody bytes.Buffer
+	_, err = responseBody.ReadFrom(response.Body)
 	took := time.Since(sentAt)
 	_ = response.Body.Close()
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	code := response.Header.Get("X-Result-Code")
 	if code != strconv.Itoa(int(result.DeadlineUnmeetable)) || response.Header.Get("Retry-After") == "" {
-		return 0, errors.Errorf("the request was not refused as expected: result code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), answer.String())
+		return 0, errors.Errorf("the request was not refused as expected: result code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), responseBody.String())
 	}
 	return took, nil
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -147,14 +147,14 @@
 // sendDemoRequest sends one request and compares the response with the engine's text.
 func sendDemoRequest(ctx context.Context, fleet *bench.Fleet, i, tokens int) demoResult {
 	prompt := bench.Prompt(uint64(i), tokens)
-	answer, err := fleet.Complete(ctx, bench.Completion{
+	completion, err := fleet.Complete(ctx, bench.Completion{
 		Entry: i, Kind: bench.KindFor(tokens), Prompt: prompt, MaxTokens: demoOutputTokens, Deadline: demoDeadline,
 	})
-	r := demoResult{tokens: tokens, firstToken: answer.FirstToken}
+	r := demoResult{tokens: tokens, firstToken: completion.FirstToken}
 	switch {
 	case err != nil:
 		r.detail = err.Error()
-	case answer.Text != standin.Answer(prompt, demoOutputTokens):
+	case completion.Text != standin.Answer(prompt, demoOutputTokens):
 		r.detail = "response differs from the engine's text"
 	default:
 		r.complete = true
