--- a/agent/agent.go
+++ b/agent/agent.go
@@ -211,7 +211,7 @@
 	}()
 	select {
 	case <-done:
-		// The last answers may still be in the sockets' buffers. This wait lets the entries
+		// The last responses may still be in the sockets' buffers. This wait lets the entries
 		// read them before the connections are closed.
 		time.Sleep(responseFlushDelay)
 		a.log.Info("drained")
@@ -222,5 +222,5 @@
 	}
 }
 
-// responseFlushDelay is the wait between the last answer and the end of the process.
+// responseFlushDelay is the wait between the last response and the end of the process.
 const responseFlushDelay = 200 * time.Millisecond
--- a/agent/control.go
+++ b/agent/control.go
@@ -286,7 +286,7 @@
 	return c.queue.SlotDemand() + max(c.powerRefusals, c.previousPowerRefusals)
 }
 
-// loadReport returns the load report for heartbeats and for answers to reservations.
+// loadReport returns the load report for heartbeats and for responses to reservations.
 func (c *controlState) loadReport(now time.Time) *wire.Load {
 	report := c.queue.Report()
 	load := &wire.Load{
--- a/agent/rpc.go
+++ b/agent/rpc.go
@@ -18,7 +18,7 @@
 	"aspenyard.example/wire"
 )
 
-// Reserve implements wireconnect.AgentHandler: it offers a request to the queue. The answer
+// Reserve implements wireconnect.AgentHandler: it offers a request to the queue. The response
 // holds the reservation or the refusal, and the endpoint's load report.
 func (a *Agent) Reserve(ctx context.Context, request *connect.Request[wire.ReserveRequest]) (*connect.Response[wire.ReserveResponse], error) {
 	var response *wire.ReserveResponse
@@ -39,7 +39,7 @@
 }
 
 // Withdraw implements wireconnect.AgentHandler: it cancels a reservation that has not
-// started. The answer holds the reservation's state and, after its end, the outcome. With
+// started. The response holds the reservation's state and, after its end, the outcome. With
 // peek set, nothing is cancelled.
 func (a *Agent) Withdraw(ctx context.Context, request *connect.Request[wire.WithdrawRequest]) (*connect.Response[wire.WithdrawResponse], error) {
 	response := &wire.WithdrawResponse{}
@@ -54,7 +54,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// Grant implements wireconnect.AgentHandler: it applies a power grant. The answer tells
+// Grant implements wireconnect.AgentHandler: it applies a power grant. The response tells
 // whether the grant was applied and which limit, in watts, is now in force.
 func (a *Agent) Grant(ctx context.Context, request *connect.Request[wire.GrantRequest]) (*connect.Response[wire.GrantResponse], error) {
 	var response *wire.GrantResponse
@@ -202,7 +202,7 @@
 	case errors.Is(err, engine.ErrRefused):
 		return errorEnd(result.Refuse(result.NoEndpoint, time.Second, "the service refused the call: %v", err))
 	case err != nil:
-		return errorEnd(result.Fail(result.OutcomeUnknown, result.RanUnknown, "the call was sent, but the service's answer could not be read: %v", err))
+		return errorEnd(result.Fail(result.OutcomeUnknown, result.RanUnknown, "the call was sent, but the service's response could not be read: %v", err))
 	}
 	end := &wire.End{Code: int32(result.OK), Ran: string(result.RanYes), ServiceStatus: int32(response.Status), ServiceBody: response.Body}
 	if response.Status >= 400 {
--- a/bench/experiment/file.go
+++ b/bench/experiment/file.go
@@ -77,7 +77,7 @@
 	// events, with which a request counts as on time.
 	Target   settings.Duration `json:"target"`
 	MaxPause settings.Duration `json:"pause_limit"`
-	// Worth is what an answer on time earns, default 1; a late one earns a quarter of it.
+	// Worth is what a response on time earns, default 1; a late one earns a quarter of it.
 	Worth float64 `json:"worth"`
 }
 
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -8,7 +8,7 @@
 	"aspenyard.example/bench/emulator"
 )
 
-// lateWorth is the share of its worth that a late answer earns, as on the users' sites.
+// lateWorth is the share of its worth that a late response earns, as on the users' sites.
 const lateWorth = 0.25
 
 // RunResult is the result of one simulated run.
--- a/bench/gatewaydemo.go
+++ b/bench/gatewaydemo.go
@@ -19,7 +19,7 @@
 	Requests int `json:"requests"`
 	// Complete counts the streams whose text equals that of the workers.
 	Complete int `json:"whole"`
-	// CutByWorkers counts the answers that workers aborted within an event.
+	// CutByWorkers counts the responses that workers aborted within an event.
 	CutByWorkers int `json:"cut_by_workers"`
 }
 
@@ -28,7 +28,7 @@
 	demoEvents          = 20
 	demoEventInterval   = 10 * time.Millisecond
 	demoRequestInterval = 20 * time.Millisecond
-	// For every demoCutEvery-th request a worker aborts an answer within an event.
+	// For every demoCutEvery-th request a worker aborts a response within an event.
 	demoCutEvery = 8
 )
 
--- a/bench/gatewaypath.go
+++ b/bench/gatewaypath.go
@@ -114,7 +114,7 @@
 	return nil, errors.New("the gateway did not become ready in time")
 }
 
-// firstEvent sends a request, reads the answer to its end and returns the time to its first byte.
+// firstEvent sends a request, reads the response to its end and returns the time to its first byte.
 func firstEvent(ctx context.Context, client *http.Client, r *http.Request) (time.Duration, error) {
 	start := time.Now()
 	response, err := client.Do(r.WithContext(ctx))
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -17,7 +17,7 @@
 // The values of Lateness.
 const (
 	OnTime Lateness = ""
-	// LateFirst: the first event, or the answer of a plain service, was late.
+	// LateFirst: the first event, or the response of a plain service, was late.
 	LateFirst Lateness = "first"
 	// LatePause: a pause between events was too long.
 	LatePause Lateness = "pause"
@@ -27,12 +27,12 @@
 // Request is a request as its gateway logged it.
 type Request struct {
 	ID, Node, Route string
-	// ArrivedAt is when the request arrived, EndedAt when its answer ended.
+	// ArrivedAt is when the request arrived, EndedAt when its response ended.
 	ArrivedAt, EndedAt time.Time
 	// PromptTokens is 0 for requests of plain services.
 	PromptTokens int
 	// Code is the result code. Refused is set if the request did not run and the caller may
-	// retry. Excluded requests do not count, as their callers had no claim to an answer
+	// retry. Excluded requests do not count, as their callers had no claim to a response
 	// (unknown key or route) or disconnected.
 	Code              result.Code
 	Refused, Excluded bool
@@ -144,7 +144,7 @@
 	LossBySecond map[Cause][]float64
 }
 
-// lateWorth is the share of its worth that a late answer earns. The users' scoring has a
+// lateWorth is the share of its worth that a late response earns. The users' scoring has a
 // quarter to a third.
 const lateWorth = 0.25
 
--- a/bench/path.go
+++ b/bench/path.go
@@ -43,7 +43,7 @@
 )
 
 // Path measures the latency over pairs of calls, and then the throughput of short and of long
-// answers for rateTime each.
+// responses for rateTime each.
 func Path(ctx context.Context, pairs int, rateTime time.Duration) (PathResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -19,7 +19,7 @@
 type RefusalResult struct {
 	PromptTokens int `json:"prompt_tokens"`
 	Count        int `json:"count"`
-	// P50, P95 and Max are the times from sending the request to the end of the answer, in
+	// P50, P95 and Max are the times from sending the request to the end of the response, in
 	// microseconds.
 	P50 int64 `json:"p50_us"`
 	P95 int64 `json:"p95_us"`
@@ -61,7 +61,7 @@
 	return results, nil
 }
 
-// measureRefusal sends a request that must be refused and returns the time until the answer ended.
+// measureRefusal sends a request that must be refused and returns the time until the response ended.
 func (f *Fleet) measureRefusal(ctx context.Context, prompt string) (time.Duration, error) {
 	body, err := json.Marshal(map[string]any{"model": "excuse-draft", "prompt": prompt, "max_tokens": refusalOutputTokens, "stream": true})
 	if err != nil {
--- a/bench/run.go
+++ b/bench/run.go
@@ -31,7 +31,7 @@
 // outcome is the outcome of one request.
 type outcome struct {
 	job job
-	// firstToken is the time to first token, ended the time to the end of the answer.
+	// firstToken is the time to first token, ended the time to the end of the response.
 	firstToken, ended time.Duration
 	done              bool
 	refused           bool
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -43,7 +43,7 @@
 	// prefix identifies the text that the first sharedTokens tokens share with other
 	// requests; 0: none.
 	prefix, sharedTokens int
-	timeout              time.Duration // from arrival to the end of the answer
+	timeout              time.Duration // from arrival to the end of the response
 	retried              bool          // the caller has retried after a refusal
 }
 
@@ -76,12 +76,12 @@
 	burstPeriod        = 20 * time.Second
 )
 
-// deadlines are how long callers of each class wait for the whole answer.
+// deadlines are how long callers of each class wait for the whole response.
 var deadlines = map[admission.Class]time.Duration{
 	admission.Urgent: 15 * time.Second, admission.Normal: 90 * time.Second, admission.Bulk: 10 * time.Minute,
 }
 
-// jobs draws the requests of a workload, in order of arrival. Arrivals do not depend on answers (an
+// jobs draws the requests of a workload, in order of arrival. Arrivals do not depend on responses (an
 // open loop), so that a slow system does not reduce its own load.
 func (w Workload) jobs() []job {
 	random := rand.New(rand.NewPCG(w.Seed, 7))
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -133,8 +133,8 @@
 	return request
 }
 
-// excludedFromLosses tells whether a request does not count because the caller had no claim
-// to a response, as its key or request was not valid, or because it cancelled the request.
+// excludedFromLosses reports whether a request is left out of the losses: its key or the
+// request itself was invalid, or the caller cancelled it.
 func excludedFromLosses(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -117,7 +117,7 @@
 	return sequences, c.getJSON(ctx, "/v1/sequences", &sequences)
 }
 
-// getJSON decodes the JSON answer to a GET request of path. An HTTP status other than 200 is
+// getJSON decodes the JSON response to a GET request of path. An HTTP status other than 200 is
 // an error.
 func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
@@ -157,7 +157,7 @@
 const (
 	fencingHeader = "X-Fencing-Number"
 	// requestKeyHeader identifies the caller's request to a plain service, which may echo it
-	// in its answer. It is not Idempotency-Key, because net/http retries a request that
+	// in its response. It is not Idempotency-Key, because net/http retries a request that
 	// carries that header.
 	requestKeyHeader = "X-Request-Key"
 )
@@ -278,7 +278,7 @@
 			return Token{}, errors.Wrap(ErrStreamBroken, err.Error())
 		}
 		if chunk.ID != s.id {
-			// A reused connection delivered the answer of another sequence.
+			// A reused connection delivered the response of another sequence.
 			return Token{}, errors.Wrapf(ErrStreamBroken, "received a chunk of sequence %q", chunk.ID)
 		}
 		token := Token{Offset: chunk.Offset, Held: chunk.Held}
@@ -289,14 +289,14 @@
 	}
 }
 
-// ServiceResponse is a plain service's answer: its HTTP status and its body, cut off at
+// ServiceResponse is a plain service's response: its HTTP status and its body, cut off at
 // maxResponseBytes.
 type ServiceResponse struct {
 	Status int
 	Body   []byte
 }
 
-// maxResponseBytes bounds the body of a plain service's answer, so that it fits into the
+// maxResponseBytes bounds the body of a plain service's response, so that it fits into the
 // stored record of the outcome.
 const maxResponseBytes = 256 << 10
 
@@ -313,7 +313,7 @@
 		return ServiceResponse{}, errors.Wrap(ErrRefused, "outdated fencing number")
 	}
 	if echoed := response.Header.Get(requestKeyHeader); echoed != "" && echoed != key {
-		return ServiceResponse{}, errors.Errorf("the answer carries the request key of another call, %q", echoed)
+		return ServiceResponse{}, errors.Errorf("the response carries the request key of another call, %q", echoed)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -62,8 +62,8 @@
 }
 
 // Guards against a caller that gets another caller's text. That happens if a connection is
-// reused that still carries an earlier answer, and whatever arrives on it is taken for the
-// answer to the request sent last.
+// reused that still carries an earlier response, and whatever arrives on it is taken for the
+// response to the request sent last.
 func TestChunkOfAnotherSequenceIsRejected(t *testing.T) {
 	is := is.New(t)
 	text, err := readAll(newTestClient(t, sendEvents(chunkJSON("7-1", 0, "a"), chunkJSON("6-9", 1, "foreign"), "[DONE]")))
--- a/node/monitoring.go
+++ b/node/monitoring.go
@@ -51,7 +51,7 @@
 
 // MonitoringMux returns a mux that serves /metrics, /healthz (liveness) and /readyz
 // (readiness). ready returns nil if the load balancer may send requests to the process, and
-// otherwise the reason why not, which is the body of the answer with status 503.
+// otherwise the reason why not, which is the body of the response with status 503.
 func MonitoringMux(set *metrics.Set, ready func() error) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -17,7 +17,7 @@
 
 const (
 	// pingAfter is the time without data after which a connection is pinged, and pingTimeout
-	// the time that the answer may take. Together they bound how long a suspended or
+	// the time that the ping response may take. Together they bound how long a suspended or
 	// unreachable peer keeps a stream open, and with it the resources of the stream's request.
 	// TCP alone would wait for many minutes.
 	pingAfter   = time.Second
