--- a/bench/experiment/random.go
+++ b/bench/experiment/random.go
@@ -16,9 +16,9 @@
 	Seed  int64 `json:"seed"`
 }
 
-func (r *RandomSites) check(field string, faults *settings.FieldErrors) {
-	faults.CheckInt(field+".count", int64(r.Count), 1, maxSites)
-	faults.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
+func (r *RandomSites) check(field string, fieldErrs *settings.FieldErrors) {
+	fieldErrs.CheckInt(field+".count", int64(r.Count), 1, maxSites)
+	fieldErrs.CheckInt(field+".seed", r.Seed, 0, math.MaxInt32)
 }
 
 // Parameters of random sites. The ranges of engines, memory and prompts in sampler.site extend
@@ -80,8 +80,8 @@
 	}
 }
 
-// setRates draws the load of the site, as a share of its engines' capacity, and the part that
-// each kind has of it.
+// setRates draws the load of the site, as a share of its engines' capacity, and the share of each
+// kind in that load.
 func (sample sampler) setRates(s *Site) {
 	load := minLoad + sample.Float64()*(maxLoad-minLoad)
 	parts := []float64{0.2 + sample.Float64(), 0.1 + sample.Float64()/2, 0.2 + sample.Float64()}
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -17,7 +17,7 @@
 // The values of Lateness.
 const (
 	OnTime Lateness = ""
-	// LateFirst: the first event, or the answer of a plain service, was late.
+	// LateFirst: the first event, or the response of a plain service, was late.
 	LateFirst Lateness = "first"
 	// LatePause: a pause between events was too long.
 	LatePause Lateness = "pause"
@@ -27,12 +27,12 @@
 // Request is a request as its gateway logged it.
 type Request struct {
 	ID, Node, Route string
-	// ArrivedAt is when the request arrived, EndedAt when its answer ended.
+	// ArrivedAt is when the request arrived, EndedAt when its response ended.
 	ArrivedAt, EndedAt time.Time
 	// PromptTokens is 0 for requests of plain services.
 	PromptTokens int
 	// Code is the result code. Refused is set if the request did not run and the caller may
-	// retry. Excluded requests do not count, as their callers had no claim to an answer
+	// retry. Excluded requests do not count, as their callers had no claim to a response
 	// (unknown key or route) or disconnected.
 	Code              result.Code
 	Refused, Excluded bool
@@ -74,7 +74,7 @@
 // Cause is why a request was late, refused or failed, as reports show it.
 type Cause string
 
-// The causes. Long pauses are put down to the route whose prefill caused most of the pause, as
+// The causes. Long pauses are attributed to the route with the most prefill during the pause, as
 // causePausePrefix and the route's name.
 const (
 	CauseRefused  Cause = "refused"
@@ -123,9 +123,9 @@
 // RouteTotal sums the requests of one route.
 type RouteTotal struct {
 	Route string
-	// Asked counts the requests that are not excluded. MeanPromptTokens is their mean prompt
+	// Requests counts the requests that are not excluded. MeanPromptTokens is their mean prompt
 	// length.
-	Asked            int
+	Requests         int
 	MeanPromptTokens int
 	OnTime           int
 }
@@ -144,7 +144,7 @@
 	LossBySecond map[Cause][]float64
 }
 
-// lateWorth is the share of its worth that a late answer earns. The users' scoring has a
+// lateWorth is the share of its worth that a late response earns. The users' scoring has a
 // quarter to a third.
 const lateWorth = 0.25
 
@@ -222,9 +222,9 @@
 			totals[q.Route] = &RouteTotal{Route: q.Route}
 		}
 		t := totals[q.Route]
-		t.Asked++
+		t.Requests++
 		tokens[q.Route] += q.PromptTokens
-		t.MeanPromptTokens = tokens[q.Route] / t.Asked
+		t.MeanPromptTokens = tokens[q.Route] / t.Requests
 		if isServed(q) && q.Late == OnTime {
 			t.OnTime++
 		}
--- a/bench/refusals.go
+++ b/bench/refusals.go
@@ -19,7 +19,7 @@
 type RefusalResult struct {
 	PromptTokens int `json:"prompt_tokens"`
 	Count        int `json:"count"`
-	// P50, P95 and Max are the times from sending the request to the end of the answer, in
+	// P50, P95 and Max are the times from sending the request to the end of the response, in
 	// microseconds.
 	P50 int64 `json:"p50_us"`
 	P95 int64 `json:"p95_us"`
@@ -35,7 +35,7 @@
 	refusalDeadline     = 10 * time.Second
 )
 
-// Refusals measures the time of that many refusals for each prompt length, one after the other.
+// Refusals measures the times of count refusals for each prompt length, one after the other.
 func Refusals(ctx context.Context, count int, lengths []int) ([]RefusalResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,7 +61,7 @@
 	return results, nil
 }
 
-// measureRefusal sends a request that must be refused and returns the time until the answer ended.
+// measureRefusal sends a request that must be refused and returns the time until the response ended.
 func (f *Fleet) measureRefusal(ctx context.Context, prompt string) (time.Duration, error) {
 	body, err := json.Marshal(map[string]any{"model": "excuse-draft", "prompt": prompt, "max_tokens": refusalOutputTokens, "stream": true})
 	if err != nil {
@@ -77,8 +77,8 @@
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
-	var answer bytes.Buffer
-	_, err = answer.ReadFrom(response.Body)
+	var responseBody bytes.Buffer
+	_, err = responseBody.ReadFrom(response.Body)
 	took := time.Since(sentAt)
 	_ = response.Body.Close()
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	code := response.Header.Get("X-Result-Code")
 	if code != strconv.Itoa(int(result.DeadlineUnmeetable)) || response.Header.Get("Retry-After") == "" {
-		return 0, errors.Errorf("the request was not refused as expected: result code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), answer.String())
+		return 0, errors.Errorf("the request was not refused as expected: result code %s, Retry-After %q: %.200s", code, response.Header.Get("Retry-After"), responseBody.String())
 	}
 	return took, nil
 }
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -52,7 +52,7 @@
 	return journal.DecodeReport(data)
 }
 
-// requestTrace collects what the log says of a request before it ended.
+// requestTrace collects the log lines about a request from before its end.
 type requestTrace struct {
 	// placed is the last event of the request's placement; nil if it was not placed.
 	placed *logLine
@@ -133,8 +133,8 @@
 	return request
 }
 
-// excludedFromLosses tells whether a request does not count because the caller had no claim
-// to a response, as its key or request was not valid, or because it cancelled the request.
+// excludedFromLosses reports whether a request is left out of the losses: its key or the
+// request itself was invalid, or the caller cancelled it.
 func excludedFromLosses(code result.Code) bool {
 	switch code {
 	case result.WrongKey, result.NoKey, result.UnknownKind, result.BadRequest, result.Cancelled:
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -62,8 +62,8 @@
 }
 
 // Guards against a caller that gets another caller's text. That happens if a connection is
-// reused that still carries an earlier answer, and whatever arrives on it is taken for the
-// answer to the request sent last.
+// reused that still carries an earlier response, and whatever arrives on it is taken for the
+// response to the request sent last.
 func TestChunkOfAnotherSequenceIsRejected(t *testing.T) {
 	is := is.New(t)
 	text, err := readAll(newTestClient(t, sendEvents(chunkJSON("7-1", 0, "a"), chunkJSON("6-9", 1, "foreign"), "[DONE]")))
@@ -93,7 +93,7 @@
 	addr := server.Listener.Addr().String()
 	server.Close()
 	_, err = New(addr).Call(context.Background(), "filing", "k", nil)
-	is.True(errors.Is(err, ErrNotSent)) // nobody listens
+	is.True(errors.Is(err, ErrNotSent)) // no server listens at addr
 }
 
 func TestEndpointRefusalIsErrRefused(t *testing.T) {
