--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -11,24 +11,24 @@
 	"aspenyard.example/standin/service"
 )
 
-func (w *world) serviceRecord(p *process) (service.Record, error) {
+func (h *harness) serviceRecord(p *process) (service.Record, error) {
 	var record service.Record
-	return record, w.get("http://"+p.addrs["listen"]+"/record", &record)
+	return record, h.get("http://"+p.addrs["listen"]+"/record", &record)
 }
 
 // runs SERVICE key=K count=N waits until a service's record has N runs of a key;
 // arrived=N waits for N calls to have arrived, run or not.
 func runs(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	await(ts, "runs "+opts["key"], func() string {
-		record, err := w.serviceRecord(p)
+		record, err := h.serviceRecord(p)
 		if err != nil {
 			return err.Error()
 		}
 		if opts["arrived"] != "" {
-			if record.Arrived < number(opts["arrived"]) {
+			if record.Arrived < parseNumber(opts["arrived"]) {
 				return fmt.Sprintf("%d arrived", record.Arrived)
 			}
 			return ""
@@ -39,7 +39,7 @@
 				count++
 			}
 		}
-		if count != number(opts["count"]) {
+		if count != parseNumber(opts["count"]) {
 			return fmt.Sprintf("%d runs of %s", count, opts["key"])
 		}
 		return ""
@@ -49,12 +49,12 @@
 // lookup ENTRY KEY ran=WORD [state=WORD] asks for the status of a key.
 func lookup(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	request, err := http.NewRequest(http.MethodGet, "http://"+p.addrs["callers"]+"/v1/requests?key="+plain[1], nil)
 	ts.Check(err)
 	request.Header.Set("Authorization", "Bearer "+accountKey)
-	response, err := w.client.Do(request)
+	response, err := h.client.Do(request)
 	ts.Check(err)
 	defer func() { _ = response.Body.Close() }()
 	var status struct{ State, Ran string }
@@ -66,11 +66,11 @@
 
 // held NAME... waits until engines hold no memory.
 func held(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	for _, name := range args {
-		p := w.proc(ts, name)
+		p := h.mustProcess(ts, name)
 		await(ts, "held "+name, func() string {
-			record, err := w.engineRecord(p)
+			record, err := h.engineRecord(p)
 			if err != nil {
 				return err.Error()
 			}
@@ -88,13 +88,13 @@
 // "yes" of did run. No text differs from the engines', and no engine has a run of
 // a prompt of which all calls were told "no".
 func audit(ts *testscript.TestScript, _ bool, _ []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	ran := map[string][]service.Run{}
-	for _, p := range w.procs {
+	for _, p := range h.processes {
 		if p.role != "service" {
 			continue
 		}
-		record, err := w.serviceRecord(p)
+		record, err := h.serviceRecord(p)
 		ts.Check(err)
 		for _, run := range record.Runs {
 			key := strings.TrimPrefix(run.Key, "crew/")
@@ -104,7 +104,7 @@
 	byKey := map[string][]*callRecord{}
 	unknown, silent, total := 0, 0, 0
 	finishAll(ts, false, nil)
-	for _, c := range w.made {
+	for _, c := range h.calls {
 		total++
 		switch c.ran {
 		case "unknown":
@@ -112,7 +112,7 @@
 		case "":
 			silent++
 		}
-		if problem := c.auditText(); problem != "" {
+		if problem := c.checkText(); problem != "" {
 			ts.Fatalf("call %s (code %d, ran %q): %s", c.id, c.code, c.ran, problem)
 		}
 		if c.kind == "excuse-filing" && c.key != "" {
@@ -124,28 +124,28 @@
 			ts.Fatalf("key %s: %s", key, problem)
 		}
 	}
-	w.auditEngines(ts)
+	h.auditEngines(ts)
 	ts.Logf("audit: %d calls, %d told unknown, %d without an answer", total, unknown, silent)
 }
 
 // auditEngines checks "did not run" against the engines' records.
-func (w *world) auditEngines(ts *testscript.TestScript) {
+func (h *harness) auditEngines(ts *testscript.TestScript) {
 	toldNo := map[uint64]string{}
-	for _, c := range w.made {
-		if c.beginning != 0 && c.ran == "no" {
-			toldNo[c.beginning] = c.id
+	for _, c := range h.calls {
+		if c.promptHash != 0 && c.ran == "no" {
+			toldNo[c.promptHash] = c.id
 		}
 	}
-	for _, c := range w.made {
+	for _, c := range h.calls {
 		if c.ran != "no" {
-			delete(toldNo, c.beginning)
+			delete(toldNo, c.promptHash)
 		}
 	}
-	for name, p := range w.procs {
+	for name, p := range h.processes {
 		if p.role != "engine" {
 			continue
 		}
-		record, err := w.engineRecord(p)
+		record, err := h.engineRecord(p)
 		ts.Check(err)
 		for _, run := range record.Runs {
 			if id, found := toldNo[run.PromptPrefixHash]; found {
@@ -167,7 +167,7 @@
 	for _, run := range runs {
 		asked := false
 		for _, c := range calls {
-			asked = asked || (c.ran != "no" && c.began.UnixNano() < run.UnixNano)
+			asked = asked || (c.ran != "no" && c.startedAt.UnixNano() < run.UnixNano)
 		}
 		if !asked {
 			return "it ran, and every caller who had asked by then was told that it did not"
@@ -176,14 +176,14 @@
 	return ""
 }
 
-func (c *callRecord) auditText() string {
-	if isService(c.kind) {
+func (c *callRecord) checkText() string {
+	if isPlainService(c.kind) {
 		return ""
 	}
 	if !strings.HasPrefix(c.expected, c.text) {
 		return "got text that is not its own answer's"
 	}
-	if c.ended && c.status == http.StatusOK && c.text != c.expected {
+	if c.complete && c.status == http.StatusOK && c.text != c.expected {
 		return "an incomplete answer was presented as complete"
 	}
 	return ""
--- a/scenarios/calls_test.go
+++ b/scenarios/calls_test.go
@@ -25,27 +25,27 @@
 	id, kind, key string
 	opts          map[string]string
 	deadline      time.Duration
-	began         time.Time
-	took          time.Duration
+	startedAt     time.Time
+	duration      time.Duration
 	done          chan struct{}
-	// first is closed once the first event of a streamed answer has come.
-	first     chan struct{}
-	firstOnce sync.Once
+	// firstEvent is closed once the firstEvent event of a streamed answer has come.
+	firstEvent     chan struct{}
+	firstEventOnce sync.Once
 
-	status     int
-	code       int
-	ran        string
-	retryAfter string
-	requestID  string
-	body       string
-	text       string // of a generation
-	expected   string
-	beginning  uint64 // of a generation's prompt
-	ended      bool   // the answer's end marker came
-	transport  error
+	status         int
+	code           int
+	ran            string
+	retryAfter     string
+	requestID      string
+	body           string
+	text           string // of a generation
+	expected       string
+	promptHash     uint64 // of a generation's prompt
+	complete       bool   // the answer's end marker came
+	transportError error
 }
 
-func isService(kind string) bool { return kind == "excuse-filing" || kind == "tide-check" }
+func isPlainService(kind string) bool { return kind == "excuse-filing" || kind == "tide-check" }
 
 // call ENTRY KIND [key=K] [deadline=D] [tokens=N] [out=N] [stream=no] [hangup=N] [giveup=D] [first=yes] [as=ID]
 // makes a call. With as, the script goes on; else it waits for the answer, whose
@@ -54,24 +54,24 @@
 func call(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	if opts["until"] == "" {
-		callOnce(ts, plain, opts)
+		startCall(ts, plain, opts)
 		return
 	}
 	await(ts, "call", func() string {
-		c := callOnce(ts, plain, opts)
+		c := startCall(ts, plain, opts)
 		<-c.done
 		if problem := c.check("code", opts["until"]); problem != "" {
-			time.Sleep(time.Duration(number(c.retryAfter)) * time.Second / 4)
+			time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second / 4)
 			return problem
 		}
 		return ""
 	})
 }
 
-func callOnce(ts *testscript.TestScript, plain []string, opts map[string]string) *callRecord {
-	w := of(ts)
-	p := w.proc(ts, plain[0])
-	c := &callRecord{id: opts["as"], kind: plain[1], opts: opts, key: opts["key"], done: make(chan struct{}), first: make(chan struct{}), deadline: 20 * time.Second, began: time.Now()}
+func startCall(ts *testscript.TestScript, plain []string, opts map[string]string) *callRecord {
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
+	c := &callRecord{id: opts["as"], kind: plain[1], opts: opts, key: opts["key"], done: make(chan struct{}), firstEvent: make(chan struct{}), deadline: 20 * time.Second, startedAt: time.Now()}
 	if c.id == "" {
 		c.id = "last"
 	}
@@ -89,15 +89,15 @@
 		defer cancel()
 		request = request.WithContext(ctx)
 	}
-	w.mu.Lock()
-	w.calls[c.id] = c
-	w.made = append(w.made, c)
-	w.mu.Unlock()
+	h.mu.Lock()
+	h.callsByID[c.id] = c
+	h.calls = append(h.calls, c)
+	h.mu.Unlock()
 	go func() {
 		defer close(c.done)
 		started := time.Now()
-		c.send(w.client, request, number(opts["hangup"]))
-		c.took = time.Since(started)
+		c.send(h.client, request, parseNumber(opts["hangup"]))
+		c.duration = time.Since(started)
 	}()
 	if opts["as"] == "" {
 		<-c.done
@@ -108,29 +108,29 @@
 // again ENTRY ID makes the call ID once more, through any entry, when its answer's
 // Retry-After says; from then on ID names this call.
 func again(ts *testscript.TestScript, _ bool, args []string) {
-	c := of(ts).find(ts, args[1])
+	c := harnessOf(ts).mustCall(ts, args[1])
 	finish(ts, false, args[1:])
 	if c.retryAfter == "" {
 		ts.Fatalf("call %s was not told when to come back (code %d)", c.id, c.code)
 	}
-	time.Sleep(time.Duration(number(c.retryAfter)) * time.Second)
-	callOnce(ts, []string{args[0], c.kind}, c.opts)
+	time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second)
+	startCall(ts, []string{args[0], c.kind}, c.opts)
 }
 
 func (c *callRecord) request(p *process, opts map[string]string) (*http.Request, error) {
 	path := "/v1/services/" + c.kind
 	body := []byte(`{"summons":"` + opts["body"] + `"}`)
-	if !isService(c.kind) {
+	if !isPlainService(c.kind) {
 		path = "/v1/completions"
 		tokens, out := 1000, 16
 		if opts["tokens"] != "" {
-			tokens = number(opts["tokens"])
+			tokens = parseNumber(opts["tokens"])
 		}
 		if opts["out"] != "" {
-			out = number(opts["out"])
+			out = parseNumber(opts["out"])
 		}
 		prompt := bench.Prompt(xxhash.Sum64String(c.id), tokens) + c.id
-		c.expected, c.beginning = standin.Completion(prompt, out), standin.PromptPrefixHash(prompt)
+		c.expected, c.promptHash = standin.Completion(prompt, out), standin.PromptPrefixHash(prompt)
 		var err error
 		body, err = json.Marshal(map[string]any{"model": c.kind, "prompt": prompt, "max_tokens": out, "stream": opts["stream"] != "no"})
 		if err != nil {
@@ -155,7 +155,7 @@
 func (c *callRecord) send(client *http.Client, request *http.Request, hangup int) {
 	response, err := client.Do(request)
 	if err != nil {
-		c.transport = err
+		c.transportError = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -167,7 +167,7 @@
 		return
 	}
 	data, err := io.ReadAll(response.Body)
-	c.body, c.transport, c.ended = string(data), err, err == nil
+	c.body, c.transportError, c.complete = string(data), err, err == nil
 	var whole struct {
 		Choices []struct{ Text string }
 	}
@@ -181,7 +181,7 @@
 	for events := 0; hangup == 0 || events < hangup; {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			c.transport = err
+			c.transportError = err
 			return
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
@@ -190,15 +190,15 @@
 		}
 		events++
 		if data == "[DONE]" {
-			c.ended = true
+			c.complete = true
 			return
 		}
-		c.event(data)
-		c.firstOnce.Do(func() { close(c.first) })
+		c.handleEvent(data)
+		c.firstEventOnce.Do(func() { close(c.firstEvent) })
 	}
 }
 
-func (c *callRecord) event(data string) {
+func (c *callRecord) handleEvent(data string) {
 	var event struct {
 		Error *struct {
 			Code int
@@ -217,10 +217,10 @@
 	}
 }
 
-func (w *world) find(ts *testscript.TestScript, id string) *callRecord {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.calls[id]
+func (h *harness) mustCall(ts *testscript.TestScript, id string) *callRecord {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := h.callsByID[id]
 	if c == nil {
 		ts.Fatalf("no call %q", id)
 	}
@@ -229,10 +229,10 @@
 
 // started ENGINE|ENGINE... waits until one of the engines has a run in progress.
 func started(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	await(ts, "started", func() string {
 		for _, name := range strings.Split(args[0], "|") {
-			record, err := w.engineRecord(w.proc(ts, name))
+			record, err := h.engineRecord(h.mustProcess(ts, name))
 			if err != nil {
 				return err.Error()
 			}
@@ -249,14 +249,14 @@
 // finish ID... waits for the answers of calls made with as.
 func finish(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
-		of(ts).find(ts, id).await(ts)
+		harnessOf(ts).mustCall(ts, id).await(ts)
 	}
 }
 
 func (c *callRecord) await(ts *testscript.TestScript) {
 	select {
 	case <-c.done:
-	case <-time.After(c.deadline + generous):
+	case <-time.After(c.deadline + conditionTimeout):
 		ts.Fatalf("call %s has no answer", c.id)
 	}
 }
@@ -264,12 +264,12 @@
 // streaming ID... waits until the first text of streamed calls has come.
 func streaming(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
-		c := of(ts).find(ts, id)
+		c := harnessOf(ts).mustCall(ts, id)
 		select {
-		case <-c.first:
+		case <-c.firstEvent:
 		case <-c.done:
 			ts.Fatalf("call %s ended without a text (code %d)", id, c.code)
-		case <-time.After(generous):
+		case <-time.After(conditionTimeout):
 			ts.Fatalf("call %s has no text", id)
 		}
 	}
@@ -277,7 +277,7 @@
 
 // repeat N COMMAND... runs a command N times; the as of a call gets a number.
 func repeat(ts *testscript.TestScript, neg bool, args []string) {
-	for i := range number(args[0]) {
+	for i := range parseNumber(args[0]) {
 		numbered := append([]string(nil), args[2:]...)
 		for j, arg := range numbered {
 			if strings.HasPrefix(arg, "as=") {
@@ -290,7 +290,7 @@
 
 // finish-all waits for the answers of all calls made so far.
 func finishAll(ts *testscript.TestScript, _ bool, _ []string) {
-	for _, c := range of(ts).made {
+	for _, c := range harnessOf(ts).calls {
 		c.await(ts)
 	}
 }
@@ -299,12 +299,12 @@
 func whole(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
 	count := 0
-	for _, c := range of(ts).made {
-		if !isService(c.kind) && c.ended && c.text == c.expected {
+	for _, c := range harnessOf(ts).calls {
+		if !isPlainService(c.kind) && c.complete && c.text == c.expected {
 			count++
 		}
 	}
-	if count < number(opts["least"]) {
+	if count < parseNumber(opts["least"]) {
 		ts.Fatalf("%d answers were whole", count)
 	}
 }
@@ -315,18 +315,18 @@
 	plain, opts := options(args)
 	finish(ts, false, plain)
 	for _, id := range plain {
-		c := of(ts).find(ts, id)
+		c := harnessOf(ts).mustCall(ts, id)
 		for key, want := range opts {
 			if problem := c.check(key, want); problem != "" {
 				ts.Fatalf("call %s: %s (status %d, code %d, ran %q, took %s, transport %v, body %.300s)",
-					id, problem, c.status, c.code, c.ran, c.took, c.transport, c.body)
+					id, problem, c.status, c.code, c.ran, c.duration, c.transportError, c.body)
 			}
 		}
 	}
 }
 
-// late is how much later than its deadline an answer may be on a busy machine.
-const late = 5 * time.Second
+// deadlineTolerance is how much later than its deadline an answer may be on a busy machine.
+const deadlineTolerance = 5 * time.Second
 
 func (c *callRecord) check(key, want string) string {
 	got := ""
@@ -336,18 +336,18 @@
 	case "ran":
 		got = c.ran
 	case "whole":
-		got = yes(c.ended && c.text == c.expected)
+		got = yesNo(c.complete && c.text == c.expected)
 	case "in-time":
-		got = yes(c.took < c.deadline+late)
+		got = yesNo(c.duration < c.deadline+deadlineTolerance)
 	case "retry":
-		got = yes(c.retryAfter != "")
+		got = yesNo(c.retryAfter != "")
 	case "took-under":
 		limit, err := time.ParseDuration(want)
-		if err == nil && c.took < limit {
+		if err == nil && c.duration < limit {
 			got = want
 		}
 	case "transport":
-		got = yes(c.transport != nil)
+		got = yesNo(c.transportError != nil)
 	default:
 		return "no check " + key
 	}
@@ -359,7 +359,7 @@
 	return fmt.Sprintf("%s is %q, not %q", key, got, want)
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/scenarios/client_test.go
+++ b/scenarios/client_test.go
@@ -16,11 +16,11 @@
 // client ENTRY KIND talks to an entry by an ordinary client library for such
 // interfaces: the list of models, a completion, a streamed chat, and an error.
 func client(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	config := openai.DefaultConfig(accountKey)
-	config.BaseURL = "http://" + w.proc(ts, args[0]).addrs["callers"] + "/v1"
+	config.BaseURL = "http://" + h.mustProcess(ts, args[0]).addrs["callers"] + "/v1"
 	c := openai.NewClientWithConfig(config)
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	ctx, cancel := context.WithTimeout(context.Background(), conditionTimeout)
 	defer cancel()
 	models, err := c.ListModels(ctx)
 	ts.Check(err)
@@ -32,7 +32,7 @@
 	if want := standin.Completion("tie a bowline", 8); whole.Choices[0].Text != want {
 		ts.Fatalf("the library got %q, not %q", whole.Choices[0].Text, want)
 	}
-	chatByLibrary(ctx, ts, c, args[1])
+	streamChat(ctx, ts, c, args[1])
 	_, err = c.CreateCompletion(ctx, openai.CompletionRequest{Model: "none", Prompt: "x", MaxTokens: 1})
 	var failure *openai.APIError
 	if !errors.As(err, &failure) || failure.HTTPStatusCode != 404 || failure.Type != "unknown_model" {
@@ -40,7 +40,7 @@
 	}
 }
 
-func chatByLibrary(ctx context.Context, ts *testscript.TestScript, c *openai.Client, model string) {
+func streamChat(ctx context.Context, ts *testscript.TestScript, c *openai.Client, model string) {
 	stream, err := c.CreateChatCompletionStream(ctx, openai.ChatCompletionRequest{
 		Model: model, MaxCompletionTokens: 8, Messages: []openai.ChatCompletionMessage{{Role: "user", Content: "tie a bowline"}},
 	})
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -46,43 +46,43 @@
 
 // start KIND NAME [key=value...] starts a process on free ports.
 func start(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	plain, opts := options(args)
 	kind, name := plain[0], plain[len(plain)-1]
 	p := &process{name: name, role: kind}
 	var err error
 	switch kind {
 	case "platform", "engine", "service":
-		err = w.prepareStandin(p, opts)
+		err = h.prepareStandin(p, opts)
 	case "agent":
-		err = w.prepareAgent(p, opts)
+		err = h.prepareAgent(p, opts)
 	case "entry":
-		err = w.prepareEntry(p, opts)
+		err = h.prepareEntry(p, opts)
 	default:
 		ts.Fatalf("start: no kind %q", kind)
 	}
 	ts.Check(err)
-	ts.Check(w.launch(p))
-	w.procs[name] = p
+	ts.Check(h.launch(p))
+	h.processes[name] = p
 	if kind == "platform" {
-		await(ts, "start platform", func() string { return problem(w.publishVMs()) })
+		await(ts, "start platform", func() string { return errorText(h.publishVMs()) })
 	}
 }
 
-func problem(err error) string {
+func errorText(err error) string {
 	if err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
-func number(text string) int {
+func parseNumber(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
 
-func (w *world) prepareStandin(p *process, opts map[string]string) error {
-	addrs, err := pick("listen")
+func (h *harness) prepareStandin(p *process, opts map[string]string) error {
+	addrs, err := freeAddrs("listen")
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		"floor": "floor_watts", "max": "max_watts", "gap": "event_gap",
 	} {
 		if opts[option] != "" {
-			body[field] = number(opts[option])
+			body[field] = parseNumber(opts[option])
 		}
 	}
 	if opts["fencing"] == "yes" {
@@ -109,13 +109,13 @@
 	if opts["lag"] != "" {
 		body["list_lag"] = opts["lag"]
 	}
-	path, err := w.settings(p.name, body)
+	path, err := h.writeSettings(p.name, body)
 	p.args = []string{"standin", p.role, "--settings", path}
 	return err
 }
 
-func (w *world) node(p *process, opts map[string]string) (map[string]any, error) {
-	addrs, err := pick("listen", "operators", "callers")
+func (h *harness) nodeSettings(p *process, opts map[string]string) (map[string]any, error) {
+	addrs, err := freeAddrs("listen", "operators", "callers")
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	}
 	body := map[string]any{
 		"name": p.name, "data_centre": dc, "listen": addrs["listen"], "operators_listen": addrs["operators"],
-		"platform": w.procs["platform"].addrs["listen"], "heartbeat_interval": "100ms", "suspect_after": "1500ms",
+		"platform": h.processes["platform"].addrs["listen"], "heartbeat_interval": "100ms", "suspect_after": "1500ms",
 		"list_interval": "200ms", "list_lag": "3s",
 	}
 	addr := addrs["listen"]
@@ -137,7 +137,7 @@
 		addr = p.link.Addr()
 		body["advertise"] = addr
 	}
-	if seed := w.procs[opts["seeds"]]; seed != nil {
+	if seed := h.processes[opts["seeds"]]; seed != nil {
 		body["seeds"] = []string{seed.addrs["listen"]}
 	}
 	if opts["drain"] != "" {
@@ -146,20 +146,20 @@
 	if opts["lease"] != "" {
 		body["reservation_lease"] = opts["lease"]
 	}
-	w.vms = append(w.vms, vm{Name: p.name, Role: p.role, DataCentre: dc, Addr: addr, State: "live"})
-	return body, w.publishVMs()
+	h.vms = append(h.vms, vm{Name: p.name, Role: p.role, DataCentre: dc, Addr: addr, State: "live"})
+	return body, h.publishVMs()
 }
 
-func (w *world) publishVMs() error {
-	return w.post("http://"+w.procs["platform"].addrs["listen"]+"/control/vms", w.vms)
+func (h *harness) publishVMs() error {
+	return h.post("http://"+h.processes["platform"].addrs["listen"]+"/control/vms", h.vms)
 }
 
-func (w *world) prepareAgent(p *process, opts map[string]string) error {
-	body, err := w.node(p, opts)
+func (h *harness) prepareAgent(p *process, opts map[string]string) error {
+	body, err := h.nodeSettings(p, opts)
 	if err != nil {
 		return err
 	}
-	beside := w.procs[opts["beside"]]
+	beside := h.processes[opts["beside"]]
 	if beside == nil {
 		return fmt.Errorf("agent %s: beside= names no process", p.name)
 	}
@@ -167,37 +167,37 @@
 	if beside.role == "service" {
 		body["services"] = []string{"filing"}
 	}
-	path, err := w.settings(p.name, body)
+	path, err := h.writeSettings(p.name, body)
 	p.args = []string{"agent", "--settings", path}
 	return err
 }
 
-func (w *world) prepareEntry(p *process, opts map[string]string) error {
-	body, err := w.node(p, opts)
+func (h *harness) prepareEntry(p *process, opts map[string]string) error {
+	body, err := h.nodeSettings(p, opts)
 	if err != nil {
 		return err
 	}
-	body["callers_listen"], body["bootstrap_operator_sha256"] = p.addrs["callers"], operatorHash()
-	path, err := w.settings(p.name, body)
+	body["callers_listen"], body["bootstrap_operator_sha256"] = p.addrs["callers"], operatorKeyHash()
+	path, err := h.writeSettings(p.name, body)
 	p.args = []string{"entry", "--settings", path}
 	return err
 }
 
 // restart NAME... starts a process again on its old addresses, as a replaced VM.
 func restart(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	for _, name := range args {
-		p := w.proc(ts, name)
+		p := h.mustProcess(ts, name)
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		<-p.ended
-		ts.Check(w.launch(p))
+		ts.Check(h.launch(p))
 	}
 }
 
 func signalAll(ts *testscript.TestScript, args []string, s syscall.Signal) {
 	for _, name := range args {
-		of(ts).proc(ts, name).signal(s)
+		harnessOf(ts).mustProcess(ts, name).signal(s)
 	}
 }
 
@@ -205,7 +205,7 @@
 func crash(ts *testscript.TestScript, _ bool, args []string) {
 	signalAll(ts, args, syscall.SIGKILL)
 	for _, name := range args {
-		<-of(ts).proc(ts, name).ended
+		<-harnessOf(ts).mustProcess(ts, name).ended
 	}
 }
 
@@ -223,10 +223,10 @@
 // gone NAME [exit=CODE] waits for a process's end.
 func gone(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	p := of(ts).proc(ts, plain[0])
+	p := harnessOf(ts).mustProcess(ts, plain[0])
 	select {
 	case <-p.ended:
-	case <-time.After(generous):
+	case <-time.After(conditionTimeout):
 		ts.Fatalf("%s has not ended", p.name)
 	}
 	if want := opts["exit"]; want != "" && strconv.Itoa(p.cmd.ProcessState.ExitCode()) != want {
@@ -235,7 +235,7 @@
 }
 
 func linkOf(ts *testscript.TestScript, name string) *link.Link {
-	l := of(ts).proc(ts, name).link
+	l := harnessOf(ts).mustProcess(ts, name).link
 	if l == nil {
 		ts.Fatalf("%s was not started with link=yes", name)
 	}
@@ -266,9 +266,9 @@
 	case "down":
 		faults["down"] = true
 	case "slow":
-		faults["delay_ms"] = number(args[1])
+		faults["delay_ms"] = parseNumber(args[1])
 	case "lose-answer":
-		faults["lose_answers"], faults["lose_prefix"] = number(args[1]), args[2]
+		faults["lose_answers"], faults["lose_prefix"] = parseNumber(args[1]), args[2]
 	case "lose-answer-and-down":
 		faults["lose_answers"], faults["lose_prefix"], faults["down_after_lose"] = 1, args[1], true
 	case "stale":
@@ -276,8 +276,8 @@
 	default:
 		ts.Fatalf("platform: no fault %q", args[0])
 	}
-	w := of(ts)
-	ts.Check(w.post("http://"+w.proc(ts, "platform").addrs["listen"]+"/control/faults", faults))
+	h := harnessOf(ts)
+	ts.Check(h.post("http://"+h.mustProcess(ts, "platform").addrs["listen"]+"/control/faults", faults))
 }
 
 // fault NAME [key=value...] sets the faults of an engine or a service, by the
@@ -290,28 +290,28 @@
 		case "yes":
 			body[strings.ReplaceAll(key, "-", "_")] = true
 		default:
-			body[strings.ReplaceAll(key, "-", "_")] = number(value)
+			body[strings.ReplaceAll(key, "-", "_")] = parseNumber(value)
 		}
 	}
-	w := of(ts)
-	ts.Check(w.post("http://"+w.proc(ts, plain[0]).addrs["listen"]+"/control/faults", body))
+	h := harnessOf(ts)
+	ts.Check(h.post("http://"+h.mustProcess(ts, plain[0]).addrs["listen"]+"/control/faults", body))
 }
 
 // list NAME live|leaving|dropped changes the platform's list.
 func list(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	for i := range w.vms {
-		if w.vms[i].Name == args[0] {
-			w.vms[i].State = args[1]
+	h := harnessOf(ts)
+	for i := range h.vms {
+		if h.vms[i].Name == args[0] {
+			h.vms[i].State = args[1]
 		}
 	}
 	if args[1] == "dropped" {
-		w.vms = slices.DeleteFunc(w.vms, func(v vm) bool { return v.Name == args[0] })
+		h.vms = slices.DeleteFunc(h.vms, func(v vm) bool { return v.Name == args[0] })
 	}
-	ts.Check(w.publishVMs())
+	ts.Check(h.publishVMs())
 }
 
-func records(cap int) []*catalogue.Record {
+func catalogueRecords(cap int) []*catalogue.Record {
 	work := func(id string, work catalogue.Work) *catalogue.Record {
 		return &catalogue.Record{Type: catalogue.TypeWork, ID: id, Owner: "ops", Work: &work}
 	}
@@ -319,7 +319,7 @@
 		{Type: catalogue.TypeAccount, ID: "crew", Owner: "ops", Account: &catalogue.Account{KeySHA256: catalogue.HashKey(accountKey)}},
 		work("line-plan", catalogue.Work{
 			Class: "urgent", Model: "model-a", Repeatable: true,
-			Objective: &catalogue.Objective{FirstToken: settings.Duration(generous), Share: 0.95},
+			Objective: &catalogue.Objective{FirstToken: settings.Duration(conditionTimeout), Share: 0.95},
 		}),
 		work("excuse-draft", catalogue.Work{Class: "normal", Model: "model-a", Repeatable: true}),
 		work("season-audit", catalogue.Work{Class: "bulk", Model: "model-a", Repeatable: true}),
@@ -337,10 +337,10 @@
 // seed ENTRY [cap=WATTS] writes the scenarios' catalogue through an entry.
 func seed(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	for _, record := range records(number(opts["cap"])) {
+	h := harnessOf(ts)
+	for _, record := range catalogueRecords(parseNumber(opts["cap"])) {
 		await(ts, "seed", func() string {
-			if status, body := w.put(w.proc(ts, plain[0]), record, 0); status != http.StatusOK {
+			if status, body := h.put(h.mustProcess(ts, plain[0]), record, 0); status != http.StatusOK {
 				return fmt.Sprintf("%s: %d %s", record.Key(), status, body)
 			}
 			return ""
@@ -348,7 +348,7 @@
 	}
 }
 
-func (w *world) put(p *process, record *catalogue.Record, expect uint64) (int, []byte) {
+func (h *harness) put(p *process, record *catalogue.Record, expect uint64) (int, []byte) {
 	data, err := json.Marshal(record)
 	if err != nil {
 		return 0, nil
@@ -359,7 +359,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+operatorKey)
 	request.Header.Set("If-Match", strconv.FormatUint(expect, 10))
-	response, err := w.client.Do(request)
+	response, err := h.client.Do(request)
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
@@ -383,7 +383,7 @@
 	} `json:"sites"`
 }
 
-func (w *world) status(p *process) (entryStatus, error) {
+func (h *harness) status(p *process) (entryStatus, error) {
 	var status entryStatus
-	return status, w.get("http://"+p.addrs["operators"]+"/v1/status", &status)
+	return status, h.get("http://"+p.addrs["operators"]+"/v1/status", &status)
 }
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -20,10 +20,10 @@
 // ready ENTRY agents=N waits until an entry has the catalogue and hears N agents.
 func ready(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	await(ts, "ready "+p.name, func() string {
-		status, err := w.status(p)
+		status, err := h.status(p)
 		if err != nil {
 			return err.Error()
 		}
@@ -33,11 +33,11 @@
 				live++
 			}
 		}
-		if live < number(opts["agents"]) {
+		if live < parseNumber(opts["agents"]) {
 			return fmt.Sprintf("%d agents live", live)
 		}
 		var record catalogue.Record
-		if err := w.get("http://"+p.addrs["operators"]+"/v1/catalogue/account/crew", &record); err != nil {
+		if err := h.get("http://"+p.addrs["operators"]+"/v1/catalogue/account/crew", &record); err != nil {
 			return err.Error()
 		}
 		return ""
@@ -46,14 +46,14 @@
 
 // member ENTRY NODE STATE waits until an entry has a node in a state.
 func member(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	p := w.proc(ts, args[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, args[0])
 	began := time.Now()
 	defer func() {
 		ts.Logf("member: %s has %s as %s after %s", args[0], args[1], args[2], time.Since(began).Round(time.Millisecond))
 	}()
 	await(ts, "member "+args[1], func() string {
-		status, err := w.status(p)
+		status, err := h.status(p)
 		if err != nil {
 			return err.Error()
 		}
@@ -71,11 +71,11 @@
 
 // claim KEY STATE waits until the platform's store has a key's claim in a state.
 func claim(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	name := attempt.ClaimKey("crew", args[0])
 	await(ts, "claim "+args[0], func() string {
 		var keys map[string]string
-		if err := w.get("http://"+w.proc(ts, "platform").addrs["listen"]+"/record/keys?prefix="+name, &keys); err != nil {
+		if err := h.get("http://"+h.mustProcess(ts, "platform").addrs["listen"]+"/record/keys?prefix="+name, &keys); err != nil {
 			return err.Error()
 		}
 		found, err := attempt.DecodeClaim([]byte(keys[name]))
@@ -92,8 +92,8 @@
 // metric NAME METRIC MIN [MAX] waits until a process shows a metric of at least
 // MIN and at most MAX.
 func metric(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	p := w.proc(ts, args[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, args[0])
 	least, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
 	most := math.Inf(1)
@@ -133,14 +133,14 @@
 // the record at the entry's revision.
 func spread(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	base := "http://" + w.proc(ts, plain[0]).addrs["operators"] + "/v1/catalogue/work/" + plain[1]
+	h := harnessOf(ts)
+	base := "http://" + h.mustProcess(ts, plain[0]).addrs["operators"] + "/v1/catalogue/work/" + plain[1]
 	except := strings.Split(opts["except"], ",")
 	began := time.Now()
 	defer func() { ts.Logf("spread: seen after %s", time.Since(began).Round(time.Millisecond)) }()
 	await(ts, "spread", func() string {
 		var record catalogue.Record
-		if err := w.get(base, &record); err != nil {
+		if err := h.get(base, &record); err != nil {
 			return err.Error()
 		}
 		var answer struct {
@@ -149,7 +149,7 @@
 				InForce bool `json:"in_force"`
 			}
 		}
-		if err := w.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &answer); err != nil {
+		if err := h.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &answer); err != nil {
 			return err.Error()
 		}
 		for _, n := range answer.Nodes {
@@ -164,15 +164,15 @@
 // race ENTRY ENTRY ID A B has two operators edit one record from the same revision
 // through two entries at once: exactly one edit is accepted, and stays.
 func race(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	var current catalogue.Record
-	ts.Check(w.get("http://"+w.proc(ts, args[0]).addrs["operators"]+"/v1/catalogue/work/"+args[2], &current))
+	ts.Check(h.get("http://"+h.mustProcess(ts, args[0]).addrs["operators"]+"/v1/catalogue/work/"+args[2], &current))
 	statuses := make([]int, 2)
 	var editing sync.WaitGroup
 	for i := range 2 {
 		editing.Go(func() {
-			record := workRecord(args[2], number(args[3+i]))
-			statuses[i], _ = w.put(w.proc(ts, args[i]), record, current.Revision)
+			record := workRecord(args[2], parseNumber(args[3+i]))
+			statuses[i], _ = h.put(h.mustProcess(ts, args[i]), record, current.Revision)
 		})
 	}
 	editing.Wait()
@@ -186,11 +186,11 @@
 // entry; its output is then there for stdout and stderr. "! operate" wants it to
 // fail. An argument @TYPE/ID stands for that record's present revision.
 func operate(ts *testscript.TestScript, neg bool, args []string) {
-	p := of(ts).proc(ts, args[0])
+	p := harnessOf(ts).mustProcess(ts, args[0])
 	for i, arg := range args {
 		if key, found := strings.CutPrefix(arg, "@"); found {
 			var record catalogue.Record
-			ts.Check(of(ts).get("http://"+p.addrs["operators"]+"/v1/catalogue/"+key, &record))
+			ts.Check(harnessOf(ts).get("http://"+p.addrs["operators"]+"/v1/catalogue/"+key, &record))
 			args[i] = strconv.FormatUint(record.Revision, 10)
 		}
 	}
--- a/scenarios/world_test.go
+++ b/scenarios/harness_test.go
@@ -20,24 +20,24 @@
 	"aspenyard.example/standin/link"
 )
 
-// generous bounds every wait on a condition: a slow machine must not fail a
+// conditionTimeout bounds every wait on a condition: a slow machine must not fail a
 // scenario, and a broken system fails it by this time.
-const generous = 60 * time.Second
-
-const poll = 20 * time.Millisecond
-
-// world is one script's processes and calls.
-type world struct {
-	dir     string
-	binary  string
-	mu      sync.Mutex
-	procs   map[string]*process
-	calls   map[string]*callRecord // the last of each id
-	made    []*callRecord          // all
-	vms     []vm
-	client  *http.Client
-	watcher *wattsWatch
-	marks   map[string]int
+const conditionTimeout = 60 * time.Second
+
+const pollInterval = 20 * time.Millisecond
+
+// harness is one script's processes and calls.
+type harness struct {
+	dir        string
+	binary     string
+	mu         sync.Mutex
+	processes  map[string]*process
+	callsByID  map[string]*callRecord // the last of each id
+	calls      []*callRecord          // all
+	vms        []vm
+	client     *http.Client
+	caps       *capHistory
+	markedRuns map[string]int
 }
 
 // process is one running or ended process of the script.
@@ -52,7 +52,7 @@
 
 type vm struct{ Name, Role, DataCentre, Addr, State string }
 
-type worldKey struct{}
+type harnessKey struct{}
 
 func setup(env *testscript.Env) error {
 	binary := ""
@@ -65,20 +65,20 @@
 	if binary == "" {
 		return fmt.Errorf("no aspenyard on the script's PATH")
 	}
-	w := &world{
-		dir: env.WorkDir, binary: binary, procs: map[string]*process{}, calls: map[string]*callRecord{}, marks: map[string]int{},
+	h := &harness{
+		dir: env.WorkDir, binary: binary, processes: map[string]*process{}, callsByID: map[string]*callRecord{}, markedRuns: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	env.Values[worldKey{}] = w
-	env.Defer(w.stop)
+	env.Values[harnessKey{}] = h
+	env.Defer(h.stop)
 	return nil
 }
 
-func of(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func harnessOf(ts *testscript.TestScript) *harness { return ts.Value(harnessKey{}).(*harness) }
 
 // stop ends the processes that this script started, by their pids.
-func (w *world) stop() {
-	for _, p := range w.procs {
+func (h *harness) stop() {
+	for _, p := range h.processes {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		<-p.ended
@@ -97,13 +97,13 @@
 }
 
 // launch starts or restarts a process; its standard error goes to NAME.log.
-func (w *world) launch(p *process) error {
-	log, err := os.OpenFile(filepath.Join(w.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (h *harness) launch(p *process) error {
+	log, err := os.OpenFile(filepath.Join(h.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
-	p.cmd = exec.Command(w.binary, p.args...)
+	p.cmd = exec.Command(h.binary, p.args...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -116,17 +116,17 @@
 	return nil
 }
 
-func (w *world) settings(name string, body any) (string, error) {
+func (h *harness) writeSettings(name string, body any) (string, error) {
 	data, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(w.dir, name+".json")
+	path := filepath.Join(h.dir, name+".json")
 	return path, os.WriteFile(path, data, 0o644)
 }
 
 // addrs picks free addresses for a process's ports, once for its name.
-func pick(ports ...string) (map[string]string, error) {
+func freeAddrs(ports ...string) (map[string]string, error) {
 	addrs := map[string]string{}
 	for _, port := range ports {
 		addr, err := link.FreeAddr()
@@ -151,8 +151,8 @@
 	return plain, opts
 }
 
-func (w *world) proc(ts *testscript.TestScript, name string) *process {
-	p := w.procs[name]
+func (h *harness) mustProcess(ts *testscript.TestScript, name string) *process {
+	p := h.processes[name]
 	if p == nil {
 		ts.Fatalf("no process %q", name)
 	}
@@ -161,7 +161,7 @@
 
 // await polls until check gives "", and fails the script with what it last gave.
 func await(ts *testscript.TestScript, what string, check func() string) {
-	deadline := time.Now().Add(generous)
+	deadline := time.Now().Add(conditionTimeout)
 	for {
 		problem := check()
 		if problem == "" {
@@ -170,11 +170,11 @@
 		if time.Now().After(deadline) {
 			ts.Fatalf("%s: %s", what, problem)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (w *world) get(url string, into any) error {
+func (h *harness) get(url string, into any) error {
 	request, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 	return json.Unmarshal(data, into)
 }
 
-func (w *world) post(url string, body any) error {
+func (h *harness) post(url string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -219,4 +219,4 @@
 	accountKey  = "crew.secret"
 )
 
-func operatorHash() string { return catalogue.HashKey(operatorKey) }
+func operatorKeyHash() string { return catalogue.HashKey(operatorKey) }
--- a/scenarios/power_test.go
+++ b/scenarios/power_test.go
@@ -11,8 +11,8 @@
 	"aspenyard.example/catalogue"
 )
 
-// wattsWatch notes, while a script runs, since when which cap has been in force.
-type wattsWatch struct {
+// capHistory notes, while a script runs, since when which cap has been in force.
+type capHistory struct {
 	changes []capChange
 }
 
@@ -25,13 +25,13 @@
 // until some entry reports the new cap as in force, which counts from then on.
 func setCap(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	var record catalogue.Record
-	ts.Check(w.get("http://"+p.addrs["operators"]+"/v1/catalogue/site/port", &record))
+	ts.Check(h.get("http://"+p.addrs["operators"]+"/v1/catalogue/site/port", &record))
 	revision := record.Revision
-	record.Site.PowerCapWatts, record.Revision = uint64(number(plain[1])), 0
-	if status, body := w.put(p, &record, revision); status != http.StatusOK {
+	record.Site.PowerCapWatts, record.Revision = uint64(parseNumber(plain[1])), 0
+	if status, body := h.put(p, &record, revision); status != http.StatusOK {
 		ts.Fatalf("cap: %d %s", status, body)
 	}
 	if opts["in-force"] != "yes" {
@@ -39,25 +39,25 @@
 	}
 	await(ts, "cap in force", func() string {
 		seen := "no entry keeps the ledger"
-		for _, other := range w.procs {
+		for _, other := range h.processes {
 			if other.role != "entry" {
 				continue
 			}
-			status, err := w.status(other)
-			if err != nil || len(status.Sites) == 0 || !status.Sites[0].Known || status.Sites[0].CapWatts != number(plain[1]) {
+			status, err := h.status(other)
+			if err != nil || len(status.Sites) == 0 || !status.Sites[0].Known || status.Sites[0].CapWatts != parseNumber(plain[1]) {
 				continue
 			}
 			seen = fmt.Sprintf("%+v", status.Sites[0])
-			if status.Sites[0].InForceWatts <= number(plain[1]) {
+			if status.Sites[0].InForceWatts <= parseNumber(plain[1]) {
 				return ""
 			}
 		}
 		return seen
 	})
-	if w.watcher == nil {
-		w.watcher = &wattsWatch{}
+	if h.caps == nil {
+		h.caps = &capHistory{}
 	}
-	w.watcher.changes = append(w.watcher.changes, capChange{time.Now().UnixNano(), number(plain[1])})
+	h.caps.changes = append(h.caps.changes, capChange{time.Now().UnixNano(), parseNumber(plain[1])})
 }
 
 // watts cap=WATTS [over=WATTS] sums the engines' own records of their draw over
@@ -66,28 +66,28 @@
 // that the check cannot pass on an idle site.
 func watts(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
-	w := of(ts)
-	var steps []wattsStep
-	for name, p := range w.procs {
+	h := harnessOf(ts)
+	var steps []drawStep
+	for name, p := range h.processes {
 		if p.role != "engine" {
 			continue
 		}
-		record, err := w.engineRecord(p)
+		record, err := h.engineRecord(p)
 		ts.Check(err)
 		for _, at := range record.Watts {
-			steps = append(steps, wattsStep{at.UnixNano, name, at.Watts})
+			steps = append(steps, drawStep{at.UnixNano, name, at.Watts})
 		}
 	}
-	limit := number(opts["cap"])
+	limit := parseNumber(opts["cap"])
 	var changes []capChange
-	if w.watcher != nil {
-		changes = w.watcher.changes
+	if h.caps != nil {
+		changes = h.caps.changes
 	}
-	peak := peakOver(steps, func(at int64) int { return capAt(limit, changes, at) }, func(at int64, sum, cap int) {
+	peak := peakDraw(steps, func(at int64) int { return capAt(limit, changes, at) }, func(at int64, sum, cap int) {
 		ts.Fatalf("the engines drew %d W together under a cap of %d W, %s ago", sum, cap, time.Since(time.Unix(0, at)))
 	})
 	ts.Logf("watts: peak %d of %d", peak, limit)
-	if peak <= number(opts["over"]) {
+	if peak <= parseNumber(opts["over"]) {
 		ts.Fatalf("the engines never drew more than %d W", peak)
 	}
 }
@@ -96,11 +96,11 @@
 // is more than that.
 func drawing(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
+	h := harnessOf(ts)
 	await(ts, "drawing", func() string {
 		sum := 0
 		for _, name := range plain {
-			record, err := w.engineRecord(w.proc(ts, name))
+			record, err := h.engineRecord(h.mustProcess(ts, name))
 			if err != nil {
 				return err.Error()
 			}
@@ -108,14 +108,14 @@
 				sum += record.Watts[n-1].Watts
 			}
 		}
-		if sum > number(opts["over"]) {
+		if sum > parseNumber(opts["over"]) {
 			return ""
 		}
 		return fmt.Sprintf("%d W", sum)
 	})
 }
 
-type wattsStep struct {
+type drawStep struct {
 	at     int64
 	engine string
 	watts  int
@@ -130,8 +130,8 @@
 	return limit
 }
 
-// peakOver walks the steps in time and returns the highest sum.
-func peakOver(steps []wattsStep, cap func(at int64) int, exceeded func(at int64, sum, cap int)) int {
+// peakDraw walks the steps in time and returns the highest sum.
+func peakDraw(steps []drawStep, cap func(at int64) int, exceeded func(at int64, sum, cap int)) int {
 	sort.Slice(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
 	draw := map[string]int{}
 	sum, peak := 0, 0
@@ -150,11 +150,11 @@
 // keeper, has granted that much in sum and has heard that the agents apply it.
 func granted(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
+	h := harnessOf(ts)
 	await(ts, "granted", func() string {
 		seen := "no entry keeps the ledger"
 		for _, name := range plain {
-			status, err := w.status(w.proc(ts, name))
+			status, err := h.status(h.mustProcess(ts, name))
 			if err != nil || len(status.Sites) == 0 || !status.Sites[0].Known {
 				continue
 			}
@@ -163,7 +163,7 @@
 				applied += m.LimitWatts
 			}
 			seen = fmt.Sprintf("%+v, applied %d W", status.Sites[0], applied)
-			if status.Sites[0].CountedWatts >= number(opts["least"]) && applied >= number(opts["least"]) {
+			if status.Sites[0].CountedWatts >= parseNumber(opts["least"]) && applied >= parseNumber(opts["least"]) {
 				return ""
 			}
 		}
--- a/scenarios/records_test.go
+++ b/scenarios/records_test.go
@@ -9,14 +9,14 @@
 // mark ENGINE notes how many runs an engine's record has; unchanged ENGINE checks
 // that it has no more.
 func mark(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	w.marks[args[0]] = w.engineRuns(ts, args[0])
+	h := harnessOf(ts)
+	h.markedRuns[args[0]] = h.engineRuns(ts, args[0])
 }
 
 func unchanged(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	if now := w.engineRuns(ts, args[0]); now != w.marks[args[0]] {
-		ts.Fatalf("%s had %d runs and has %d", args[0], w.marks[args[0]], now)
+	h := harnessOf(ts)
+	if now := h.engineRuns(ts, args[0]); now != h.markedRuns[args[0]] {
+		ts.Fatalf("%s had %d runs and has %d", args[0], h.markedRuns[args[0]], now)
 	}
 }
 
@@ -24,9 +24,9 @@
 // that were cancelled.
 func cancelled(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w, count := of(ts), 0
+	h, count := harnessOf(ts), 0
 	for _, name := range plain {
-		record, err := w.engineRecord(w.proc(ts, name))
+		record, err := h.engineRecord(h.mustProcess(ts, name))
 		ts.Check(err)
 		for _, run := range record.Runs {
 			if run.Cancelled {
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	if count < number(opts["least"]) {
+	if count < parseNumber(opts["least"]) {
 		ts.Fatalf("%d runs were cancelled", count)
 	}
 }
@@ -42,17 +42,17 @@
 // served ENGINE calls for short work through the first entry until the engine's
 // record has a finished run.
 func served(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
-	entry := w.proc(ts, "n1")
+	h := harnessOf(ts)
+	entry := h.mustProcess(ts, "n1")
 	await(ts, "served", func() string {
-		record, err := w.engineRecord(w.proc(ts, args[0]))
+		record, err := h.engineRecord(h.mustProcess(ts, args[0]))
 		ts.Check(err)
 		for _, run := range record.Runs {
 			if run.Finished {
 				return ""
 			}
 		}
-		callOnce(ts, []string{entry.name, "line-plan"}, map[string]string{"as": "served", "deadline": "10s"})
+		startCall(ts, []string{entry.name, "line-plan"}, map[string]string{"as": "served", "deadline": "10s"})
 		return "no run has finished"
 	})
 }
@@ -62,22 +62,22 @@
 	plain, opts := options(args)
 	sum := 0
 	for _, name := range plain {
-		sum += of(ts).engineRuns(ts, name)
+		sum += harnessOf(ts).engineRuns(ts, name)
 	}
 	ts.Logf("total: %d runs", sum)
-	if sum > number(opts["most"]) {
+	if sum > parseNumber(opts["most"]) {
 		ts.Fatalf("%d runs on %v", sum, plain)
 	}
 }
 
-func (w *world) engineRuns(ts *testscript.TestScript, name string) int {
-	record, err := w.engineRecord(w.proc(ts, name))
+func (h *harness) engineRuns(ts *testscript.TestScript, name string) int {
+	record, err := h.engineRecord(h.mustProcess(ts, name))
 	ts.Check(err)
 	return len(record.Runs)
 }
 
 // engineRecord reads what an engine truly did.
-func (w *world) engineRecord(p *process) (standin.Record, error) {
+func (h *harness) engineRecord(p *process) (standin.Record, error) {
 	var record standin.Record
-	return record, w.get("http://"+p.addrs["listen"]+"/record", &record)
+	return record, h.get("http://"+p.addrs["listen"]+"/record", &record)
 }
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -19,7 +19,7 @@
 // parallelScripts bounds the scripts at once, and with them the processes.
 const parallelScripts = 3
 
-var slots = make(chan struct{}, parallelScripts)
+var scriptSlots = make(chan struct{}, parallelScripts)
 
 func TestScenarios(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txtar")
@@ -30,8 +30,8 @@
 		name := filepath.Base(script[:len(script)-len(".txtar")])
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			scriptSlots <- struct{}{}
+			defer func() { <-scriptSlots }()
 			testscript.Run(t, testscript.Params{
 				Files: []string{script},
 				Setup: setup,
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// thinkMean is the pause between two requests of a caller.
-	thinkMean = 120 * time.Millisecond
-	// moveOdds is one in how many requests a caller goes to another gateway although its
+	// meanThinkTime is the pause between two requests of a caller.
+	meanThinkTime = 120 * time.Millisecond
+	// switchOneIn is one in how many requests a caller goes to another gateway although its
 	// connection works.
-	moveOdds = 12
-	// leaveOdds is one in how many requests a caller leaves before the answer is whole.
-	leaveOdds = 15
-	// improperOdds is one in how many requests is improper.
-	improperOdds = 20
-	// patientOdds is one in how many requests waits longer than its route allows.
-	patientOdds    = 4
-	deadline       = 4 * time.Second
-	patience       = 15 * time.Second
-	mostLeaveDelay = 150 * time.Millisecond
-	mostRetryWait  = time.Second
-	outputTokens   = 200
+	switchOneIn = 12
+	// cancelOneIn is one in how many requests a caller leaves before the answer is whole.
+	cancelOneIn = 15
+	// invalidOneIn is one in how many requests is improper.
+	invalidOneIn = 20
+	// longDeadlineOneIn is one in how many requests waits longer than its route allows.
+	longDeadlineOneIn = 4
+	shortDeadline     = 4 * time.Second
+	longDeadline      = 15 * time.Second
+	maxCancelDelay    = 150 * time.Millisecond
+	maxRetryWait      = time.Second
+	outputTokens      = 200
 )
 
-// callers are all callers of a run.
-type callers struct {
+// callerPool are all callerPool of a run.
+type callerPool struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
 // startCallers starts them.
-func startCallers(ctx context.Context, w *world) *callers {
+func startCallers(ctx context.Context, h *harness) *callerPool {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &callers{cancel: cancel}
-	for i := range w.config.Callers {
-		one := &caller{world: w, name: fmt.Sprintf("c%d", i), rand: rand.New(rand.NewPCG(w.config.Seed, uint64(i+1)))}
-		c.running.Go(func() { one.run(ctx) })
+	c := &callerPool{cancel: cancel}
+	for i := range h.config.Callers {
+		newCaller := &caller{harness: h, name: fmt.Sprintf("c%d", i), rand: rand.New(rand.NewPCG(h.config.Seed, uint64(i+1)))}
+		c.running.Go(func() { newCaller.run(ctx) })
 	}
 	return c
 }
 
 // stop ends them; requests under way are left.
-func (c *callers) stop() {
+func (c *callerPool) stop() {
 	c.cancel()
 	c.running.Wait()
 }
 
 // caller sends one request after the other, on one connection as long as it works.
 type caller struct {
-	world   *world
+	harness *harness
 	name    string
 	rand    *rand.Rand
 	gateway *gateway
@@ -70,39 +70,39 @@
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(c.rand.ExpFloat64()*float64(thinkMean)))
-		if c.client == nil || c.rand.IntN(moveOdds) == 0 {
-			c.move()
+		sleep(ctx, time.Duration(c.rand.ExpFloat64()*float64(meanThinkTime)))
+		if c.client == nil || c.rand.IntN(switchOneIn) == 0 {
+			c.switchGateway()
 		}
-		if c.rand.IntN(improperOdds) == 0 {
-			c.improper(ctx)
+		if c.rand.IntN(invalidOneIn) == 0 {
+			c.sendInvalid(ctx)
 			continue
 		}
-		a := c.attempt(routes[c.rand.IntN(len(routes))])
-		retryAfter := c.send(ctx, a)
-		if c.mayRetry(a) && ctx.Err() == nil {
-			sleep(ctx, min(retryAfter, mostRetryWait))
-			c.move()
-			again := c.attempt(a.Route)
+		req := c.newRequest(routes[c.rand.IntN(len(routes))])
+		retryAfter := c.send(ctx, req)
+		if c.mayRetry(req) && ctx.Err() == nil {
+			sleep(ctx, min(retryAfter, maxRetryWait))
+			c.switchGateway()
+			again := c.newRequest(req.Route)
 			c.send(ctx, again)
 		}
-		if !a.Complete {
+		if !req.Complete {
 			c.client = nil
 		}
 	}
 }
 
-// move goes to a gateway that is ready, over a new connection; to any when less than
+// switchGateway goes to a gateway that is ready, over a new connection; to any when less than
 // half are, as the platform's balancer does.
-func (c *caller) move() {
+func (c *caller) switchGateway() {
 	var ready []*gateway
-	for _, g := range c.world.gateways {
+	for _, g := range c.harness.gateways {
 		if g.isReady() {
 			ready = append(ready, g)
 		}
 	}
-	if 2*len(ready) < len(c.world.gateways) {
-		ready = c.world.gateways
+	if 2*len(ready) < len(c.harness.gateways) {
+		ready = c.harness.gateways
 	}
 	if c.client != nil {
 		c.client.CloseIdleConnections()
@@ -113,122 +113,122 @@
 
 // mayRetry tells whether a caller may ask again: after a promise that the request has
 // not run, or after any failure of what may run twice.
-func (c *caller) mayRetry(a *Request) bool {
+func (c *caller) mayRetry(req *Request) bool {
 	switch {
-	case a.Cancelled || a.succeeded():
+	case req.Cancelled || req.succeeded():
 		return false
-	case a.promisesNotRun():
+	case req.saysNotRun():
 		return true
-	case !a.Route.Repeatable():
+	case !req.Route.Repeatable():
 		return false
 	}
-	return !a.Complete || a.Status >= http.StatusInternalServerError
+	return !req.Complete || req.Status >= http.StatusInternalServerError
 }
 
-func (c *caller) attempt(route *Route) *Request {
+func (c *caller) newRequest(route *Route) *Request {
 	c.sent++
-	a := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentLife(), Deadline: deadline}
-	a.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, a.ID, c.sent)
-	a.Body = "body of " + a.ID
-	a.APIKey = []string{keyPlain, keyPlain, keyCounted, keyGuest}[c.rand.IntN(4)]
-	if c.rand.IntN(patientOdds) == 0 {
-		a.Deadline = patience
+	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
+	req.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, req.ID, c.sent)
+	req.Body = "body of " + req.ID
+	req.APIKey = []string{keyPlain, keyPlain, keyPerEdit, keyGuest}[c.rand.IntN(4)]
+	if c.rand.IntN(longDeadlineOneIn) == 0 {
+		req.Deadline = longDeadline
 	}
-	return a
+	return req
 }
 
 // send sends an attempt and notes what came of it; it gives what Retry-After says.
-func (c *caller) send(ctx context.Context, a *Request) (retryAfter time.Duration) {
-	defer c.world.record.addAttempt(a)
-	ctx, cancel := context.WithTimeout(ctx, a.Deadline)
+func (c *caller) send(ctx context.Context, req *Request) (retryAfter time.Duration) {
+	defer c.harness.record.addRequest(req)
+	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
 	defer cancel()
-	if c.rand.IntN(leaveOdds) == 0 {
-		time.AfterFunc(time.Duration(c.rand.Int64N(int64(mostLeaveDelay))), cancel)
+	if c.rand.IntN(cancelOneIn) == 0 {
+		time.AfterFunc(time.Duration(c.rand.Int64N(int64(maxCancelDelay))), cancel)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway.callers.Addr()+a.RequestURI, strings.NewReader(a.Body))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway.callers.Addr()+req.RequestURI, strings.NewReader(req.Body))
 	if err != nil {
 		panic(err) // the address and target are our own
 	}
-	request.Host = host
-	c.fill(request.Header, a)
-	a.SentAt = time.Now()
-	response, err := c.client.Do(request)
+	httpRequest.Host = host
+	c.setHeaders(httpRequest.Header, req)
+	req.SentAt = time.Now()
+	response, err := c.client.Do(httpRequest)
 	if err == nil {
-		a.Status = response.StatusCode
-		a.EchoedID, a.HasServerStamp = platform.ParseResponseHeaders(response.Header)
+		req.Status = response.StatusCode
+		req.EchoedID, req.HasServerStamp = platform.ParseResponseHeaders(response.Header)
 		retryAfter, _ = time.ParseDuration(response.Header.Get("Retry-After") + "s")
 		var text []byte
 		text, err = io.ReadAll(response.Body)
 		_ = response.Body.Close()
-		a.ResponseBody = string(text)
+		req.ResponseBody = string(text)
 	}
-	a.EndedAt, a.Complete = time.Now(), err == nil
-	a.Cancelled = err != nil && ctx.Err() != nil
+	req.EndedAt, req.Complete = time.Now(), err == nil
+	req.Cancelled = err != nil && ctx.Err() != nil
 	return retryAfter
 }
 
-// fill sets the headers of a caller, and some that callers may not set.
-func (c *caller) fill(h http.Header, a *Request) {
-	call := platform.CallHeaders{ID: a.ID, APIKey: a.APIKey, Deadline: a.Deadline, PromptTokens: a.Route.PromptTokens, OutputTokens: outputTokens}
+// setHeaders sets the headers of a caller, and some that callers may not set.
+func (c *caller) setHeaders(h http.Header, req *Request) {
+	call := platform.CallHeaders{ID: req.ID, APIKey: req.APIKey, Deadline: req.Deadline, PromptTokens: req.Route.PromptTokens, OutputTokens: outputTokens}
 	call.SetHeaders(h)
 	platform.SetForgedHeaders(h)
 }
 
-// improper sends a request that must be refused and reach no endpoint.
-func (c *caller) improper(ctx context.Context) {
-	a := c.attempt(routes[0])
-	a.APIKey = keyPlain
+// sendInvalid sends a request that must be refused and reach no endpoint.
+func (c *caller) sendInvalid(ctx context.Context) {
+	req := c.newRequest(routes[0])
+	req.APIKey = keyPlain
 	switch c.rand.IntN(5) {
 	case 0:
-		a.APIKey, a.ExpectedStatus = "key-unknown", http.StatusUnauthorized
+		req.APIKey, req.ExpectedStatus = "key-unknown", http.StatusUnauthorized
 	case 1:
-		a.RequestURI, a.ExpectedStatus = "/nowhere/"+a.ID, http.StatusNotFound
+		req.RequestURI, req.ExpectedStatus = "/nowhere/"+req.ID, http.StatusNotFound
 	case 2:
-		a.Body, a.ExpectedStatus = strings.Repeat("x", 70_000), http.StatusRequestEntityTooLarge
+		req.Body, req.ExpectedStatus = strings.Repeat("x", 70_000), http.StatusRequestEntityTooLarge
 	case 3:
-		a.RequestURI, a.ExpectedStatus = "/once/"+strings.Repeat("x", 9000), http.StatusRequestHeaderFieldsTooLarge
+		req.RequestURI, req.ExpectedStatus = "/once/"+strings.Repeat("x", 9000), http.StatusRequestHeaderFieldsTooLarge
 	default:
-		c.smuggle(ctx, a)
+		c.smuggle(ctx, req)
 		return
 	}
-	c.send(ctx, a)
+	c.send(ctx, req)
 	c.client = nil
 }
 
 // smuggle sends a request that gives two lengths of its body, with a second one hidden
 // in it: whoever reads the body by the other length would run the second.
-func (c *caller) smuggle(ctx context.Context, a *Request) {
-	defer c.world.record.addAttempt(a)
-	a.ExpectedStatus, a.SentAt = http.StatusBadRequest, time.Now()
-	defer func() { a.EndedAt = time.Now() }()
+func (c *caller) smuggle(ctx context.Context, req *Request) {
+	defer c.harness.record.addRequest(req)
+	req.ExpectedStatus, req.SentAt = http.StatusBadRequest, time.Now()
+	defer func() { req.EndedAt = time.Now() }()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.gateway.callers.Addr())
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(a.SentAt.Add(a.Deadline))
-	hidden := c.hidden(a)
+	_ = conn.SetDeadline(req.SentAt.Add(req.Deadline))
+	hidden := c.smuggledRequest(req)
 	body := "0\r\n\r\n" + hidden
-	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", a.RequestURI, host, c.headerText(a), len(body), body)
+	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", req.RequestURI, host, c.encodeHeaders(req), len(body), body)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return
 	}
 	_ = response.Body.Close()
-	a.Status, a.Complete = response.StatusCode, true
+	req.Status, req.Complete = response.StatusCode, true
 }
 
-// hidden is the text of a request that nobody sends, under an ID of its own.
-func (c *caller) hidden(a *Request) string {
-	inner := *a
-	inner.ID = "hidden-" + a.ID
-	return fmt.Sprintf("POST /once/hidden HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", host, c.headerText(&inner))
+// smuggledRequest is the text of a request that nobody sends, under an ID of its own.
+func (c *caller) smuggledRequest(req *Request) string {
+	inner := *req
+	inner.ID = "hidden-" + req.ID
+	return fmt.Sprintf("POST /once/hidden HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", host, c.encodeHeaders(&inner))
 }
 
-// headerText is the headers of a request as they go over the wire.
-func (c *caller) headerText(a *Request) string {
+// encodeHeaders is the headers of a request as they go over the wire.
+func (c *caller) encodeHeaders(req *Request) string {
 	h := http.Header{}
-	c.fill(h, a)
+	c.setHeaders(h, req)
 	var text bytes.Buffer
 	_ = h.Write(&text)
 	return text.String()
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -8,215 +8,215 @@
 	"time"
 )
 
-// life is one life of a gateway.
-type life struct {
+// incarnation is one incarnation of a gateway.
+type incarnation struct {
 	gateway string
 	number  int
 }
 
-// neverReverts finds gateways that handled a request by an older edit than one that an
+// checkConfigNeverReverts finds gateways that handled a request by an older edit than one that an
 // endpoint had seen the effect of before the request was sent.
-func neverReverts(e *evidence) []string {
+func checkConfigNeverReverts(ix *indexedRecord) []string {
 	type seen struct {
 		sent, arrived time.Time
 		edit          int
 		attempt       *Request
 	}
-	lives := map[life][]seen{}
-	for i := range e.Arrivals {
-		run := &e.Arrivals[i]
-		a := e.attempts[run.ID]
-		if a == nil || !run.Ran || a.APIKey != keyCounted || a.Incarnation < 0 {
+	lives := map[incarnation][]seen{}
+	for i := range ix.Arrivals {
+		run := &ix.Arrivals[i]
+		req := ix.requestsByID[run.ID]
+		if req == nil || !run.Ran || req.APIKey != keyPerEdit || req.Incarnation < 0 {
 			continue
 		}
-		if edit := e.editOf(run.Account); edit >= 0 {
-			of := life{a.Gateway, a.Incarnation}
-			lives[of] = append(lives[of], seen{a.SentAt, run.ArrivedAt, edit, a})
+		if edit := ix.editOfAccount(run.Account); edit >= 0 {
+			of := incarnation{req.Gateway, req.Incarnation}
+			lives[of] = append(lives[of], seen{req.SentAt, run.ArrivedAt, edit, req})
 		}
 	}
-	var list []string
+	var findings []string
 	for _, all := range lives {
-		for _, one := range all {
-			for _, two := range all {
-				if two.edit < one.edit && two.sent.After(one.arrived.Add(revertSlack)) {
-					list = append(list, fmt.Sprintf("%s was handled by edit %d, %v after %s by edit %d", about(two.attempt), two.edit, two.sent.Sub(one.arrived), one.attempt.ID, one.edit))
+		for _, first := range all {
+			for _, second := range all {
+				if second.edit < first.edit && second.sent.After(first.arrived.Add(revertSlack)) {
+					findings = append(findings, fmt.Sprintf("%s was handled by edit %d, %v after %s by edit %d", describe(second.attempt), second.edit, second.sent.Sub(first.arrived), first.attempt.ID, first.edit))
 				}
 			}
 		}
 	}
-	return list
+	return findings
 }
 
-// editsInForce finds requests that were handled as only older edits allow, later than
+// checkConfigApplied finds requests that were handled as only older edits allow, later than
 // an edit must be in force.
-func editsInForce(e *evidence) []string {
-	return e.each(func(a *Request) string {
-		newest := sort.Search(len(e.Edits), func(i int) bool { return e.Edits[i].AckedAt.Add(configWithin).After(a.SentAt) }) - 1
-		if newest < 0 || !e.calm(a.Gateway, e.Edits[newest].AckedAt, a.EndedAt, true) {
+func checkConfigApplied(ix *indexedRecord) []string {
+	return ix.findRequests(func(req *Request) string {
+		newest := sort.Search(len(ix.Edits), func(i int) bool { return ix.Edits[i].AckedAt.Add(configWithin).After(req.SentAt) }) - 1
+		if newest < 0 || !ix.undisturbed(req.Gateway, ix.Edits[newest].AckedAt, req.EndedAt, true) {
 			return ""
 		}
-		if edit := e.handledBy(a); edit >= 0 && edit < newest {
-			return fmt.Sprintf("handled by edit %d, %v after edit %d", edit, a.SentAt.Sub(e.Edits[newest].AckedAt), newest)
+		if edit := ix.handlingEdit(req); edit >= 0 && edit < newest {
+			return fmt.Sprintf("handled by edit %d, %v after edit %d", edit, req.SentAt.Sub(ix.Edits[newest].AckedAt), newest)
 		}
-		if e.deniedBy(a, newest) {
-			return fmt.Sprintf("status %d, which only edits before %d allow", a.Status, newest)
+		if ix.deniedSince(req, newest) {
+			return fmt.Sprintf("status %d, which only edits before %d allow", req.Status, newest)
 		}
 		return ""
 	})
 }
 
-// handledBy gives the edit by which an attempt was handled, where that can be told; -1:
+// handlingEdit gives the edit by which an attempt was handled, where that can be told; -1:
 // it can't.
-func (e *evidence) handledBy(a *Request) int {
-	for _, run := range e.runs[a.ID] {
-		if run.Ran && a.APIKey == keyCounted {
-			return e.editOf(run.Account)
+func (ix *indexedRecord) handlingEdit(req *Request) int {
+	for _, run := range ix.arrivalsByID[req.ID] {
+		if run.Ran && req.APIKey == keyPerEdit {
+			return ix.editOfAccount(run.Account)
 		}
 	}
 	return -1
 }
 
-// deniedBy tells whether an attempt was refused for a route or key that is in an edit
+// deniedSince tells whether an attempt was refused for a route or key that is in an edit
 // and in all that were begun before the attempt ended.
-func (e *evidence) deniedBy(a *Request, newest int) bool {
-	if !a.Complete || a.ExpectedStatus != 0 || a.HasServerStamp {
+func (ix *indexedRecord) deniedSince(req *Request, newest int) bool {
+	if !req.Complete || req.ExpectedStatus != 0 || req.HasServerStamp {
 		return false
 	}
-	for _, edit := range e.Edits[newest:] {
-		if edit.WrittenAt.After(a.EndedAt) {
+	for _, edit := range ix.Edits[newest:] {
+		if edit.WrittenAt.After(req.EndedAt) {
 			break
 		}
-		lacksRoute := a.Status == http.StatusNotFound && a.Route.Optional && !edit.HasExtraRoute
-		lacksKey := a.Status == http.StatusUnauthorized && a.APIKey == keyGuest && !edit.HasGuestKey
+		lacksRoute := req.Status == http.StatusNotFound && req.Route.Optional && !edit.HasExtraRoute
+		lacksKey := req.Status == http.StatusUnauthorized && req.APIKey == keyGuest && !edit.HasGuestKey
 		if lacksRoute || lacksKey {
 			return false
 		}
 	}
-	return a.Status == http.StatusNotFound || a.Status == http.StatusUnauthorized
+	return req.Status == http.StatusNotFound || req.Status == http.StatusUnauthorized
 }
 
-// answeredInTime finds requests without a final answer after their route's timeout.
-func answeredInTime(e *evidence) []string {
+// checkTimeouts finds requests without a final answer after their route's timeout.
+func checkTimeouts(ix *indexedRecord) []string {
 	long := 0
-	list := e.each(func(a *Request) string {
-		took := a.EndedAt.Sub(a.SentAt)
-		if took < a.Route.Timeout || !e.calm(a.Gateway, a.SentAt, a.EndedAt, false) {
+	findings := ix.findRequests(func(req *Request) string {
+		took := req.EndedAt.Sub(req.SentAt)
+		if took < req.Route.Timeout || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt, false) {
 			return ""
 		}
 		long++
-		if took > a.Route.Timeout+timeoutSlack {
-			return fmt.Sprintf("%v, the route allows %v", took, a.Route.Timeout)
+		if took > req.Route.Timeout+timeoutSlack {
+			return fmt.Sprintf("%v, the route allows %v", took, req.Route.Timeout)
 		}
 		return ""
 	})
-	if 2*len(list) <= long {
+	if 2*len(findings) <= long {
 		return nil
 	}
-	return list
+	return findings
 }
 
-// leavingLeftAlone finds requests that reached an endpoint later than it must be left
+// checkLeavingEndpoints finds requests that reached an endpoint later than it must be left
 // alone after its word that it leaves.
-func leavingLeftAlone(e *evidence) []string {
+func checkLeavingEndpoints(ix *indexedRecord) []string {
 	left := map[string]time.Time{}
-	for _, d := range e.Departures {
+	for _, d := range ix.Departures {
 		left[d.Endpoint] = d.AckedAt
 	}
-	var list []string
-	for i := range e.Arrivals {
-		run := &e.Arrivals[i]
+	var findings []string
+	for i := range ix.Arrivals {
+		run := &ix.Arrivals[i]
 		acked, leaving := left[run.Endpoint]
-		a := e.attempts[run.ID]
-		if !leaving || a == nil || run.Status == http.StatusMisdirectedRequest || !run.ArrivedAt.After(acked.Add(leavingWithin)) {
+		req := ix.requestsByID[run.ID]
+		if !leaving || req == nil || run.Status == http.StatusMisdirectedRequest || !run.ArrivedAt.After(acked.Add(leavingWithin)) {
 			continue
 		}
-		if e.calm(a.Gateway, acked, run.ArrivedAt, true) {
-			list = append(list, fmt.Sprintf("%s reached %s %v after it said that it leaves", about(a), run.Endpoint, run.ArrivedAt.Sub(acked)))
+		if ix.undisturbed(req.Gateway, acked, run.ArrivedAt, true) {
+			findings = append(findings, fmt.Sprintf("%s reached %s %v after it said that it leaves", describe(req), run.Endpoint, run.ArrivedAt.Sub(acked)))
 		}
 	}
-	return list
+	return findings
 }
 
-// plannedWorkCutsNothing finds requests that had reached a sound endpoint and got no
+// checkNoRequestCut finds requests that had reached a sound endpoint and got no
 // whole answer, without an unplanned disturbance of their gateway.
-func plannedWorkCutsNothing(e *evidence) []string {
-	return e.each(func(a *Request) string {
-		runs := e.runs[a.ID]
-		if a.Complete || a.Cancelled || len(runs) == 0 || !e.calm(a.Gateway, a.SentAt, a.EndedAt, false) {
+func checkNoRequestCut(ix *indexedRecord) []string {
+	return ix.findRequests(func(req *Request) string {
+		runs := ix.arrivalsByID[req.ID]
+		if req.Complete || req.Cancelled || len(runs) == 0 || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt, false) {
 			return ""
 		}
 		for _, run := range runs {
-			if !e.soundEndpoint(run) {
+			if !ix.endpointUndisturbed(run) {
 				return ""
 			}
 		}
-		return fmt.Sprintf("no whole answer after %v", a.EndedAt.Sub(a.SentAt))
+		return fmt.Sprintf("no whole answer after %v", req.EndedAt.Sub(req.SentAt))
 	})
 }
 
-// workEndsWithCaller finds endpoints that worked on for callers who had left.
-func workEndsWithCaller(e *evidence) []string {
+// checkRunsCancelled finds endpoints that worked on for callers who had left.
+func checkRunsCancelled(ix *indexedRecord) []string {
 	long := 0
-	list := e.each(func(a *Request) string {
-		if !a.Cancelled || !a.Route.Repeatable() || !e.calm(a.Gateway, a.SentAt, a.EndedAt.Add(goneBound), false) {
+	findings := ix.findRequests(func(req *Request) string {
+		if !req.Cancelled || !req.Route.Repeatable() || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt.Add(maxRunAfterCancel), false) {
 			return ""
 		}
-		for _, run := range e.runs[a.ID] {
-			if !run.Ran || !e.soundEndpoint(run) {
+		for _, run := range ix.arrivalsByID[req.ID] {
+			if !run.Ran || !ix.endpointUndisturbed(run) {
 				continue
 			}
 			long++
-			if over := endOf(run).Sub(a.EndedAt); over > goneBound {
+			if over := runEnd(run).Sub(req.EndedAt); over > maxRunAfterCancel {
 				return fmt.Sprintf("%s worked on for %v", run.Endpoint, over)
 			}
 		}
 		return ""
 	})
-	if len(list) <= max(fewExceptions, long/goneShare) {
+	if len(findings) <= max(allowedExceptions, long/runsPerAllowedLateCancel) {
 		return nil
 	}
-	return list
+	return findings
 }
 
 // linkDisturbed tells whether the store or any link was disturbed between two times: a
 // gateway may then not know that a run has ended.
-func (e *evidence) linkDisturbed(from, to time.Time) bool {
-	return slices.ContainsFunc(e.Disturbances, func(d *Disturbance) bool {
+func (ix *indexedRecord) linkDisturbed(from, to time.Time) bool {
+	return slices.ContainsFunc(ix.Disturbances, func(d *Disturbance) bool {
 		ofLink := d.Kind == kindStoreLink || d.Kind == kindCallersLink || d.Kind == kindEndpointLink
 		ofStore := d.Gateway == "" && d.Endpoint == ""
 		return (ofLink || ofStore) && d.overlaps(from, to)
 	})
 }
 
-// memoryGivenBack finds reservations that outlived the last run that used them.
-func memoryGivenBack(e *evidence) []string {
-	var list []string
-	for _, hold := range e.Reservations {
-		last, used := e.lastUse(hold.ID)
-		if used && hold.LastSeen.Sub(last) > leakBound && !e.linkDisturbed(last, hold.LastSeen) {
-			list = append(list, fmt.Sprintf("%s is held at %s %v after its last use", hold.ID, hold.Endpoint, hold.LastSeen.Sub(last)))
+// checkReservationsReleased finds reservations that outlived the last run that used them.
+func checkReservationsReleased(ix *indexedRecord) []string {
+	var findings []string
+	for _, hold := range ix.Reservations {
+		last, used := ix.lastUse(hold.ID)
+		if used && hold.LastSeen.Sub(last) > maxHeldAfterUse && !ix.linkDisturbed(last, hold.LastSeen) {
+			findings = append(findings, fmt.Sprintf("%s is held at %s %v after its last use", hold.ID, hold.Endpoint, hold.LastSeen.Sub(last)))
 		}
 	}
-	return list
+	return findings
 }
 
-// memoryNotIdle finds reservations that were held for long and never used.
-func memoryNotIdle(e *evidence) []string {
-	var list []string
-	for _, hold := range e.Reservations {
-		if _, used := e.lastUse(hold.ID); !used && hold.LastSeen.Sub(hold.FirstSeen) > stuckBound && !e.linkDisturbed(hold.FirstSeen, hold.LastSeen) {
-			list = append(list, fmt.Sprintf("%s is held at %s for %v and was never used", hold.ID, hold.Endpoint, hold.LastSeen.Sub(hold.FirstSeen)))
+// checkReservationsUsed finds reservations that were held for long and never used.
+func checkReservationsUsed(ix *indexedRecord) []string {
+	var findings []string
+	for _, hold := range ix.Reservations {
+		if _, used := ix.lastUse(hold.ID); !used && hold.LastSeen.Sub(hold.FirstSeen) > maxHeldUnused && !ix.linkDisturbed(hold.FirstSeen, hold.LastSeen) {
+			findings = append(findings, fmt.Sprintf("%s is held at %s for %v and was never used", hold.ID, hold.Endpoint, hold.LastSeen.Sub(hold.FirstSeen)))
 		}
 	}
-	return list
+	return findings
 }
 
 // lastUse is when the last run that used a reservation ended.
-func (e *evidence) lastUse(ticket string) (last time.Time, used bool) {
-	for _, run := range e.users[ticket] {
-		if end := endOf(run); end.After(last) {
+func (ix *indexedRecord) lastUse(ticket string) (last time.Time, used bool) {
+	for _, run := range ix.runsByReservation[ticket] {
+		if end := runEnd(run); end.After(last) {
 			last = end
 		}
 	}
-	return last, len(e.users[ticket]) > 0
+	return last, len(ix.runsByReservation[ticket]) > 0
 }
--- a/soak/cmd/aspenyard-soak/main.go
+++ b/soak/cmd/aspenyard-soak/main.go
@@ -18,20 +18,20 @@
 	"aspenyard.example/soak"
 )
 
-// product is the first word that makes this binary behave as the product.
-const product = "aspenyard"
+// productArgument is the first word that makes this binary behave as the productArgument.
+const productArgument = "aspenyard"
 
 type args struct {
-	Seed     uint64        `arg:"--seed" default:"1" help:"the first run's seed"`
-	Runs     int           `arg:"--runs" default:"1" help:"how many seeds, one after the other"`
-	For      time.Duration `arg:"--for" default:"20s" help:"how long faults come, in each run"`
-	Gateways int           `arg:"--gateways" default:"8" help:"how many gateway processes, 1 to 300"`
-	Engines  int           `arg:"--engines" default:"8" help:"how many model endpoints"`
-	Kinds    []string      `arg:"--kinds" placeholder:"KIND" help:"only these kinds of faults"`
-	First    int           `arg:"--first-kinds" placeholder:"N" help:"only the first N kinds of faults, as a kept seed says"`
-	Callers  int           `arg:"--callers" help:"how many callers; 3 a gateway if left out"`
-	Untimed  bool          `arg:"--untimed" help:"check no promise that has a bound in time, for busy machines"`
-	Keep     bool          `arg:"--keep" help:"keep the logs of runs that broke no promise, too"`
+	Seed       uint64        `arg:"--seed" default:"1" help:"the first run's seed"`
+	Runs       int           `arg:"--runs" default:"1" help:"how many seeds, one after the other"`
+	For        time.Duration `arg:"--for" default:"20s" help:"how long faults come, in each run"`
+	Gateways   int           `arg:"--gateways" default:"8" help:"how many gateway processes, 1 to 300"`
+	Engines    int           `arg:"--engines" default:"8" help:"how many model endpoints"`
+	Kinds      []string      `arg:"--kinds" placeholder:"KIND" help:"only these kinds of faults"`
+	FirstKinds int           `arg:"--first-kinds" placeholder:"N" help:"only the first N kinds of faults, as a kept seed says"`
+	Callers    int           `arg:"--callers" help:"how many callers; 3 a gateway if left out"`
+	Untimed    bool          `arg:"--untimed" help:"check no promise that has a bound in time, for busy machines"`
+	Keep       bool          `arg:"--keep" help:"keep the logs of runs that broke no promise, too"`
 }
 
 // Description implements arg.Described.
@@ -40,14 +40,14 @@
 }
 
 func main() {
-	if len(os.Args) > 1 && os.Args[1] == product {
+	if len(os.Args) > 1 && os.Args[1] == productArgument {
 		os.Args = append(os.Args[:1], os.Args[2:]...)
 		os.Exit(cli.Main())
 	}
 	var a args
 	parser := arg.MustParse(&a)
-	if a.First != 0 {
-		kinds, err := soak.FirstFaultKinds(a.First)
+	if a.FirstKinds != 0 {
+		kinds, err := soak.FirstFaultKinds(a.FirstKinds)
 		if err != nil {
 			parser.Fail(err.Error())
 		}
@@ -84,7 +84,7 @@
 	}
 	report, err := soak.Run(ctx, soak.Config{
 		Seed: seed, Duration: a.For, Gateways: a.Gateways, Engines: a.Engines, Callers: a.Callers, FaultKinds: a.Kinds, CheckTimeBounds: !a.Untimed, Dir: dir,
-		Command: []string{self, product, "gateway", "--settings"},
+		Command: []string{self, productArgument, "gateway", "--settings"},
 	})
 	if err != nil {
 		return nil, err
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -12,38 +12,38 @@
 const (
 	// crashBody is the body of the request that ends every endpoint that runs it.
 	crashBody = "crashes whoever runs it"
-	// crashPause is the time between two copies of it.
-	crashPause = 60 * time.Millisecond
-	// crashesKnown of it, and contact after the last of them, no node sends it more often than
-	// crashRetries.
-	crashesKnown, crashRetries = 3, 3
+	// crashInterval is the time between two copies of it.
+	crashInterval = 60 * time.Millisecond
+	// crashesToQuarantine of it, and contact after the last of them, no node sends it more often than
+	// maxSendsAfterQuarantine.
+	crashesToQuarantine, maxSendsAfterQuarantine = 3, 3
 )
 
-// crashingRequest sends one request that crashes endpoints again and again, at all gateways in turn.
-func crashingRequest(w *world, f *Fault) {
+// sendCrashingRequest sends one request that crashes endpoints again and again, at all gateways in turn.
+func sendCrashingRequest(h *harness, f *Fault) {
 	route := routes[f.Port%len(routes)]
-	c := &caller{world: w, name: fmt.Sprintf("x%d", f.Start), rand: rand.New(rand.NewPCG(w.config.Seed, uint64(f.Start)))}
-	for until := time.Now().Add(f.Duration + contact); time.Now().Before(until) && w.stopped.Err() == nil; {
-		c.move()
-		a := c.attempt(route)
-		a.RequestURI, a.Body, a.APIKey = fmt.Sprintf("/%s/%s", route.Name, c.name), crashBody, keyPlain
-		c.send(w.stopped, a)
-		time.Sleep(crashPause)
+	c := &caller{harness: h, name: fmt.Sprintf("x%d", f.Start), rand: rand.New(rand.NewPCG(h.config.Seed, uint64(f.Start)))}
+	for until := time.Now().Add(f.Duration + calmTime); time.Now().Before(until) && h.ctx.Err() == nil; {
+		c.switchGateway()
+		req := c.newRequest(route)
+		req.RequestURI, req.Body, req.APIKey = fmt.Sprintf("/%s/%s", route.Name, c.name), crashBody, keyPlain
+		c.send(h.ctx, req)
+		time.Sleep(crashInterval)
 	}
 }
 
-// crashed notes that an endpoint ends under a request, and starts another life at its post.
-func (w *world) crashed(worker *platform.Worker) {
-	ended := w.record.disturb(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Incarnation()})
-	for _, p := range w.posts {
-		if p.current() == worker && p.claim() != nil {
-			p.vacate()
+// handleCrash notes that an endpoint ends under a request, and starts another life at its post.
+func (h *harness) handleCrash(worker *platform.Worker) {
+	ended := h.record.beginDisturbance(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Incarnation()})
+	for _, p := range h.ports {
+		if p.currentWorker() == worker && p.beginReplacement() != nil {
+			p.removeWorker()
 			p.link.RefuseConnections()
 			go func() {
-				time.Sleep(reuseAfter)
+				time.Sleep(portReuseDelay)
 				ended()
-				w.store.Delete("servers/" + worker.ID)
-				w.begin(p, w.newWorker(worker.Service))
+				h.store.Delete("servers/" + worker.ID)
+				h.startEndpoint(p, h.newWorker(worker.Service))
 			}()
 			return
 		}
@@ -51,33 +51,33 @@
 	ended()
 }
 
-// crashersStopped finds requests that are sent on after they have crashed several endpoints, by
+// checkCrashingRequests finds requests that are sent on after they have crashed several endpoints, by
 // gateways that may know of it.
-func crashersStopped(e *evidence) []string {
+func checkCrashingRequests(ix *indexedRecord) []string {
 	copies := map[string][]*Arrival{}
-	for _, a := range e.Requests {
-		if a.Body == crashBody {
-			copies[a.RequestURI] = append(copies[a.RequestURI], e.runs[a.ID]...)
+	for _, req := range ix.Requests {
+		if req.Body == crashBody {
+			copies[req.RequestURI] = append(copies[req.RequestURI], ix.arrivalsByID[req.ID]...)
 		}
 	}
-	var list []string
+	var findings []string
 	for target, runs := range copies {
 		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
-		if n := e.sentOn(runs); n > crashRetries {
-			list = append(list, fmt.Sprintf("%s was sent %d times more after it had crashed %d endpoints", target, n, crashesKnown))
+		if n := ix.sendsAfterQuarantine(runs); n > maxSendsAfterQuarantine {
+			findings = append(findings, fmt.Sprintf("%s was sent %d times more after it had crashed %d endpoints", target, n, crashesToQuarantine))
 		}
 	}
-	return list
+	return findings
 }
 
-// sentOn counts the arrivals of a request that came too long after its decisive crash.
-func (e *evidence) sentOn(runs []*Arrival) int {
+// sendsAfterQuarantine counts the arrivals of a request that came too long after its decisive crash.
+func (ix *indexedRecord) sendsAfterQuarantine(runs []*Arrival) int {
 	var crashes []time.Time
 	n := 0
 	for _, run := range runs {
-		switch a := e.attempts[run.ID]; {
-		case len(crashes) < crashesKnown:
-		case run.ArrivedAt.Sub(crashes[crashesKnown-1]) > contact && e.calm(a.Gateway, crashes[crashesKnown-1], run.ArrivedAt, false):
+		switch req := ix.requestsByID[run.ID]; {
+		case len(crashes) < crashesToQuarantine:
+		case run.ArrivedAt.Sub(crashes[crashesToQuarantine-1]) > calmTime && ix.undisturbed(req.Gateway, crashes[crashesToQuarantine-1], run.ArrivedAt, false):
 			n++
 		}
 		if run.Ran {
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -8,198 +8,198 @@
 )
 
 const (
-	// reuseAfter is how long an address stays free before another endpoint has it.
-	reuseAfter = 2 * time.Second
-	// lapseAfter is when the registration of an endpoint ends that says nothing more.
-	lapseAfter = 3 * heartbeatInterval
-	// lingering is how long an endpoint that leaves serves on after nobody may send it
+	// portReuseDelay is how long an address stays free before another endpoint has it.
+	portReuseDelay = 2 * time.Second
+	// registrationTTL is when the registration of an endpoint ends that says nothing more.
+	registrationTTL = 3 * heartbeatInterval
+	// serveAfterLeaving is how long an endpoint that leaves serves on after nobody may send it
 	// anything.
-	lingering = 2 * time.Second
-	// bindInterval is the pause between tries to bind an address that was just left.
-	bindInterval = 50 * time.Millisecond
+	serveAfterLeaving = 2 * time.Second
+	// bindRetryInterval is the pause between tries to bind an address that was just left.
+	bindRetryInterval = 50 * time.Millisecond
 )
 
-// replace ends the endpoint at a post in some way and starts another life there.
-func (w *world) replace(f *Fault, end func(*world, *post, *platform.Worker), service string) {
-	p := w.posts[f.Port]
-	worker := p.claim()
+// replaceEndpoint ends the endpoint at a post in some way and starts another life there.
+func (h *harness) replaceEndpoint(f *Fault, end func(*harness, *endpointPort, *platform.Worker), service string) {
+	p := h.ports[f.Port]
+	worker := p.beginReplacement()
 	if worker == nil {
 		return
 	}
-	ended := w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})
-	end(w, p, worker)
+	ended := h.record.beginDisturbance(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})
+	end(h, p, worker)
 	ended()
-	time.Sleep(reuseAfter)
-	w.begin(p, w.newWorker(service))
+	time.Sleep(portReuseDelay)
+	h.startEndpoint(p, h.newWorker(service))
 }
 
-// claim takes the post's endpoint for a fault that replaces it; nil where there is none, or
+// beginReplacement takes the post's endpoint for a fault that replaces it; nil where there is none, or
 // another fault has it.
-func (p *post) claim() *platform.Worker {
+func (p *endpointPort) beginReplacement() *platform.Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy {
+	if p.replacing {
 		return nil
 	}
-	p.busy = p.worker != nil
+	p.replacing = p.worker != nil
 	return p.worker
 }
 
-// begin starts an endpoint at a post.
-func (w *world) begin(p *post, next *platform.Worker) {
+// startEndpoint starts an endpoint at a post.
+func (h *harness) startEndpoint(p *endpointPort, next *platform.Worker) {
 	for next.StartAt(p.addr) != nil {
-		if w.stopped.Err() != nil {
+		if h.ctx.Err() != nil {
 			return
 		}
-		time.Sleep(bindInterval)
+		time.Sleep(bindRetryInterval)
 	}
 	for p.link.AcceptConnections() != nil {
-		if w.stopped.Err() != nil {
+		if h.ctx.Err() != nil {
 			return
 		}
-		time.Sleep(bindInterval)
+		time.Sleep(bindRetryInterval)
 	}
 	p.mu.Lock()
-	p.worker, p.service, p.leaving, p.busy = next, next.Service, false, false
+	p.worker, p.service, p.leaving, p.replacing = next, next.Service, false, false
 	p.mu.Unlock()
-	w.register(p)
+	h.register(p)
 }
 
-// crash ends an endpoint at once; its registration lapses later.
-func crash(w *world, p *post, worker *platform.Worker) {
-	p.vacate()
+// crashEndpoint ends an endpoint at once; its registration lapses later.
+func crashEndpoint(h *harness, p *endpointPort, worker *platform.Worker) {
+	p.removeWorker()
 	worker.Stop()
 	p.link.ResetConnections()
-	time.Sleep(lapseAfter)
-	w.store.Delete("servers/" + worker.ID)
+	time.Sleep(registrationTTL)
+	h.store.Delete("servers/" + worker.ID)
 }
 
-// goDark makes an endpoint accept nothing and say nothing, with its connections open.
-func goDark(w *world, p *post, worker *platform.Worker) {
-	p.vacate()
+// silenceEndpoint makes an endpoint accept nothing and say nothing, with its connections open.
+func silenceEndpoint(h *harness, p *endpointPort, worker *platform.Worker) {
+	p.removeWorker()
 	worker.StopListening()
 	p.link.BlackholeConnections()
-	time.Sleep(lapseAfter)
-	w.store.Delete("servers/" + worker.ID)
+	time.Sleep(registrationTTL)
+	h.store.Delete("servers/" + worker.ID)
 	worker.Stop()
 }
 
-// leave announces that an endpoint leaves; it serves on for a while and ends.
-func leave(w *world, p *post, worker *platform.Worker) {
+// leaveAnnounced announces that an endpoint leaves; it serves on for a while and ends.
+func leaveAnnounced(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.mu.Lock()
 	p.leaving = true
 	p.mu.Unlock()
-	w.register(p)
-	w.depart(p, worker)
-	w.store.Delete("servers/" + worker.ID)
+	h.register(p)
+	h.stopAfterLeaving(p, worker)
+	h.store.Delete("servers/" + worker.ID)
 }
 
 // leaveUnannounced ends the registration of an endpoint that serves on for a while.
-func leaveUnannounced(w *world, p *post, worker *platform.Worker) {
+func leaveUnannounced(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.mu.Lock()
-	p.silent = true
+	p.registrationPaused = true
 	p.mu.Unlock()
-	w.store.Delete("servers/" + worker.ID)
-	w.depart(p, worker)
+	h.store.Delete("servers/" + worker.ID)
+	h.stopAfterLeaving(p, worker)
 	p.mu.Lock()
-	p.silent = false
+	p.registrationPaused = false
 	p.mu.Unlock()
 }
 
-// depart notes that the store knows that an endpoint leaves, and stops it when the time
+// stopAfterLeaving notes that the store knows that an endpoint leaves, and stops it when the time
 // that it serves on is over.
-func (w *world) depart(p *post, worker *platform.Worker) {
-	w.record.mu.Lock()
-	w.record.Departures = append(w.record.Departures, Departure{worker.Incarnation(), time.Now()})
-	w.record.mu.Unlock()
-	time.Sleep(leavingWithin + lingering)
-	p.vacate()
+func (h *harness) stopAfterLeaving(p *endpointPort, worker *platform.Worker) {
+	h.record.mu.Lock()
+	h.record.Departures = append(h.record.Departures, Departure{worker.Incarnation(), time.Now()})
+	h.record.mu.Unlock()
+	time.Sleep(leavingWithin + serveAfterLeaving)
+	p.removeWorker()
 	worker.Stop()
 	p.link.ResetConnections()
 }
 
-// changeOwners crashes two endpoints; each address then has the other's service.
-func changeOwners(w *world, f *Fault) {
-	first, second := w.posts[f.Port], w.posts[f.SecondPort]
+// swapServices crashes two endpoints; each address then has the other's service.
+func swapServices(h *harness, f *Fault) {
+	first, second := h.ports[f.Port], h.ports[f.SecondPort]
 	if first == second {
 		return
 	}
-	a, b := first.serviceNow(), second.serviceNow()
+	a, b := first.currentService(), second.currentService()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		other := *f
 		other.Port = f.SecondPort
-		w.replace(&other, crash, a)
+		h.replaceEndpoint(&other, crashEndpoint, a)
 	}()
-	w.replace(f, crash, b)
+	h.replaceEndpoint(f, crashEndpoint, b)
 	<-done
 }
 
-// vacate notes that no endpoint is at the post.
-func (p *post) vacate() {
+// removeWorker notes that no endpoint is at the post.
+func (p *endpointPort) removeWorker() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.worker = nil
 }
 
-func (p *post) serviceNow() string {
+func (p *endpointPort) currentService() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service
 }
 
-// restart ends an endpoint and starts it again under the ID and at the address that it
+// restartEndpoint ends an endpoint and starts it again under the ID and at the address that it
 // had, at once or after a while, at times after it has said that it leaves. At times a
 // registration of the life before is written once more after that.
-func restart(w *world, f *Fault) {
-	p := w.posts[f.Port]
-	worker := p.claim()
+func restartEndpoint(h *harness, f *Fault) {
+	p := h.ports[f.Port]
+	worker := p.beginReplacement()
 	if worker == nil {
 		return
 	}
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
-	if f.Variant == wayDraining {
+	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
+	if f.Variant == variantDrainFirst {
 		p.mu.Lock()
 		p.leaving = true
 		p.mu.Unlock()
-		w.register(p)
-		w.depart(p, worker)
+		h.register(p)
+		h.stopAfterLeaving(p, worker)
 	}
 	old := worker.RegistrationAt(p.link.Addr(), "draining")
-	p.vacate()
+	p.removeWorker()
 	worker.Stop()
 	p.link.ResetConnections()
 	time.Sleep(f.Delay)
-	w.begin(p, w.newLife(worker.ID, worker.Service))
-	if f.Variant == wayOldEntry {
+	h.startEndpoint(p, h.newIncarnation(worker.ID, worker.Service))
+	if f.Variant == variantOldRegistration {
 		time.Sleep(f.Delay)
-		w.store.Put("servers/"+worker.ID, old)
+		h.store.Put("servers/"+worker.ID, old)
 		time.Sleep(heartbeatInterval)
-		w.register(p)
+		h.register(p)
 	}
 }
 
 // What else happens as an endpoint starts again: a Fault's Way.
 const (
-	wayDraining = 2
-	wayOldEntry = 3
+	variantDrainFirst      = 2
+	variantOldRegistration = 3
 )
 
-// foreignEntries are registrations that something else wrote: they name no endpoint.
-var foreignEntries = []string{
+// foreignRegistrations are registrations that something else wrote: they name no endpoint.
+var foreignRegistrations = []string{
 	`{}`, `{"service":"model"}`, `[1,2]`, "\x00\xff", `{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":"many","state":"ready","cold_left_ms":0,"seq_no":1}`,
 	`{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":16,"state":"resting","cold_left_ms":0,"seq_no":1}`,
 	`{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":16,"state":"ready","cold_left_ms":0,"seq_no":1,"born":"today"}`,
 }
 
-// writeForeign writes registrations that cannot be used, beside the endpoints' own, and
+// writeForeignRegistrations writes registrations that cannot be used, beside the endpoints' own, and
 // removes them after a while.
-func writeForeign(w *world, f *Fault) {
-	for i, entry := range foreignEntries {
+func writeForeignRegistrations(h *harness, f *Fault) {
+	for i, entry := range foreignRegistrations {
 		key := "servers/other-" + strconv.Itoa(i)
-		w.store.Put(key, []byte(entry))
-		defer w.store.Delete(key)
+		h.store.Put(key, []byte(entry))
+		defer h.store.Delete(key)
 	}
 	time.Sleep(f.Duration)
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,11 +11,11 @@
 	"aspenyard.example/standin/platform"
 )
 
-// kind is one way of going wrong. run makes it happen and returns when it is over.
-type kind struct {
+// faultKind is one way of going wrong. run makes it happen and returns when it is over.
+type faultKind struct {
 	name   string
 	weight int
-	run    func(w *world, f *Fault)
+	run    func(h *harness, f *Fault)
 }
 
 // Kinds that the checks ask for.
@@ -27,49 +27,49 @@
 	kindCrashingRequest = "crashing-request"
 )
 
-// kindTable lists every kind of fault, with how often it comes. New ones go at its end:
+// faultTable lists every kind of fault, with how often it comes. New ones go at its end:
 // with the first ones alone, a seed then gives the schedule that it gave before.
-var kindTable []kind
+var faultTable []faultKind
 
 func init() {
-	kindTable = []kind{
-		{"gateway-kill", 2, func(w *world, f *Fault) { w.gateways[f.Gateway].kill(w.record) }},
-		{"gateway-kill-many", 1, killMany},
-		{"gateway-stop", 3, func(w *world, f *Fault) { w.gateways[f.Gateway].terminate(w.record) }},
-		{"gateway-stop-in-turn", 1, stopInTurn},
-		{"gateway-freeze", 2, freeze},
-		{"gateway-reload", 2, reload},
-		{"edit", 4, func(w *world, _ *Fault) { w.edit() }},
-		{"edit-series", 1, editSeries},
+	faultTable = []faultKind{
+		{"gateway-kill", 2, func(h *harness, f *Fault) { h.gateways[f.Gateway].kill(h.record) }},
+		{"gateway-kill-many", 1, killEverySecond},
+		{"gateway-stop", 3, func(h *harness, f *Fault) { h.gateways[f.Gateway].terminate(h.record) }},
+		{"gateway-stop-in-turn", 1, stopSequentially},
+		{"gateway-freeze", 2, freezeGateway},
+		{"gateway-reload", 2, reloadGateway},
+		{"edit", 4, func(h *harness, _ *Fault) { h.writeConfig() }},
+		{"edit-series", 1, writeConfigSeries},
 		{"store-refuses", 1, storeFault(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})},
 		{"store-over-rate", 1, storeFault(platform.StoreFaults{RefuseStatus: http.StatusTooManyRequests})},
 		{"store-silent", 1, storeFault(platform.StoreFaults{NoResponse: true})},
 		{"store-deaf", 1, storeFault(platform.StoreFaults{MuteWatches: true})},
 		{"store-loses-answers", 1, storeFault(platform.StoreFaults{LoseResponses: 20})},
-		{"store-slow", 1, storeSlow},
-		{"store-drops-history", 2, func(w *world, _ *Fault) { w.disturbStore("store-drops-history")(); w.store.Compact() }},
-		{"store-ends-leases", 1, func(w *world, _ *Fault) { w.disturbStore("store-ends-leases")(); w.store.RevokeLeases() }},
-		{"registrations-lapse", 1, lapse},
-		{kindStoreLink, 3, gatewayLink(func(g *gateway) *link.Link { return g.store })},
-		{kindCallersLink, 2, gatewayLink(func(g *gateway) *link.Link { return g.callers })},
-		{kindEndpointLink, 2, endpointLink},
-		{"endpoint-wrong", 6, endpointWrong},
-		{"endpoint-crash", 2, func(w *world, f *Fault) { w.replace(f, crash, w.posts[f.Port].serviceNow()) }},
-		{"endpoint-dark", 1, func(w *world, f *Fault) { w.replace(f, goDark, w.posts[f.Port].serviceNow()) }},
-		{"endpoint-leaves", 3, func(w *world, f *Fault) { w.replace(f, leave, w.posts[f.Port].serviceNow()) }},
-		{"endpoint-leaves-unannounced", 1, func(w *world, f *Fault) { w.replace(f, leaveUnannounced, w.posts[f.Port].serviceNow()) }},
-		{"addresses-change-owners", 1, changeOwners},
-		{"endpoint-restarts", 3, restart},
-		{"foreign-entries", 1, writeForeign},
-		{kindCrashingRequest, 1, crashingRequest},
+		{"store-slow", 1, slowStore},
+		{"store-drops-history", 2, func(h *harness, _ *Fault) { h.beginStoreDisturbance("store-drops-history")(); h.store.Compact() }},
+		{"store-ends-leases", 1, func(h *harness, _ *Fault) { h.beginStoreDisturbance("store-ends-leases")(); h.store.RevokeLeases() }},
+		{"registrations-lapse", 1, lapseRegistrations},
+		{kindStoreLink, 3, disturbGatewayLink(func(g *gateway) *link.Link { return g.store })},
+		{kindCallersLink, 2, disturbGatewayLink(func(g *gateway) *link.Link { return g.callers })},
+		{kindEndpointLink, 2, disturbEndpointLink},
+		{"endpoint-wrong", 6, applyEndpointFault},
+		{"endpoint-crash", 2, func(h *harness, f *Fault) { h.replaceEndpoint(f, crashEndpoint, h.ports[f.Port].currentService()) }},
+		{"endpoint-dark", 1, func(h *harness, f *Fault) { h.replaceEndpoint(f, silenceEndpoint, h.ports[f.Port].currentService()) }},
+		{"endpoint-leaves", 3, func(h *harness, f *Fault) { h.replaceEndpoint(f, leaveAnnounced, h.ports[f.Port].currentService()) }},
+		{"endpoint-leaves-unannounced", 1, func(h *harness, f *Fault) { h.replaceEndpoint(f, leaveUnannounced, h.ports[f.Port].currentService()) }},
+		{"addresses-change-owners", 1, swapServices},
+		{"endpoint-restarts", 3, restartEndpoint},
+		{"foreign-entries", 1, writeForeignRegistrations},
+		{kindCrashingRequest, 1, sendCrashingRequest},
 	}
 }
 
-// play makes the faults of a schedule happen and waits until all are over.
-func (w *world) play(ctx context.Context, schedule []Fault) {
+// runSchedule makes the faults of a schedule happen and waits until all are over.
+func (h *harness) runSchedule(ctx context.Context, schedule []Fault) {
 	begun := time.Now()
-	run := map[string]func(*world, *Fault){}
-	for _, k := range kindTable {
+	run := map[string]func(*harness, *Fault){}
+	for _, k := range faultTable {
 		run[k.name] = k.run
 	}
 	var playing sync.WaitGroup
@@ -79,96 +79,96 @@
 		if ctx.Err() != nil {
 			break
 		}
-		w.mu.Lock()
-		w.faultCounts[f.Kind]++
-		w.mu.Unlock()
-		playing.Go(func() { run[f.Kind](w, f) })
+		h.mu.Lock()
+		h.faultCounts[f.Kind]++
+		h.mu.Unlock()
+		playing.Go(func() { run[f.Kind](h, f) })
 	}
 	playing.Wait()
 }
 
-// killMany kills every second gateway at once.
-func killMany(w *world, f *Fault) {
-	for i, g := range w.gateways {
+// killEverySecond kills every second gateway at once.
+func killEverySecond(h *harness, f *Fault) {
+	for i, g := range h.gateways {
 		if i%2 == f.Gateway%2 {
-			g.kill(w.record)
+			g.kill(h.record)
 		}
 	}
 }
 
-// stopInTurn stops gateways one after the other.
-func stopInTurn(w *world, f *Fault) {
-	for i := range min(3, len(w.gateways)) {
-		w.gateways[(f.Gateway+i)%len(w.gateways)].terminate(w.record)
+// stopSequentially stops gateways one after the other.
+func stopSequentially(h *harness, f *Fault) {
+	for i := range min(3, len(h.gateways)) {
+		h.gateways[(f.Gateway+i)%len(h.gateways)].terminate(h.record)
 		time.Sleep(f.Delay)
 	}
 }
 
-func freeze(w *world, f *Fault) {
-	g := w.gateways[f.Gateway]
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Gateway: g.name})()
+func freezeGateway(h *harness, f *Fault) {
+	g := h.gateways[f.Gateway]
+	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name})()
 	g.signal(syscall.SIGSTOP, false)
 	time.Sleep(f.Duration)
 	g.signal(syscall.SIGCONT, false)
 }
 
-func reload(w *world, f *Fault) {
-	g := w.gateways[f.Gateway]
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Gateway: g.name, Planned: true})()
-	if err := g.writeSettings(w.config.Gateways); err != nil {
-		w.record.violate("SOAK", "settings of %s: %v", g.name, err)
+func reloadGateway(h *harness, f *Fault) {
+	g := h.gateways[f.Gateway]
+	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name, Planned: true})()
+	if err := g.writeSettings(h.config.Gateways); err != nil {
+		h.record.addViolation("SOAK", "settings of %s: %v", g.name, err)
 	}
-	if life, _ := g.signal(0, false); g.servedOnce(life) {
+	if life, _ := g.signal(0, false); g.hasServed(life) {
 		g.signal(syscall.SIGHUP, false)
 	}
 }
 
-// servedOnce tells whether the present life is known to have been ready: a signal for
+// hasServed tells whether the present life is known to have been ready: a signal for
 // which a process that just starts has no handler yet would end it.
-func (g *gateway) servedOnce(life int) bool { return g.isReady() && g.currentLife() == life }
+func (g *gateway) hasServed(life int) bool { return g.isReady() && g.currentIncarnation() == life }
 
-func editSeries(w *world, f *Fault) {
+func writeConfigSeries(h *harness, f *Fault) {
 	for range 4 {
-		w.edit()
+		h.writeConfig()
 		time.Sleep(f.Delay)
 	}
 }
 
-func (w *world) disturbStore(kind string) (end func()) {
-	return w.record.disturb(Disturbance{Kind: kind})
+func (h *harness) beginStoreDisturbance(kind string) (end func()) {
+	return h.record.beginDisturbance(Disturbance{Kind: kind})
 }
 
 // storeFault gives the store a fault for a while.
-func storeFault(faults platform.StoreFaults) func(*world, *Fault) {
-	return func(w *world, f *Fault) {
-		defer w.disturbStore(f.Kind)()
-		w.store.SetFaults(faults)
+func storeFault(faults platform.StoreFaults) func(*harness, *Fault) {
+	return func(h *harness, f *Fault) {
+		defer h.beginStoreDisturbance(f.Kind)()
+		h.store.SetFaults(faults)
 		time.Sleep(f.Duration)
-		w.store.SetFaults(platform.StoreFaults{})
+		h.store.SetFaults(platform.StoreFaults{})
 	}
 }
 
-func storeSlow(w *world, f *Fault) { storeFault(platform.StoreFaults{Delay: f.Delay})(w, f) }
+func slowStore(h *harness, f *Fault) { storeFault(platform.StoreFaults{Delay: f.Delay})(h, f) }
 
-// lapse lets registrations end while the store is down; their owners, which live, write
+// lapseRegistrations lets registrations end while the store is down; their owners, which live, write
 // them again within a heartbeat of its return.
-func lapse(w *world, f *Fault) {
-	defer w.disturbStore(f.Kind)()
-	w.store.SetFaults(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})
-	silenced := []*post{w.posts[f.Port], w.posts[f.SecondPort]}
+func lapseRegistrations(h *harness, f *Fault) {
+	defer h.beginStoreDisturbance(f.Kind)()
+	h.store.SetFaults(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})
+	silenced := []*endpointPort{h.ports[f.Port], h.ports[f.SecondPort]}
 	for _, p := range silenced {
 		p.mu.Lock()
-		p.silent = true
+		p.registrationPaused = true
 		if p.worker != nil {
-			w.store.Delete("servers/" + p.worker.ID)
+			h.store.Delete("servers/" + p.worker.ID)
 		}
 		p.mu.Unlock()
 	}
 	time.Sleep(f.Duration)
-	w.store.SetFaults(platform.StoreFaults{})
+	h.store.SetFaults(platform.StoreFaults{})
 	for _, p := range silenced {
 		p.mu.Lock()
-		p.silent = false
+		p.registrationPaused = false
 		p.mu.Unlock()
 	}
 }
@@ -193,33 +193,33 @@
 	l.SetBlocked(0)
 }
 
-// gatewayLink disturbs one of a gateway's links.
-func gatewayLink(of func(*gateway) *link.Link) func(*world, *Fault) {
-	return func(w *world, f *Fault) {
-		g := w.gateways[f.Gateway]
-		defer w.record.disturb(Disturbance{Kind: f.Kind, Gateway: g.name})()
+// disturbGatewayLink disturbs one of a gateway's links.
+func disturbGatewayLink(of func(*gateway) *link.Link) func(*harness, *Fault) {
+	return func(h *harness, f *Fault) {
+		g := h.gateways[f.Gateway]
+		defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name})()
 		disturbLink(of(g), f)
 	}
 }
 
-func endpointLink(w *world, f *Fault) {
-	p := w.posts[f.SecondPort]
-	worker := p.current()
+func disturbEndpointLink(h *harness, f *Fault) {
+	p := h.ports[f.SecondPort]
+	worker := p.currentWorker()
 	if worker == nil {
 		return
 	}
-	defer w.record.disturb(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
+	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})()
 	disturbLink(p.link, f)
 }
 
-// endpointWrong makes an endpoint do something wrong with all its requests for a while.
-func endpointWrong(w *world, f *Fault) {
-	p := w.posts[f.Port]
-	worker := p.current()
+// applyEndpointFault makes an endpoint do something wrong with all its requests for a while.
+func applyEndpointFault(h *harness, f *Fault) {
+	p := h.ports[f.Port]
+	worker := p.currentWorker()
 	if worker == nil {
 		return
 	}
-	worker.SetFailedHelper(w.posts[f.SecondPort].link.Addr())
+	worker.SetFailedHelper(h.ports[f.SecondPort].link.Addr())
 	worker.SetDefaultFault(f.EndpointFault)
 	time.Sleep(f.Duration)
 	worker.SetDefaultFault("")
--- a/soak/process.go
+++ b/soak/process.go
@@ -25,8 +25,8 @@
 	// retryRatio is a tenth of what the users' sites give: a budget that is not kept must
 	// show under faults of single endpoints.
 	retryRatio = 0.02
-	// allowancePerGateway is less than the users' sites give, for the same reason.
-	allowancePerGateway = 2
+	// retryAllowancePerGateway is less than the users' sites give, for the same reason.
+	retryAllowancePerGateway = 2
 )
 
 // restartDelay is the time from a process's end to its next start.
@@ -42,14 +42,14 @@
 	// callers and store carry its traffic with callers and with the store.
 	callers, store *link.Link
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	life   int
-	hit    bool // a signal that ends it was sent in this life
-	closed bool
-	ready  bool
-	// starting ends the disturbance that its start is.
-	starting func()
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	incarnation  int
+	endSignalled bool // a signal that ends it was sent in this life
+	closed       bool
+	ready        bool
+	// endStartDisturbance ends the disturbance that its start is.
+	endStartDisturbance func()
 }
 
 // newGateway prepares a process on free ports with links to its surroundings.
@@ -78,7 +78,7 @@
 		"name": g.name, "data_centre": dataCentre, "callers_listen": g.addrs["callers"], "readiness_listen": g.addrs["readiness"],
 		"metrics_listen": g.addrs["metrics"], "peers_listen": g.addrs["peers"], "store": g.store.Addr(),
 		"config_within": configWithin.String(), "leaving_within": leavingWithin.String(), "drain_timeout": drainTimeout.String(),
-		"retry_ratio": retryRatio, "retry_allowance": allowancePerGateway * gateways, "retry_window": retryWindow.String(),
+		"retry_ratio": retryRatio, "retry_allowance": retryAllowancePerGateway * gateways, "retry_window": retryWindow.String(),
 	}, "", "  ")
 	if err != nil {
 		return errors.WithStack(err)
@@ -91,10 +91,10 @@
 	return errors.WithStack(os.Rename(next, g.settings))
 }
 
-// starter starts all processes from one thread that never ends: the kernel kills a
+// startThread starts all processes from one thread that never ends: the kernel kills a
 // process when the thread that started it ends, so that none outlives the soak even if
 // the soak is killed.
-var starter = sync.OnceValue(func() chan func() {
+var startThread = sync.OnceValue(func() chan func() {
 	starts := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -110,19 +110,19 @@
 	for {
 		done, err := g.start(r)
 		if err != nil {
-			r.violate("EXIT", "%s does not start: %v", g.name, err)
+			r.addViolation("EXIT", "%s does not start: %v", g.name, err)
 			return
 		}
 		<-done
 		g.mu.Lock()
-		closed, hit, life := g.closed, g.hit, g.life
+		closed, hit, life := g.closed, g.endSignalled, g.incarnation
 		g.cmd, g.ready = nil, false
 		g.mu.Unlock()
 		if closed {
 			return
 		}
 		if !hit {
-			r.violate("EXIT", "%s ended by itself in its life %d", g.name, life)
+			r.addViolation("EXIT", "%s ended by itself in its life %d", g.name, life)
 		}
 		time.Sleep(restartDelay)
 	}
@@ -138,15 +138,15 @@
 	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settings)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	starting := r.disturb(Disturbance{Kind: "start", Gateway: g.name})
+	starting := r.beginDisturbance(Disturbance{Kind: "start", Gateway: g.name})
 	started := make(chan error)
-	starter() <- func() { started <- cmd.Start() }
+	startThread() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, errors.WithStack(err)
 	}
 	g.mu.Lock()
-	g.cmd, g.hit, g.starting = cmd, false, starting
-	g.life++
+	g.cmd, g.endSignalled, g.endStartDisturbance = cmd, false, starting
+	g.incarnation++
 	g.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
@@ -162,42 +162,42 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
-		return g.life, false
+		return g.incarnation, false
 	}
-	g.hit = g.hit || ends
-	return g.life, g.cmd.Process.Signal(s) == nil
+	g.endSignalled = g.endSignalled || ends
+	return g.incarnation, g.cmd.Process.Signal(s) == nil
 }
 
 // kill ends the present life at once.
 func (g *gateway) kill(r *Record) {
-	end := r.disturb(Disturbance{Kind: "kill", Gateway: g.name})
+	end := r.beginDisturbance(Disturbance{Kind: "kill", Gateway: g.name})
 	defer end()
 	g.signal(syscall.SIGKILL, true)
 }
 
 // terminate ends the present life gracefully, and kills it when that takes too long.
 func (g *gateway) terminate(r *Record) {
-	end := r.disturb(Disturbance{Kind: "term", Gateway: g.name, Planned: true})
+	end := r.beginDisturbance(Disturbance{Kind: "term", Gateway: g.name, Planned: true})
 	life, sent := g.signal(syscall.SIGTERM, true)
 	if !sent {
 		end()
 		return
 	}
 	time.AfterFunc(drainTimeout, func() {
-		if g.currentLife() == life {
+		if g.currentIncarnation() == life {
 			g.signal(syscall.SIGKILL, true)
 		}
 		end()
 	})
 }
 
-func (g *gateway) currentLife() int {
+func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
-		return -g.life
+		return -g.incarnation
 	}
-	return g.life
+	return g.incarnation
 }
 
 // close ends the process for good.
@@ -210,8 +210,8 @@
 	g.store.Close()
 }
 
-// askReady asks the process, as the balancer does, whether it takes callers.
-func (g *gateway) askReady(client *http.Client) {
+// updateReady asks the process, as the balancer does, whether it takes callers.
+func (g *gateway) updateReady(client *http.Client) {
 	response, err := client.Get("http://" + g.addrs["readiness"] + "/-/readyz")
 	ready := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
@@ -221,7 +221,7 @@
 	defer g.mu.Unlock()
 	g.ready = ready && g.cmd != nil
 	if g.ready {
-		g.starting()
+		g.endStartDisturbance()
 	}
 }
 
--- a/soak/record.go
+++ b/soak/record.go
@@ -58,28 +58,28 @@
 	ExpectedStatus int
 }
 
-// want is the whole answer.
-func (a *Request) want() string {
-	if a.Route.Events > 0 {
-		return platform.StreamText(a.ID, a.Route.Events)
+// expectedBody is the whole answer.
+func (req *Request) expectedBody() string {
+	if req.Route.Events > 0 {
+		return platform.StreamText(req.ID, req.Route.Events)
 	}
-	return platform.PlainResponse(a.ID)
+	return platform.PlainResponse(req.ID)
 }
 
-func (a *Request) succeeded() bool { return a.Complete && a.Status == http.StatusOK }
+func (req *Request) succeeded() bool { return req.Complete && req.Status == http.StatusOK }
 
-func (a *Request) outcome() string {
-	if !a.Complete {
+func (req *Request) statusLabel() string {
+	if !req.Complete {
 		return "none"
 	}
-	return strconv.Itoa(a.Status)
+	return strconv.Itoa(req.Status)
 }
 
-// promisesNotRun tells whether the answer says that the request has not run.
-func (a *Request) promisesNotRun() bool {
-	switch a.Status {
+// saysNotRun tells whether the answer says that the request has not run.
+func (req *Request) saysNotRun() bool {
+	switch req.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		return a.Complete
+		return req.Complete
 	}
 	return false
 }
@@ -138,20 +138,20 @@
 	Edits        []ConfigEdit
 	Departures   []Departure
 	Reservations map[string]*Reservation
-	found        []Violation
+	violations   []Violation
 }
 
 // NewRecord makes an empty record.
 func NewRecord() *Record { return &Record{Reservations: map[string]*Reservation{}} }
 
-func (r *Record) addAttempt(a *Request) {
+func (r *Record) addRequest(req *Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Requests = append(r.Requests, a)
+	r.Requests = append(r.Requests, req)
 }
 
-// disturb notes the beginning of a disturbance; the function that it returns ends it.
-func (r *Record) disturb(d Disturbance) (end func()) {
+// beginDisturbance notes the beginning of a disturbance; the function that it returns ends it.
+func (r *Record) beginDisturbance(d Disturbance) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d.From = time.Now()
@@ -165,10 +165,10 @@
 	}
 }
 
-func (r *Record) violate(rule, format string, args ...any) {
+func (r *Record) addViolation(rule, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.found = append(r.found, Violation{rule, fmt.Sprintf(format, args...)})
+	r.violations = append(r.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
 // servedSince tells whether a request sent after a time was served.
@@ -176,14 +176,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := len(r.Requests) - 1; i >= 0; i-- {
-		if a := r.Requests[i]; a.SentAt.After(since) && a.succeeded() {
+		if req := r.Requests[i]; req.SentAt.After(since) && req.succeeded() {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Record) seeHold(endpoint, ticket string, now time.Time) {
+func (r *Record) observeReservation(endpoint, ticket string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name := endpoint + "/" + ticket
@@ -194,28 +194,28 @@
 	r.Reservations[name] = &Reservation{endpoint, ticket, now, now}
 }
 
-// contact is how long without disturbance counts as calm (the users' contact_ms).
-const contact = 3 * time.Second
+// calmTime is how long without disturbance counts as calm (the users' contact_ms).
+const calmTime = 3 * time.Second
 
-// calm tells whether a gateway had no unplanned disturbance between two times nor in
+// undisturbed tells whether a gateway had no unplanned disturbance between two times nor in
 // contact before them. Disturbances of the store count where store is set.
-func (r *Record) calm(gateway string, from, to time.Time, store bool) bool {
+func (r *Record) undisturbed(gateway string, from, to time.Time, store bool) bool {
 	for _, d := range r.Disturbances {
 		concerns := d.Gateway == gateway || store && d.Gateway == "" && d.Endpoint == ""
-		if concerns && !d.Planned && d.overlaps(from.Add(-contact), to) {
+		if concerns && !d.Planned && d.overlaps(from.Add(-calmTime), to) {
 			return false
 		}
 	}
 	return true
 }
 
-// soundEndpoint tells whether an endpoint was not disturbed in a run, nor shortly before.
-func (r *Record) soundEndpoint(run *Arrival) bool {
+// endpointUndisturbed tells whether an endpoint was not disturbed in a run, nor shortly before.
+func (r *Record) endpointUndisturbed(run *Arrival) bool {
 	if run.Fault != "" {
 		return false
 	}
 	for _, d := range r.Disturbances {
-		if d.Endpoint == run.Endpoint && d.overlaps(run.ArrivedAt.Add(-contact), endOf(run)) {
+		if d.Endpoint == run.Endpoint && d.overlaps(run.ArrivedAt.Add(-calmTime), runEnd(run)) {
 			return false
 		}
 	}
@@ -226,8 +226,8 @@
 	return d.From.Before(to) && (d.To.IsZero() || d.To.After(from))
 }
 
-// endOf is when a run ended; far away while it goes on.
-func endOf(run *Arrival) time.Time {
+// runEnd is when a run ended; far away while it goes on.
+func runEnd(run *Arrival) time.Time {
 	if run.EndedAt.IsZero() {
 		return run.ArrivedAt.Add(time.Hour)
 	}
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -24,24 +24,24 @@
 	EndpointFault platform.Fault
 }
 
-// sizes are how many gateways and posts there are.
-type sizes struct{ gateways, posts int }
+// targetCounts are how many gateways and posts there are.
+type targetCounts struct{ gateways, ports int }
 
-// mostDelay is how much a slowed link or store adds at most: under the gateways' timeout
+// maxDelay is how much a slowed link or store adds at most: under the gateways' timeout
 // of a call to the store, so that some calls still succeed.
-const mostDelay = 500 * time.Millisecond
+const maxDelay = 500 * time.Millisecond
 
 // Times between the beginnings of two faults. A run has one of them throughout: with
 // rare faults each meets a system at rest, with frequent ones they overlap.
-var paces = []time.Duration{250 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond}
+var meanFaultIntervals = []time.Duration{250 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond}
 
 const (
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 4 * time.Second
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
 )
 
-// wrongs are what endpoints may do wrong with requests and orders.
-var wrongs = []platform.Fault{
+// endpointFaults are what endpoints may do wrong with requests and orders.
+var endpointFaults = []platform.Fault{
 	platform.FaultShed, platform.FaultUnmarkedRefusal, platform.FaultError, platform.FaultReset, platform.FaultTruncated, platform.FaultTruncatedUnframed, platform.FaultDuplicateResponse,
 	platform.FaultUnframed, platform.FaultNoServerStamp, platform.FaultGarbage, platform.FaultHang, platform.FaultEarlyResponse, platform.FaultSlow, platform.FaultHelperFailed, platform.FaultLateOrder,
 }
@@ -49,7 +49,7 @@
 // FaultKinds lists the kinds of faults.
 func FaultKinds() []string {
 	var names []string
-	for _, k := range kindTable {
+	for _, k := range faultTable {
 		names = append(names, k.name)
 	}
 	return names
@@ -79,11 +79,11 @@
 }
 
 // GenerateSchedule draws the faults of a run, of some kinds only unless there are none.
-func GenerateSchedule(seed uint64, length time.Duration, s sizes, only []string) []Fault {
+func GenerateSchedule(seed uint64, length time.Duration, s targetCounts, only []string) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0))
-	pace := paces[r.IntN(len(paces))]
+	pace := meanFaultIntervals[r.IntN(len(meanFaultIntervals))]
 	var kinds []string
-	for _, k := range kindTable {
+	for _, k := range faultTable {
 		if len(only) > 0 && !slices.Contains(only, k.name) {
 			continue
 		}
@@ -98,9 +98,9 @@
 			return list
 		}
 		list = append(list, Fault{
-			Kind: kinds[r.IntN(len(kinds))], Start: at, Duration: shortestFault + time.Duration(r.Int64N(int64(longestFault-shortestFault))),
-			Gateway: r.IntN(s.gateways), Port: r.IntN(s.posts), SecondPort: r.IntN(s.posts), Delay: time.Duration(r.Int64N(int64(mostDelay))), Variant: 1 + r.IntN(3),
-			EndpointFault: wrongs[r.IntN(len(wrongs))],
+			Kind: kinds[r.IntN(len(kinds))], Start: at, Duration: minFaultDuration + time.Duration(r.Int64N(int64(maxFaultDuration-minFaultDuration))),
+			Gateway: r.IntN(s.gateways), Port: r.IntN(s.ports), SecondPort: r.IntN(s.ports), Delay: time.Duration(r.Int64N(int64(maxDelay))), Variant: 1 + r.IntN(3),
+			EndpointFault: endpointFaults[r.IntN(len(endpointFaults))],
 		})
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -44,23 +44,23 @@
 
 // Sizes of a run where Config leaves them out.
 const (
-	defaultLength         = 20 * time.Second
+	defaultDuration       = 20 * time.Second
 	defaultGateways       = 8
 	defaultEngines        = 8
-	defaultApps           = 2
+	defaultPlainEndpoints = 2
 	callersPerGateway     = 3
 	maxGateways           = 300 // a few hundred processes, 6 GB
-	readyPatience         = 60 * time.Second
-	recoverPatience       = 60 * time.Second
-	settle                = time.Second
-	recoveryMostWait      = 12 * time.Second // the users' sites: back to work 12 s after a loss of all nodes
-	recoveryPoll          = 50 * time.Millisecond
-	measuredAfterRecovery = 2 * time.Second
+	startTimeout          = 60 * time.Second
+	recoveryTimeout       = 60 * time.Second
+	cleanupDelay          = time.Second
+	maxRecoveryTime       = 12 * time.Second // the users' sites: back to work 12 s after a loss of all nodes
+	pollInterval          = 50 * time.Millisecond
+	loadAfterRecovery     = 2 * time.Second
 )
 
 func (c *Config) setDefaults() error {
 	if c.Duration == 0 {
-		c.Duration = defaultLength
+		c.Duration = defaultDuration
 	}
 	if c.Gateways == 0 {
 		c.Gateways = defaultGateways
@@ -69,7 +69,7 @@
 		c.Engines = defaultEngines
 	}
 	if c.PlainEndpoints == 0 {
-		c.PlainEndpoints = defaultApps
+		c.PlainEndpoints = defaultPlainEndpoints
 	}
 	if c.Callers == 0 {
 		c.Callers = callersPerGateway * c.Gateways
@@ -111,51 +111,51 @@
 	if _, err := os.Stat(config.Dir); err != nil {
 		return nil, errors.Wrap(err, "soak: directory for logs")
 	}
-	w, err := newWorld(config)
+	h, err := newHarness(config)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	if err := w.awaitReady(ctx, readyPatience); err != nil {
+	defer h.close()
+	if err := h.awaitReady(ctx, startTimeout); err != nil {
 		return nil, err
 	}
-	callers := startCallers(ctx, w)
-	w.play(ctx, GenerateSchedule(config.Seed, config.Duration, sizes{config.Gateways, len(w.posts)}, config.FaultKinds))
-	w.loseAll(ctx)
+	callers := startCallers(ctx, h)
+	h.runSchedule(ctx, GenerateSchedule(config.Seed, config.Duration, targetCounts{config.Gateways, len(h.ports)}, config.FaultKinds))
+	h.checkRecovery(ctx)
 	callers.stop()
-	w.settle(ctx)
-	return w.report(), ctx.Err()
+	h.awaitCleanup(ctx)
+	return h.report(), ctx.Err()
 }
 
-// loseAll kills every gateway at once and waits until they serve again.
-func (w *world) loseAll(ctx context.Context) {
-	for _, g := range w.gateways {
-		g.kill(w.record)
+// checkRecovery kills every gateway at once and waits until they serve again.
+func (h *harness) checkRecovery(ctx context.Context) {
+	for _, g := range h.gateways {
+		g.kill(h.record)
 	}
-	if err := w.awaitReady(ctx, recoverPatience); err != nil {
-		w.record.violate("RECOVER", "after the loss of all gateways: %v", err)
+	if err := h.awaitReady(ctx, recoveryTimeout); err != nil {
+		h.record.addViolation("RECOVER", "after the loss of all gateways: %v", err)
 		return
 	}
 	back := time.Now()
-	limit := back.Add(recoverPatience)
-	if w.config.CheckTimeBounds {
-		limit = back.Add(recoveryMostWait)
+	limit := back.Add(recoveryTimeout)
+	if h.config.CheckTimeBounds {
+		limit = back.Add(maxRecoveryTime)
 	}
-	for ctx.Err() == nil && !w.record.servedSince(back) {
+	for ctx.Err() == nil && !h.record.servedSince(back) {
 		if time.Now().After(limit) {
-			w.record.violate("RECOVER", "nothing was served after the loss of all gateways")
+			h.record.addViolation("RECOVER", "nothing was served after the loss of all gateways")
 			return
 		}
-		time.Sleep(recoveryPoll)
+		time.Sleep(pollInterval)
 	}
-	sleep(ctx, measuredAfterRecovery)
+	sleep(ctx, loadAfterRecovery)
 }
 
-// settle waits until what callers left behind at endpoints has ended.
-func (w *world) settle(ctx context.Context) {
-	sleep(ctx, settle)
-	if w.config.CheckTimeBounds {
-		sleep(ctx, leakBound)
+// awaitCleanup waits until what callers left behind at endpoints has ended.
+func (h *harness) awaitCleanup(ctx context.Context) {
+	sleep(ctx, cleanupDelay)
+	if h.config.CheckTimeBounds {
+		sleep(ctx, maxHeldAfterUse)
 	}
 }
 
@@ -167,16 +167,16 @@
 	}
 }
 
-func (w *world) report() *Report {
-	r := w.record
-	w.collectRuns()
-	report := &Report{Seed: w.config.Seed, Requests: len(r.Requests), Arrivals: len(r.Arrivals), Faults: w.faultCounts, Statuses: map[string]int{}}
-	for _, a := range r.Requests {
-		report.Statuses[a.outcome()]++
-		if a.succeeded() {
+func (h *harness) report() *Report {
+	r := h.record
+	h.collectArrivals()
+	report := &Report{Seed: h.config.Seed, Requests: len(r.Requests), Arrivals: len(r.Arrivals), Faults: h.faultCounts, Statuses: map[string]int{}}
+	for _, req := range r.Requests {
+		report.Statuses[req.statusLabel()]++
+		if req.succeeded() {
 			report.Succeeded++
 		}
 	}
-	report.Violations = r.Check(w.config.CheckTimeBounds)
+	report.Violations = r.Check(h.config.CheckTimeBounds)
 	return report
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,12 +14,12 @@
 	"aspenyard.example/cli"
 )
 
-// asProduct makes the test binary behave as the product's command line: the gateways of
+// productArgument makes the test binary behave as the product's command line: the gateways of
 // a run are this same binary.
-const asProduct = "aspenyard"
+const productArgument = "aspenyard"
 
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == asProduct {
+	if len(os.Args) > 1 && os.Args[1] == productArgument {
 		os.Args = append(os.Args[:1], os.Args[2:]...)
 		os.Exit(cli.Main())
 	}
@@ -28,7 +28,7 @@
 
 // Seeds of CI's runs; what has a bound in time is checked by hand on a quiet machine.
 const (
-	shortLength   = 6 * time.Second
+	shortDuration = 6 * time.Second
 	shortGateways = 4
 )
 
@@ -40,7 +40,7 @@
 	kinds, err := FirstFaultKinds(firstKinds)
 	is.NoErr(err)
 	report, err := Run(context.Background(), Config{
-		Seed: seed, Duration: length, Gateways: gateways, FaultKinds: kinds, Dir: t.TempDir(), Command: []string{self, asProduct, "gateway", "--settings"},
+		Seed: seed, Duration: length, Gateways: gateways, FaultKinds: kinds, Dir: t.TempDir(), Command: []string{self, productArgument, "gateway", "--settings"},
 	})
 	is.NoErr(err)
 	return report
@@ -51,7 +51,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			report := runSeed(t, seed, shortGateways, shortLength, 0)
+			report := runSeed(t, seed, shortGateways, shortDuration, 0)
 			is.True(report.Succeeded > 0)
 			for _, v := range report.Violations {
 				t.Errorf("%s: %s", v.Rule, v.Detail)
