--- a/soak/callers.go
+++ b/soak/callers.go
@@ -17,16 +17,15 @@
 )
 
 const (
-	// meanThinkTime is the pause between two requests of a caller.
+	// meanThinkTime is the mean pause between two requests of a caller.
 	meanThinkTime = 120 * time.Millisecond
-	// switchOneIn is one in how many requests a caller goes to another gateway although its
-	// connection works.
+	// One in switchOneIn requests goes to another gateway although the connection still works.
 	switchOneIn = 12
-	// cancelOneIn is one in how many requests a caller leaves before the answer is whole.
+	// One in cancelOneIn requests is cancelled before its response is complete.
 	cancelOneIn = 15
-	// invalidOneIn is one in how many requests is improper.
+	// One in invalidOneIn requests is invalid.
 	invalidOneIn = 20
-	// longDeadlineOneIn is one in how many requests waits longer than its route allows.
+	// One in longDeadlineOneIn requests has a deadline longer than its route's timeout.
 	longDeadlineOneIn = 4
 	shortDeadline     = 4 * time.Second
 	longDeadline      = 15 * time.Second
@@ -35,13 +34,13 @@
 	outputTokens      = 200
 )
 
-// callerPool are all callerPool of a run.
+// callerPool is all callers of a run.
 type callerPool struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// startCallers starts them.
+// startCallers starts the callers of a run, each with random numbers of its own.
 func startCallers(ctx context.Context, h *harness) *callerPool {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &callerPool{cancel: cancel}
@@ -52,13 +51,13 @@
 	return c
 }
 
-// stop ends them; requests under way are left.
+// stop ends the callers; requests in flight are cancelled.
 func (c *callerPool) stop() {
 	c.cancel()
 	c.running.Wait()
 }
 
-// caller sends one request after the other, on one connection as long as it works.
+// caller sends one request after another, on one connection while it works.
 type caller struct {
 	harness *harness
 	name    string
@@ -68,6 +67,8 @@
 	sent    int
 }
 
+// run sends requests until ctx ends. It retries a failed request once, at another gateway, if
+// that is allowed.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(c.rand.ExpFloat64()*float64(meanThinkTime)))
@@ -92,8 +93,8 @@
 	}
 }
 
-// switchGateway goes to a gateway that is ready, over a new connection; to any when less than
-// half are, as the platform's balancer does.
+// switchGateway opens a new connection to a gateway that is ready. If less than half of the
+// gateways are ready it uses any of them, as the platform's load balancer does.
 func (c *caller) switchGateway() {
 	var ready []*gateway
 	for _, g := range c.harness.gateways {
@@ -111,8 +112,8 @@
 	c.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1}}
 }
 
-// mayRetry tells whether a caller may ask again: after a promise that the request has
-// not run, or after any failure of what may run twice.
+// mayRetry reports whether a caller may retry a request: after a response that says that it did
+// not run, or after any failure of a repeatable request.
 func (c *caller) mayRetry(req *Request) bool {
 	switch {
 	case req.Cancelled || req.succeeded():
@@ -125,6 +126,7 @@
 	return !req.Complete || req.Status >= http.StatusInternalServerError
 }
 
+// newRequest creates a request with a random API key and deadline, without sending it.
 func (c *caller) newRequest(route *Route) *Request {
 	c.sent++
 	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
@@ -137,7 +139,7 @@
 	return req
 }
 
-// send sends an attempt and notes what came of it; it gives what Retry-After says.
+// send sends a request and records its result. It returns the response's Retry-After.
 func (c *caller) send(ctx context.Context, req *Request) (retryAfter time.Duration) {
 	defer c.harness.record.addRequest(req)
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline)
@@ -147,7 +149,7 @@
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.gateway.callers.Addr()+req.RequestURI, strings.NewReader(req.Body))
 	if err != nil {
-		panic(err) // the address and target are our own
+		panic(err) // the URL consists of valid parts only
 	}
 	httpRequest.Host = host
 	c.setHeaders(httpRequest.Header, req)
@@ -167,14 +169,15 @@
 	return retryAfter
 }
 
-// setHeaders sets the headers of a caller, and some that callers may not set.
+// setHeaders sets the headers that callers send, and some that callers must not set and gateways
+// must replace.
 func (c *caller) setHeaders(h http.Header, req *Request) {
 	call := platform.CallHeaders{ID: req.ID, APIKey: req.APIKey, Deadline: req.Deadline, PromptTokens: req.Route.PromptTokens, OutputTokens: outputTokens}
 	call.SetHeaders(h)
 	platform.SetForgedHeaders(h)
 }
 
-// sendInvalid sends a request that must be refused and reach no endpoint.
+// sendInvalid sends a request that must be refused and must not reach an endpoint.
 func (c *caller) sendInvalid(ctx context.Context) {
 	req := c.newRequest(routes[0])
 	req.APIKey = keyPlain
@@ -195,8 +198,8 @@
 	c.client = nil
 }
 
-// smuggle sends a request that gives two lengths of its body, with a second one hidden
-// in it: whoever reads the body by the other length would run the second.
+// smuggle sends a request with both Content-Length and Transfer-Encoding and a second request
+// hidden in its body. A reader that uses the wrong length would run the second one.
 func (c *caller) smuggle(ctx context.Context, req *Request) {
 	defer c.harness.record.addRequest(req)
 	req.ExpectedStatus, req.SentAt = http.StatusBadRequest, time.Now()
@@ -218,14 +221,15 @@
 	req.Status, req.Complete = response.StatusCode, true
 }
 
-// smuggledRequest is the text of a request that nobody sends, under an ID of its own.
+// smuggledRequest returns the text of the hidden request, which has an ID of its own that no
+// caller sends.
 func (c *caller) smuggledRequest(req *Request) string {
 	inner := *req
 	inner.ID = "hidden-" + req.ID
 	return fmt.Sprintf("POST /once/hidden HTTP/1.1\r\nHost: %s\r\n%sContent-Length: 0\r\n\r\n", host, c.encodeHeaders(&inner))
 }
 
-// encodeHeaders is the headers of a request as they go over the wire.
+// encodeHeaders returns the headers of a request in wire format.
 func (c *caller) encodeHeaders(req *Request) string {
 	h := http.Header{}
 	c.setHeaders(h, req)
--- a/soak/check.go
+++ b/soak/check.go
@@ -9,15 +9,17 @@
 	"time"
 )
 
-// rule is one promise and what finds out whether it was kept.
+// rule is one rule and the check that finds its violations.
 type rule struct {
 	name string
-	// hasTimeBound rules have a bound in time, which a busy machine may exceed.
+	// hasTimeBound marks checks against a time bound, which a busy machine may exceed without a
+	// fault of the program.
 	hasTimeBound bool
-	check        func(*indexedRecord) []string
+	// check returns a description of each violation.
+	check func(*indexedRecord) []string
 }
 
-// rules are all that is checked, by their names in the users' pages.
+// rules are all checks, under the names that the rules have in the users' documents.
 var rules = []rule{
 	{"MIXED", false, checkCompleteAnswers},
 	{"MIXED", false, checkFailureOrigin},
@@ -43,7 +45,7 @@
 	{"STUCK", true, checkReservationsUsed},
 }
 
-// Bounds of the users' sites, and what few exceptions they allow.
+// Time bounds of the users' sites, and the number of exceptions that their rules allow.
 const (
 	revertSlack               = 250 * time.Millisecond
 	maxRunAfterCancel         = 500 * time.Millisecond
@@ -55,20 +57,21 @@
 	allowedDenials            = 5
 	requestsPerAllowedDenial  = 500
 	runsPerAllowedLateCancel  = 4
-	maxFindingsPerRule        = 3 // of one rule's findings, besides their number
+	maxFindingsPerRule        = 3 // further findings of a check are only counted
 	allowedDeadlineExceptions = 20
 )
 
-// indexedRecord is a record, indexed.
+// indexedRecord is a record with indexes for the checks.
 type indexedRecord struct {
 	*Record
 	requestsByID      map[string]*Request
-	arrivalsByID      map[string][]*Arrival // by the request's ID
-	runsByReservation map[string][]*Arrival // by the reservation, only those that ran
+	arrivalsByID      map[string][]*Arrival // by request ID
+	runsByReservation map[string][]*Arrival // by reservation ID; only arrivals that ran
 }
 
-// Check looks for broken promises; those with a bound in time only if timed is set.
-func (r *Record) Check(timed bool) []Violation {
+// Check returns all violations of the run, those recorded during the run first. The rules with a
+// time bound are checked only if checkTimeBounds is set.
+func (r *Record) Check(checkTimeBounds bool) []Violation {
 	ix := &indexedRecord{Record: r, requestsByID: map[string]*Request{}, arrivalsByID: map[string][]*Arrival{}, runsByReservation: map[string][]*Arrival{}}
 	for _, req := range r.Requests {
 		ix.requestsByID[req.ID] = req
@@ -79,13 +82,13 @@
 		if !run.Ran {
 			continue
 		}
-		for _, ticket := range run.ReservationIDs() {
-			ix.runsByReservation[ticket] = append(ix.runsByReservation[ticket], run)
+		for _, id := range run.ReservationIDs() {
+			ix.runsByReservation[id] = append(ix.runsByReservation[id], run)
 		}
 	}
 	found := append([]Violation(nil), r.violations...)
 	for _, rule := range rules {
-		if rule.hasTimeBound && !timed {
+		if rule.hasTimeBound && !checkTimeBounds {
 			continue
 		}
 		findings := rule.check(ix)
@@ -99,23 +102,24 @@
 	return found
 }
 
-// describe describes an attempt in findings.
+// describe identifies a request in a finding.
 func describe(req *Request) string {
 	return fmt.Sprintf("%s (%s, %s)", req.ID, req.Route.Name, req.Gateway)
 }
 
-// findRequests collects what find says of attempts.
-func (ix *indexedRecord) findRequests(find func(req *Request) string) []string {
+// findRequests applies check to every request and returns its non-empty results, each with the
+// request it is about.
+func (ix *indexedRecord) findRequests(check func(req *Request) string) []string {
 	var findings []string
 	for _, req := range ix.Requests {
-		if text := find(req); text != "" {
+		if text := check(req); text != "" {
 			findings = append(findings, describe(req)+": "+text)
 		}
 	}
 	return findings
 }
 
-// moreThan drops findings that are few enough to be allowed.
+// moreThan returns the findings if there are more than the allowed number, and none otherwise.
 func moreThan(findings []string, allowed int) []string {
 	if len(findings) <= allowed {
 		return nil
@@ -123,24 +127,25 @@
 	return findings
 }
 
-// checkCompleteAnswers finds successes that are not the endpoint's whole, own answer.
+// checkCompleteAnswers finds successful responses that are not the complete, unchanged response
+// of an endpoint to this request.
 func checkCompleteAnswers(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		switch {
 		case !req.succeeded():
 			return ""
 		case !req.HasServerStamp:
-			return "a success without the endpoint's signature"
+			return "successful response without the endpoint's server stamp"
 		case req.EchoedID != req.ID:
-			return fmt.Sprintf("the answer to %q", req.EchoedID)
+			return fmt.Sprintf("response belongs to request %q", req.EchoedID)
 		case req.ResponseBody != req.expectedBody():
-			return fmt.Sprintf("%d bytes that look whole, of %d", len(req.ResponseBody), len(req.expectedBody()))
+			return fmt.Sprintf("body of %d bytes presented as complete, the endpoint's has %d", len(req.ResponseBody), len(req.expectedBody()))
 		}
 		return ""
 	})
 }
 
-// checkFailureOrigin finds failures that bear an endpoint's signature and are not its own.
+// checkFailureOrigin finds failures with an endpoint's server stamp that no endpoint returned.
 func checkFailureOrigin(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		if !req.Complete || !req.HasServerStamp || req.succeeded() {
@@ -151,22 +156,23 @@
 				return ""
 			}
 		}
-		return fmt.Sprintf("status %d is signed and no endpoint gave it", req.Status)
+		return fmt.Sprintf("status %d has an endpoint's server stamp but no endpoint returned it", req.Status)
 	})
 }
 
-// checkEventOrder finds streams, broken ones too, whose text is not the beginning of the
-// endpoint's.
+// checkEventOrder finds streams, including broken ones, whose text is not a prefix of the
+// endpoint's stream.
 func checkEventOrder(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		if req.Status != http.StatusOK || strings.HasPrefix(req.expectedBody(), req.ResponseBody) {
 			return ""
 		}
-		return "events are missing, twice or out of order"
+		return "events are missing, duplicated or out of order"
 	})
 }
 
-// checkRunsMatchRequests finds runs that nobody asked for, or not so.
+// checkRunsMatchRequests finds runs of requests that no caller sent, that had to be refused, or
+// whose content or account was changed.
 func checkRunsMatchRequests(ix *indexedRecord) []string {
 	var findings []string
 	for i := range ix.Arrivals {
@@ -179,11 +185,11 @@
 		case req == nil:
 			findings = append(findings, fmt.Sprintf("%s ran %q, which no caller sent", run.Endpoint, run.ID))
 		case req.ExpectedStatus != 0:
-			findings = append(findings, fmt.Sprintf("%s ran the improper request %s", run.Endpoint, describe(req)))
+			findings = append(findings, fmt.Sprintf("%s ran the invalid request %s", run.Endpoint, describe(req)))
 		case run.Method != http.MethodPost || run.RequestURI != req.RequestURI || run.Body != req.Body:
 			findings = append(findings, fmt.Sprintf("%s ran %s with method, path or body changed", run.Endpoint, describe(req)))
 		case run.Authorization != "":
-			findings = append(findings, fmt.Sprintf("%s was given the key of %s", run.Endpoint, describe(req)))
+			findings = append(findings, fmt.Sprintf("%s received the API key of %s", run.Endpoint, describe(req)))
 		case !ix.accountMatches(req, run.Account):
 			findings = append(findings, fmt.Sprintf("%s ran %s for account %q", run.Endpoint, describe(req), run.Account))
 		}
@@ -191,6 +197,7 @@
 	return findings
 }
 
+// accountMatches reports whether an account is one to which the API key of a request belongs.
 func (ix *indexedRecord) accountMatches(req *Request, account string) bool {
 	switch req.APIKey {
 	case keyPlain:
@@ -201,7 +208,8 @@
 	return ix.editOfAccount(account) >= 0
 }
 
-// editOfAccount gives the edit that an account's name counts; -1 for none.
+// editOfAccount returns the number of the edit that an account is named for, or -1 if there is
+// none.
 func (ix *indexedRecord) editOfAccount(account string) int {
 	for i := range ix.Edits {
 		if accountOfEdit(i) == account {
@@ -211,7 +219,7 @@
 	return -1
 }
 
-// checkRunsOnce finds requests that ran more often than they may.
+// checkRunsOnce finds requests that are not repeatable and ran more than once.
 func checkRunsOnce(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		if n := ix.runCount(req); n > 1 && !req.Route.Repeatable() {
@@ -221,6 +229,7 @@
 	})
 }
 
+// runCount returns how often endpoints ran a request.
 func (ix *indexedRecord) runCount(req *Request) int {
 	n := 0
 	for _, run := range ix.arrivalsByID[req.ID] {
@@ -231,18 +240,18 @@
 	return n
 }
 
-// checkRefusedDidNotRun finds requests that ran although the caller was told that they did
-// not and never would.
+// checkRefusedDidNotRun finds requests that are not repeatable and ran although the caller was
+// told that they did not and would not run.
 func checkRefusedDidNotRun(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		if req.saysNotRun() && !req.Route.Repeatable() && ix.runCount(req) > 0 {
-			return fmt.Sprintf("status %d, and it ran", req.Status)
+			return fmt.Sprintf("ran although status %d says that it did not", req.Status)
 		}
 		return ""
 	})
 }
 
-// checkValidNotDenied finds proper requests that were refused as if they were not.
+// checkValidNotDenied finds valid requests that were denied as if they were invalid.
 func checkValidNotDenied(ix *indexedRecord) []string {
 	findings := ix.findRequests(func(req *Request) string {
 		if req.ExpectedStatus != 0 || req.Route.Optional || req.APIKey == keyGuest || !req.Complete || req.HasServerStamp || req.saysNotRun() {
@@ -256,18 +265,19 @@
 	return moreThan(findings, allowedDenials+len(ix.Requests)/requestsPerAllowedDenial)
 }
 
-// checkInvalidRefused finds improper requests that were not refused as such. 503 is given by
-// a node that knows no configuration yet, or is leaving.
+// checkInvalidRefused finds invalid requests that were not refused with the right status. Status
+// 503 is accepted, as it is returned by a gateway that has no configuration yet or is shutting
+// down.
 func checkInvalidRefused(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		if req.ExpectedStatus == 0 || !req.Complete || req.Status == req.ExpectedStatus || req.Status == http.StatusServiceUnavailable {
 			return ""
 		}
-		return fmt.Sprintf("status %d in place of %d", req.Status, req.ExpectedStatus)
+		return fmt.Sprintf("status %d, want %d", req.Status, req.ExpectedStatus)
 	})
 }
 
-// checkService finds runs at a service to which no configuration sends the route.
+// checkService finds runs at a service to which no configuration routes the request.
 func checkService(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		for _, run := range ix.arrivalsByID[req.ID] {
@@ -283,42 +293,43 @@
 	})
 }
 
-// checkAttemptLimit finds requests that were sent to more endpoints than they may.
+// checkAttemptLimit finds requests that were sent to endpoints more often than the route allows.
 func checkAttemptLimit(ix *indexedRecord) []string {
 	return moreThan(ix.findRequests(func(req *Request) string {
 		if n := len(ix.arrivalsByID[req.ID]); n > req.Route.MaxAttempts {
-			return fmt.Sprintf("arrived %d times", n)
+			return fmt.Sprintf("arrived at endpoints %d times", n)
 		}
 		return ""
 	}), allowedExceptions)
 }
 
-// checkRetryBudget finds windows with more repeats at a service than the budget allows.
+// checkRetryBudget finds time windows with more retries at a service than the retry budget
+// allows.
 func checkRetryBudget(ix *indexedRecord) []string {
-	arrivals := map[string][]time.Time{} // repeats, by service
+	retries := map[string][]time.Time{} // arrival times of retries by service
 	for _, runs := range ix.arrivalsByID {
 		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
 		for _, run := range runs[1:] {
-			arrivals[run.Service] = append(arrivals[run.Service], run.ArrivedAt)
+			retries[run.Service] = append(retries[run.Service], run.ArrivedAt)
 		}
 	}
 	var findings []string
-	for service, times := range arrivals {
+	for service, times := range retries {
 		slices.SortFunc(times, time.Time.Compare)
 		for i, at := range times {
 			from := at.Add(-retryWindow)
 			first := sort.Search(i, func(j int) bool { return times[j].After(from) })
 			allowed := retryRatio*float64(ix.peakRequests(service, from, at)) + float64(ix.retryAllowance())
 			if n := i - first + 1; float64(n) > allowed {
-				findings = append(findings, fmt.Sprintf("%d repeats at %s in %v, %.0f are allowed", n, service, retryWindow, allowed))
+				findings = append(findings, fmt.Sprintf("%d retries at %s in %v, %.0f allowed", n, service, retryWindow, allowed))
 			}
 		}
 	}
 	return findings
 }
 
-// peakRequests counts the requests for a service in a window, or in the one before it or
-// half a window before it, whichever has most.
+// peakRequests counts the requests for a service in the window from..to, in the window before it
+// and in the one half a window earlier, and returns the largest number.
 func (ix *indexedRecord) peakRequests(service string, from, to time.Time) int {
 	most := 0
 	for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
@@ -333,7 +344,8 @@
 	return most
 }
 
-// retryAllowance is what all gateways together may repeat besides the ratio.
+// retryAllowance returns how many retries all gateways together may send in addition to the
+// ratio.
 func (ix *indexedRecord) retryAllowance() int {
 	names := map[string]bool{}
 	for _, req := range ix.Requests {
@@ -342,7 +354,7 @@
 	return retryAllowancePerGateway * max(len(names), 1)
 }
 
-// checkDeadlines finds runs that were given no deadline or one after the caller's.
+// checkDeadlines finds arrivals without a deadline or with one later than the caller's.
 func checkDeadlines(ix *indexedRecord) []string {
 	var findings []string
 	for i := range ix.Arrivals {
@@ -353,7 +365,7 @@
 		}
 		end := run.ArrivedAt.Add(time.Duration(run.DeadlineMS) * time.Millisecond)
 		if (run.DeadlineMS <= 0 || end.After(req.SentAt.Add(req.Deadline+deadlineSlack))) && ix.undisturbed(req.Gateway, req.SentAt, run.ArrivedAt, true) {
-			findings = append(findings, fmt.Sprintf("%s got %d ms of %s", run.Endpoint, run.DeadlineMS, describe(req)))
+			findings = append(findings, fmt.Sprintf("%s got a deadline of %d ms for %s", run.Endpoint, run.DeadlineMS, describe(req)))
 		}
 	}
 	return moreThan(findings, max(allowedDeadlineExceptions, len(ix.Arrivals)/5))
@@ -362,11 +374,11 @@
 // checkReservationsUsedOnce finds reservations that two runs used at the same time.
 func checkReservationsUsedOnce(ix *indexedRecord) []string {
 	var findings []string
-	for ticket, runs := range ix.runsByReservation {
+	for id, runs := range ix.runsByReservation {
 		for i, first := range runs {
 			for _, second := range runs[i+1:] {
 				if first.ArrivedAt.Before(runEnd(second)) && second.ArrivedAt.Before(runEnd(first)) {
-					findings = append(findings, fmt.Sprintf("%s is used by %s and %s", ticket, first.ID, second.ID))
+					findings = append(findings, fmt.Sprintf("reservation %s is used by both %s and %s", id, first.ID, second.ID))
 				}
 			}
 		}
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -17,12 +17,12 @@
 	resumableRoute = &Route{Name: "stream", Kind: directory.Streaming, Resumable: true, Service: serviceModel, Events: 8, Timeout: 10 * time.Second, MaxAttempts: maxAttempts}
 )
 
-// atSecond is so many seconds into a run.
+// atSecond returns the time that many seconds into a run.
 func atSecond(seconds float64) time.Time {
 	return runStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// addServed adds a request that was addServed as it should be, and gives it and its arrival.
+// addServed adds a request that was served correctly and returns it with its arrival.
 func (r *Record) addServed(id string, route *Route, sent float64) (*Request, *Arrival) {
 	req := &Request{
 		ID: id, Route: route, Gateway: "g1", Incarnation: 1, RequestURI: "/x", Body: "b", APIKey: keyPlain, Deadline: 4 * time.Second, SentAt: atSecond(sent), EndedAt: atSecond(sent + 0.1),
@@ -36,68 +36,68 @@
 	return req, &r.Arrivals[len(r.Arrivals)-1]
 }
 
-// addArrival adds one more arrival of a request.
-func (r *Record) addArrival(of *Arrival, endpoint string, arrived float64) *Arrival {
-	next := *of
+// addArrival adds a further arrival of a request.
+func (r *Record) addArrival(earlier *Arrival, endpoint string, arrived float64) *Arrival {
+	next := *earlier
 	next.Endpoint, next.ArrivedAt, next.EndedAt = endpoint, atSecond(arrived), atSecond(arrived+0.1)
 	r.Arrivals = append(r.Arrivals, next)
 	return &r.Arrivals[len(r.Arrivals)-1]
 }
 
-// setHandlingEdit makes a request tell by which edit it was handled.
+// setHandlingEdit makes a run show that the request was handled by the given edit.
 func setHandlingEdit(req *Request, run *Arrival, edit int) {
 	req.APIKey, run.Account = keyPerEdit, accountOfEdit(edit)
 }
 
-// testEdits were in force from seconds 0, 20 and 40 on.
+// testEdits returns three edits that took effect at seconds 0, 20 and 40.
 func testEdits() []ConfigEdit {
 	return []ConfigEdit{{atSecond(0), atSecond(0), serviceApp, true, true}, {atSecond(20), atSecond(20), serviceNext, false, true}, {atSecond(40), atSecond(40), serviceApp, true, false}}
 }
 
-// Each broken promise is put into a record that keeps all of them otherwise.
+// violationCases each put one violation of a rule into a record that is correct otherwise.
 var violationCases = map[string]struct {
 	rule   string
 	induce func(r *Record)
 }{
-	"an unsigned success": {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.HasServerStamp = false }},
-	"another's answer":    {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.EchoedID = "p" }},
-	"a short answer looks whole": {"MIXED", func(r *Record) {
+	"successful response without server stamp": {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.HasServerStamp = false }},
+	"response to another request":              {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.EchoedID = "p" }},
+	"truncated response presented as complete": {"MIXED", func(r *Record) {
 		req, _ := r.addServed("q", resumableRoute, 50)
 		req.ResponseBody = req.ResponseBody[:30]
 	}},
-	"a failure nobody gave": {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.Status = 500 }},
-	"an event is missing": {"ORDER", func(r *Record) {
+	"stamped failure that no endpoint returned": {"MIXED", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.Status = 500 }},
+	"missing event": {"ORDER", func(r *Record) {
 		req, _ := r.addServed("q", resumableRoute, 50)
 		req.Complete, req.Cancelled, req.ResponseBody = false, true, platform.EventText("q", 1)+platform.EventText("q", 3)
 	}},
-	"a run nobody asked for": {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.ID = "hidden-q" }},
-	"a changed path":         {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.RequestURI = "/y" }},
-	"the key passed on":      {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Authorization = "Bearer k" }},
-	"a forged account":       {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Account = "forged" }},
-	"an improper request ran": {"UNASKED", func(r *Record) {
+	"run of a request that no caller sent": {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.ID = "hidden-q" }},
+	"changed path":                         {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.RequestURI = "/y" }},
+	"API key forwarded":                    {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Authorization = "Bearer k" }},
+	"forged account":                       {"UNASKED", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Account = "forged" }},
+	"invalid request ran": {"UNASKED", func(r *Record) {
 		req, _ := r.addServed("q", onceRoute, 50)
 		req.ExpectedStatus, req.Status, req.HasServerStamp = 400, 400, false
 	}},
-	"two runs": {"TWICE", func(r *Record) {
+	"not repeatable request ran twice": {"TWICE", func(r *Record) {
 		_, run := r.addServed("q", onceRoute, 50)
 		r.addArrival(run, "i-2", 50.05)
 	}},
-	"refused and run": {"REFUSED", func(r *Record) {
+	"refused request ran": {"REFUSED", func(r *Record) {
 		req, _ := r.addServed("q", onceRoute, 50)
 		req.Status, req.HasServerStamp = 503, false
 	}},
-	"proper requests denied": {"DENIED", func(r *Record) {
+	"valid requests denied": {"DENIED", func(r *Record) {
 		for i := range 10 {
 			req, run := r.addServed(string(rune('a'+i)), onceRoute, 50)
 			req.Status, req.HasServerStamp, run.Ran = 403, false, false
 		}
 	}},
-	"an improper request served": {"DENIED", func(r *Record) {
+	"invalid request served": {"DENIED", func(r *Record) {
 		req, run := r.addServed("q", onceRoute, 50)
 		req.ExpectedStatus, run.Ran = 401, false
 	}},
-	"the wrong service": {"ROUTE", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Service = serviceModel }},
-	"too many endpoints": {"BUDGET", func(r *Record) {
+	"wrong service": {"ROUTE", func(r *Record) { _, run := r.addServed("q", onceRoute, 50); run.Service = serviceModel }},
+	"too many attempts": {"BUDGET", func(r *Record) {
 		for _, id := range []string{"q", "r", "s", "t"} {
 			_, run := r.addServed(id, resumableRoute, 50)
 			for range maxAttempts {
@@ -105,68 +105,69 @@
 			}
 		}
 	}},
-	"retries without a budget": {"BUDGET", func(r *Record) {
+	"retries beyond the budget": {"BUDGET", func(r *Record) {
 		for i := range 30 {
 			_, run := r.addServed(string(rune('a'+i)), resumableRoute, 50)
 			r.addArrival(run, "i-2", 50.05)
 		}
 	}},
-	"a request that crashes endpoints is sent on": {"BUDGET", func(r *Record) {
+	"crashing request not quarantined": {"BUDGET", func(r *Record) {
 		for i := range 10 {
 			req, run := r.addServed(string(rune('a'+i)), onceRoute, 50+float64(i))
 			req.Body, run.Body = crashBody, crashBody
 		}
 	}},
-	"more time than is left": {"BUDGET", func(r *Record) {
+	"deadline extended": {"BUDGET", func(r *Record) {
 		for i := range 30 {
 			_, run := r.addServed(string(rune('a'+i)), onceRoute, 50)
 			run.DeadlineMS = 10_000
 		}
 	}},
-	"two users of a reservation": {"LIMIT", func(r *Record) {
+	"reservation used by two runs": {"LIMIT", func(r *Record) {
 		_, first := r.addServed("q", resumableRoute, 50)
 		first.Helpers = "127.0.0.1:1/t1"
 		_, second := r.addServed("r", resumableRoute, 50.05)
 		second.Helpers = "127.0.0.1:1/t1"
 	}},
-	"back to an older edit": {"CONFIG", func(r *Record) {
+	"reverted to an older edit": {"CONFIG", func(r *Record) {
 		req, run := r.addServed("q", onceRoute, 41)
 		setHandlingEdit(req, run, 2)
 		req, run = r.addServed("r", onceRoute, 41.5)
 		setHandlingEdit(req, run, 1)
 	}},
-	"an older edit for too long": {"CONFIG", func(r *Record) {
+	"older edit in use for too long": {"CONFIG", func(r *Record) {
 		req, run := r.addServed("q", onceRoute, 45)
 		setHandlingEdit(req, run, 1)
 	}},
-	"a dropped route for too long": {"CONFIG", func(r *Record) {
+	"route missing for too long": {"CONFIG", func(r *Record) {
 		req, run := r.addServed("q", &Route{Name: "extra", Kind: directory.Idempotent, Service: serviceApp, Timeout: time.Second, Optional: true, MaxAttempts: 3}, 45)
 		req.Status, req.HasServerStamp, run.Ran = 404, false, false
 	}},
-	"no answer at the timeout": {"CONFIG", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.EndedAt = atSecond(55) }},
-	"a leaving endpoint gets work": {"DRAIN", func(r *Record) {
+	"no response at the timeout": {"CONFIG", func(r *Record) { req, _ := r.addServed("q", onceRoute, 50); req.EndedAt = atSecond(55) }},
+	"request sent to a leaving endpoint": {"DRAIN", func(r *Record) {
 		r.Departures = []Departure{{"i-1", atSecond(45)}}
 		r.addServed("q", onceRoute, 50)
 	}},
-	"a stop cuts a request": {"LOST", func(r *Record) {
+	"shutdown cuts off a request": {"LOST", func(r *Record) {
 		r.Disturbances = []*Disturbance{{Kind: "term", Gateway: "g1", Planned: true, From: atSecond(49), To: atSecond(57)}}
 		req, _ := r.addServed("q", resumableRoute, 50)
 		req.Complete = false
 	}},
-	"work for callers that left": {"GONE", func(r *Record) {
+	"runs continue after cancellation": {"GONE", func(r *Record) {
 		for i := range 8 {
 			req, run := r.addServed(string(rune('a'+i)), resumableRoute, 50)
 			req.Cancelled, req.Complete, run.EndedAt = true, false, atSecond(55)
 		}
 	}},
-	"memory kept": {"LEAK", func(r *Record) {
+	"reservation not released": {"LEAK", func(r *Record) {
 		_, run := r.addServed("q", resumableRoute, 50)
 		run.Helpers = "127.0.0.1:1/t1"
 		r.Reservations["i-1/t1"] = &Reservation{"i-1", "t1", atSecond(50), atSecond(56)}
 	}},
-	"memory never used": {"STUCK", func(r *Record) { r.Reservations["i-1/t1"] = &Reservation{"i-1", "t1", atSecond(40), atSecond(56)} }},
+	"reservation never used": {"STUCK", func(r *Record) { r.Reservations["i-1/t1"] = &Reservation{"i-1", "t1", atSecond(40), atSecond(56)} }},
 }
 
+// correctRecord returns a record without violations.
 func correctRecord() *Record {
 	r := NewRecord()
 	r.Edits = testEdits()
@@ -181,7 +182,8 @@
 	is.Equal(len(correctRecord().Check(true)), 0)
 }
 
-// A check that cannot fail proves nothing.
+// A check that cannot fail would prove nothing, so each one must report the violation it is for
+// and nothing else.
 func TestEachCheckDetectsItsViolation(t *testing.T) {
 	for name, c := range violationCases {
 		t.Run(name, func(t *testing.T) {
@@ -191,15 +193,15 @@
 			found := r.Check(true)
 			is.True(len(found) > 0)
 			for _, v := range found {
-				is.Equal(v.Rule, c.rule) // nothing else is found broken
+				is.Equal(v.Rule, c.rule) // no other rule is reported
 			}
 		})
 	}
 }
 
-// What a disturbance explains is not held against a gateway.
+// Violations that a disturbance explains are not reported.
 func TestDisturbancesExcuseTheirEffects(t *testing.T) {
-	for _, name := range []string{"an older edit for too long", "a leaving endpoint gets work", "work for callers that left", "memory kept", "no answer at the timeout"} {
+	for _, name := range []string{"older edit in use for too long", "request sent to a leaving endpoint", "runs continue after cancellation", "reservation not released", "no response at the timeout"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := correctRecord()
@@ -222,7 +224,7 @@
 			kinds[f.Kind] = true
 		}
 	}
-	is.Equal(len(kinds), len(faultTable)) // every kind comes
+	is.Equal(len(kinds), len(faultTable)) // every kind occurs
 	for _, f := range GenerateSchedule(7, time.Minute, targetCounts{3, 12}, []string{"edit"}) {
 		is.Equal(f.Kind, "edit")
 	}
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// incarnation is one incarnation of a gateway.
+// incarnation identifies one incarnation of a gateway.
 type incarnation struct {
 	gateway string
 	number  int
 }
 
-// checkConfigNeverReverts finds gateways that handled a request by an older edit than one that an
-// endpoint had seen the effect of before the request was sent.
+// checkConfigNeverReverts finds gateway incarnations that handled a request by an older edit
+// although a newer one had already taken effect before the request was sent.
 func checkConfigNeverReverts(ix *indexedRecord) []string {
-	type seen struct {
+	type sighting struct {
 		sent, arrived time.Time
 		edit          int
-		attempt       *Request
+		request       *Request
 	}
-	lives := map[incarnation][]seen{}
+	sightings := map[incarnation][]sighting{}
 	for i := range ix.Arrivals {
 		run := &ix.Arrivals[i]
 		req := ix.requestsByID[run.ID]
@@ -30,16 +30,16 @@
 			continue
 		}
 		if edit := ix.editOfAccount(run.Account); edit >= 0 {
-			of := incarnation{req.Gateway, req.Incarnation}
-			lives[of] = append(lives[of], seen{req.SentAt, run.ArrivedAt, edit, req})
+			key := incarnation{req.Gateway, req.Incarnation}
+			sightings[key] = append(sightings[key], sighting{req.SentAt, run.ArrivedAt, edit, req})
 		}
 	}
 	var findings []string
-	for _, all := range lives {
+	for _, all := range sightings {
 		for _, first := range all {
 			for _, second := range all {
 				if second.edit < first.edit && second.sent.After(first.arrived.Add(revertSlack)) {
-					findings = append(findings, fmt.Sprintf("%s was handled by edit %d, %v after %s by edit %d", describe(second.attempt), second.edit, second.sent.Sub(first.arrived), first.attempt.ID, first.edit))
+					findings = append(findings, fmt.Sprintf("%s was handled by edit %d, %v after %s was by edit %d", describe(second.request), second.edit, second.sent.Sub(first.arrived), first.request.ID, first.edit))
 				}
 			}
 		}
@@ -47,8 +47,8 @@
 	return findings
 }
 
-// checkConfigApplied finds requests that were handled as only older edits allow, later than
-// an edit must be in force.
+// checkConfigApplied finds requests that were handled according to older edits only, although a
+// newer edit had to be in effect by then.
 func checkConfigApplied(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		newest := sort.Search(len(ix.Edits), func(i int) bool { return ix.Edits[i].AckedAt.Add(configWithin).After(req.SentAt) }) - 1
@@ -59,14 +59,13 @@
 			return fmt.Sprintf("handled by edit %d, %v after edit %d", edit, req.SentAt.Sub(ix.Edits[newest].AckedAt), newest)
 		}
 		if ix.deniedSince(req, newest) {
-			return fmt.Sprintf("status %d, which only edits before %d allow", req.Status, newest)
+			return fmt.Sprintf("status %d, which only edits before edit %d justify", req.Status, newest)
 		}
 		return ""
 	})
 }
 
-// handlingEdit gives the edit by which an attempt was handled, where that can be told; -1:
-// it can't.
+// handlingEdit returns the edit by which a request was handled, or -1 if that is not known.
 func (ix *indexedRecord) handlingEdit(req *Request) int {
 	for _, run := range ix.arrivalsByID[req.ID] {
 		if run.Ran && req.APIKey == keyPerEdit {
@@ -76,8 +75,8 @@
 	return -1
 }
 
-// deniedSince tells whether an attempt was refused for a route or key that is in an edit
-// and in all that were begun before the attempt ended.
+// deniedSince reports whether a request was denied because of its route or API key, although edit
+// newest and every later edit written before the request ended contain both.
 func (ix *indexedRecord) deniedSince(req *Request, newest int) bool {
 	if !req.Complete || req.ExpectedStatus != 0 || req.HasServerStamp {
 		return false
@@ -95,50 +94,52 @@
 	return req.Status == http.StatusNotFound || req.Status == http.StatusUnauthorized
 }
 
-// checkTimeouts finds requests without a final answer after their route's timeout.
+// checkTimeouts finds requests without a complete response timeoutSlack after their route's
+// timeout. They are reported only if they are more than half of the requests that reached the
+// timeout.
 func checkTimeouts(ix *indexedRecord) []string {
-	long := 0
+	timedOut := 0
 	findings := ix.findRequests(func(req *Request) string {
 		took := req.EndedAt.Sub(req.SentAt)
 		if took < req.Route.Timeout || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt, false) {
 			return ""
 		}
-		long++
+		timedOut++
 		if took > req.Route.Timeout+timeoutSlack {
-			return fmt.Sprintf("%v, the route allows %v", took, req.Route.Timeout)
+			return fmt.Sprintf("took %v, the route allows %v", took, req.Route.Timeout)
 		}
 		return ""
 	})
-	if 2*len(findings) <= long {
+	if 2*len(findings) <= timedOut {
 		return nil
 	}
 	return findings
 }
 
-// checkLeavingEndpoints finds requests that reached an endpoint later than it must be left
-// alone after its word that it leaves.
+// checkLeavingEndpoints finds requests that reached an endpoint more than leavingWithin after it
+// had announced that it leaves.
 func checkLeavingEndpoints(ix *indexedRecord) []string {
-	left := map[string]time.Time{}
+	leftAt := map[string]time.Time{}
 	for _, d := range ix.Departures {
-		left[d.Endpoint] = d.AckedAt
+		leftAt[d.Endpoint] = d.AckedAt
 	}
 	var findings []string
 	for i := range ix.Arrivals {
 		run := &ix.Arrivals[i]
-		acked, leaving := left[run.Endpoint]
+		acked, leaving := leftAt[run.Endpoint]
 		req := ix.requestsByID[run.ID]
 		if !leaving || req == nil || run.Status == http.StatusMisdirectedRequest || !run.ArrivedAt.After(acked.Add(leavingWithin)) {
 			continue
 		}
 		if ix.undisturbed(req.Gateway, acked, run.ArrivedAt, true) {
-			findings = append(findings, fmt.Sprintf("%s reached %s %v after it said that it leaves", describe(req), run.Endpoint, run.ArrivedAt.Sub(acked)))
+			findings = append(findings, fmt.Sprintf("%s reached %s %v after it had announced that it leaves", describe(req), run.Endpoint, run.ArrivedAt.Sub(acked)))
 		}
 	}
 	return findings
 }
 
-// checkNoRequestCut finds requests that had reached a sound endpoint and got no
-// whole answer, without an unplanned disturbance of their gateway.
+// checkNoRequestCut finds requests that got no complete response although they had reached
+// undisturbed endpoints and their gateway had no unplanned disturbance.
 func checkNoRequestCut(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		runs := ix.arrivalsByID[req.ID]
@@ -150,13 +151,14 @@
 				return ""
 			}
 		}
-		return fmt.Sprintf("no whole answer after %v", req.EndedAt.Sub(req.SentAt))
+		return fmt.Sprintf("no complete response after %v", req.EndedAt.Sub(req.SentAt))
 	})
 }
 
-// checkRunsCancelled finds endpoints that worked on for callers who had left.
+// checkRunsCancelled finds endpoints that went on running repeatable requests after the callers
+// had cancelled.
 func checkRunsCancelled(ix *indexedRecord) []string {
-	long := 0
+	cancelled := 0
 	findings := ix.findRequests(func(req *Request) string {
 		if !req.Cancelled || !req.Route.Repeatable() || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt.Add(maxRunAfterCancel), false) {
 			return ""
@@ -165,20 +167,20 @@
 			if !run.Ran || !ix.endpointUndisturbed(run) {
 				continue
 			}
-			long++
+			cancelled++
 			if over := runEnd(run).Sub(req.EndedAt); over > maxRunAfterCancel {
-				return fmt.Sprintf("%s worked on for %v", run.Endpoint, over)
+				return fmt.Sprintf("%s ran on for %v after the caller had cancelled", run.Endpoint, over)
 			}
 		}
 		return ""
 	})
-	if len(findings) <= max(allowedExceptions, long/runsPerAllowedLateCancel) {
+	if len(findings) <= max(allowedExceptions, cancelled/runsPerAllowedLateCancel) {
 		return nil
 	}
 	return findings
 }
 
-// linkDisturbed tells whether the store or any link was disturbed between two times: a
+// linkDisturbed reports whether the store or any link was disturbed between from and to. A
 // gateway may then not know that a run has ended.
 func (ix *indexedRecord) linkDisturbed(from, to time.Time) bool {
 	return slices.ContainsFunc(ix.Disturbances, func(d *Disturbance) bool {
@@ -188,13 +190,14 @@
 	})
 }
 
-// checkReservationsReleased finds reservations that outlived the last run that used them.
+// checkReservationsReleased finds reservations that were held too long after the last run that
+// used them.
 func checkReservationsReleased(ix *indexedRecord) []string {
 	var findings []string
-	for _, hold := range ix.Reservations {
-		last, used := ix.lastUse(hold.ID)
-		if used && hold.LastSeen.Sub(last) > maxHeldAfterUse && !ix.linkDisturbed(last, hold.LastSeen) {
-			findings = append(findings, fmt.Sprintf("%s is held at %s %v after its last use", hold.ID, hold.Endpoint, hold.LastSeen.Sub(last)))
+	for _, reservation := range ix.Reservations {
+		last, used := ix.lastUse(reservation.ID)
+		if used && reservation.LastSeen.Sub(last) > maxHeldAfterUse && !ix.linkDisturbed(last, reservation.LastSeen) {
+			findings = append(findings, fmt.Sprintf("reservation %s is held at %s %v after its last use", reservation.ID, reservation.Endpoint, reservation.LastSeen.Sub(last)))
 		}
 	}
 	return findings
@@ -203,20 +206,20 @@
 // checkReservationsUsed finds reservations that were held for long and never used.
 func checkReservationsUsed(ix *indexedRecord) []string {
 	var findings []string
-	for _, hold := range ix.Reservations {
-		if _, used := ix.lastUse(hold.ID); !used && hold.LastSeen.Sub(hold.FirstSeen) > maxHeldUnused && !ix.linkDisturbed(hold.FirstSeen, hold.LastSeen) {
-			findings = append(findings, fmt.Sprintf("%s is held at %s for %v and was never used", hold.ID, hold.Endpoint, hold.LastSeen.Sub(hold.FirstSeen)))
+	for _, reservation := range ix.Reservations {
+		if _, used := ix.lastUse(reservation.ID); !used && reservation.LastSeen.Sub(reservation.FirstSeen) > maxHeldUnused && !ix.linkDisturbed(reservation.FirstSeen, reservation.LastSeen) {
+			findings = append(findings, fmt.Sprintf("reservation %s is held at %s for %v and was never used", reservation.ID, reservation.Endpoint, reservation.LastSeen.Sub(reservation.FirstSeen)))
 		}
 	}
 	return findings
 }
 
-// lastUse is when the last run that used a reservation ended.
-func (ix *indexedRecord) lastUse(ticket string) (last time.Time, used bool) {
-	for _, run := range ix.runsByReservation[ticket] {
+// lastUse returns when the last run that used a reservation ended, and whether any run used it.
+func (ix *indexedRecord) lastUse(id string) (last time.Time, used bool) {
+	for _, run := range ix.runsByReservation[id] {
 		if end := runEnd(run); end.After(last) {
 			last = end
 		}
 	}
-	return last, len(ix.runsByReservation[ticket]) > 0
+	return last, len(ix.runsByReservation[id]) > 0
 }
--- a/soak/cmd/aspenyard-soak/main.go
+++ b/soak/cmd/aspenyard-soak/main.go
@@ -1,6 +1,6 @@
-// Command aspenyard-soak runs the soak: gateways as separate processes under random
-// faults. It is not part of the product, which starts no processes; each gateway is this
-// same binary, run as the product's command line.
+// Command aspenyard-soak runs gateways as separate processes under random faults and checks that
+// they violate no rule. It is not part of the product, which starts no processes; each gateway is
+// this same binary, run as the product's command line.
 package main
 
 import (
@@ -18,25 +18,26 @@
 	"aspenyard.example/soak"
 )
 
-// productArgument is the first word that makes this binary behave as the productArgument.
+// productArgument as first argument makes this binary run as the product's command line.
 const productArgument = "aspenyard"
 
+// args are the command line flags.
 type args struct {
-	Seed       uint64        `arg:"--seed" default:"1" help:"the first run's seed"`
-	Runs       int           `arg:"--runs" default:"1" help:"how many seeds, one after the other"`
-	For        time.Duration `arg:"--for" default:"20s" help:"how long faults come, in each run"`
-	Gateways   int           `arg:"--gateways" default:"8" help:"how many gateway processes, 1 to 300"`
-	Engines    int           `arg:"--engines" default:"8" help:"how many model endpoints"`
-	Kinds      []string      `arg:"--kinds" placeholder:"KIND" help:"only these kinds of faults"`
-	FirstKinds int           `arg:"--first-kinds" placeholder:"N" help:"only the first N kinds of faults, as a kept seed says"`
-	Callers    int           `arg:"--callers" help:"how many callers; 3 a gateway if left out"`
-	Untimed    bool          `arg:"--untimed" help:"check no promise that has a bound in time, for busy machines"`
-	Keep       bool          `arg:"--keep" help:"keep the logs of runs that broke no promise, too"`
+	Seed       uint64        `arg:"--seed" default:"1" help:"seed of the first run"`
+	Runs       int           `arg:"--runs" default:"1" help:"number of runs, with consecutive seeds"`
+	For        time.Duration `arg:"--for" default:"20s" help:"how long faults are injected in each run"`
+	Gateways   int           `arg:"--gateways" default:"8" help:"number of gateway processes, 1 to 300"`
+	Engines    int           `arg:"--engines" default:"8" help:"number of model endpoints"`
+	Kinds      []string      `arg:"--kinds" placeholder:"KIND" help:"inject only these kinds of faults"`
+	FirstKinds int           `arg:"--first-kinds" placeholder:"N" help:"inject only the first N kinds of faults, as recorded with a seed"`
+	Callers    int           `arg:"--callers" help:"number of callers; default 3 per gateway"`
+	Untimed    bool          `arg:"--untimed" help:"do not check rules that have a time bound, for busy machines"`
+	Keep       bool          `arg:"--keep" help:"keep the logs of runs without violations as well"`
 }
 
-// Description implements arg.Described.
+// Description implements arg.Described: it returns the first line of the help text.
 func (args) Description() string {
-	return "runs gateways under random faults and checks what callers and endpoints saw"
+	return "runs gateways under random faults and checks what callers and endpoints observed"
 }
 
 func main() {
@@ -55,7 +56,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	broken := 0
+	violated := 0
 	for i := range a.Runs {
 		report, err := a.run(ctx, a.Seed+uint64(i))
 		if err != nil {
@@ -63,16 +64,17 @@
 			os.Exit(2)
 		}
 		if len(report.Violations) > 0 {
-			broken++
+			violated++
 		}
 	}
-	fmt.Printf("%d runs, %d with broken promises\n", a.Runs, broken)
-	if broken > 0 {
+	fmt.Printf("%d runs, %d with rule violations\n", a.Runs, violated)
+	if violated > 0 {
 		os.Exit(1)
 	}
 }
 
-// run makes one run and prints its report, with where the logs are if any are kept.
+// run performs one run, prints its report as JSON, and prints the log directory if the logs are
+// kept. They are kept after violations and with --keep.
 func (a *args) run(ctx context.Context, seed uint64) (*soak.Report, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// crashBody is the body of the request that ends every endpoint that runs it.
+	// crashBody is the body of a request that crashes every endpoint that runs it.
 	crashBody = "crashes whoever runs it"
 	// crashInterval is the time between two copies of it.
 	crashInterval = 60 * time.Millisecond
-	// crashesToQuarantine of it, and contact after the last of them, no node sends it more often than
-	// maxSendsAfterQuarantine.
+	// After crashesToQuarantine crashes, and calmTime after the last of them, a request must not
+	// be sent to endpoints more than maxSendsAfterQuarantine times.
 	crashesToQuarantine, maxSendsAfterQuarantine = 3, 3
 )
 
-// sendCrashingRequest sends one request that crashes endpoints again and again, at all gateways in turn.
+// sendCrashingRequest sends one crashing request repeatedly, each time through a gateway chosen
+// at random.
 func sendCrashingRequest(h *harness, f *Fault) {
 	route := routes[f.Port%len(routes)]
 	c := &caller{harness: h, name: fmt.Sprintf("x%d", f.Start), rand: rand.New(rand.NewPCG(h.config.Seed, uint64(f.Start)))}
@@ -32,27 +33,28 @@
 	}
 }
 
-// handleCrash notes that an endpoint ends under a request, and starts another life at its post.
+// handleCrash records that an endpoint crashed while it ran a request, and starts another
+// endpoint at its address.
 func (h *harness) handleCrash(worker *platform.Worker) {
-	ended := h.record.beginDisturbance(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Incarnation()})
+	endDisturbance := h.record.beginDisturbance(Disturbance{Kind: kindCrashingRequest, Endpoint: worker.Incarnation()})
 	for _, p := range h.ports {
 		if p.currentWorker() == worker && p.beginReplacement() != nil {
 			p.removeWorker()
 			p.link.RefuseConnections()
 			go func() {
 				time.Sleep(portReuseDelay)
-				ended()
+				endDisturbance()
 				h.store.Delete("servers/" + worker.ID)
 				h.startEndpoint(p, h.newWorker(worker.Service))
 			}()
 			return
 		}
 	}
-	ended()
+	endDisturbance()
 }
 
-// checkCrashingRequests finds requests that are sent on after they have crashed several endpoints, by
-// gateways that may know of it.
+// checkCrashingRequests finds requests that gateways kept sending after the requests had crashed
+// several endpoints and the gateways had had time to learn of it.
 func checkCrashingRequests(ix *indexedRecord) []string {
 	copies := map[string][]*Arrival{}
 	for _, req := range ix.Requests {
@@ -64,13 +66,14 @@
 	for target, runs := range copies {
 		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
 		if n := ix.sendsAfterQuarantine(runs); n > maxSendsAfterQuarantine {
-			findings = append(findings, fmt.Sprintf("%s was sent %d times more after it had crashed %d endpoints", target, n, crashesToQuarantine))
+			findings = append(findings, fmt.Sprintf("%s was sent another %d times after it had crashed %d endpoints", target, n, crashesToQuarantine))
 		}
 	}
 	return findings
 }
 
-// sendsAfterQuarantine counts the arrivals of a request that came too long after its decisive crash.
+// sendsAfterQuarantine counts the arrivals of a request more than calmTime after the crash that
+// had to quarantine it.
 func (ix *indexedRecord) sendsAfterQuarantine(runs []*Arrival) int {
 	var crashes []time.Time
 	n := 0
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -8,33 +8,37 @@
 )
 
 const (
-	// portReuseDelay is how long an address stays free before another endpoint has it.
+	// portReuseDelay is the time from the end of an endpoint to the start of the next one at its
+	// address.
 	portReuseDelay = 2 * time.Second
-	// registrationTTL is when the registration of an endpoint ends that says nothing more.
+	// registrationTTL is the time after which the registration of an endpoint lapses that no
+	// longer renews it.
 	registrationTTL = 3 * heartbeatInterval
-	// serveAfterLeaving is how long an endpoint that leaves serves on after nobody may send it
-	// anything.
+	// serveAfterLeaving is how long a leaving endpoint still serves after the time at which
+	// gateways must have stopped sending it requests.
 	serveAfterLeaving = 2 * time.Second
-	// bindRetryInterval is the pause between tries to bind an address that was just left.
+	// bindRetryInterval is the pause between attempts to bind an address that was in use until
+	// just now.
 	bindRetryInterval = 50 * time.Millisecond
 )
 
-// replaceEndpoint ends the endpoint at a post in some way and starts another life there.
+// replaceEndpoint ends the endpoint at an address by the function end and starts a new endpoint
+// of the given service there.
 func (h *harness) replaceEndpoint(f *Fault, end func(*harness, *endpointPort, *platform.Worker), service string) {
 	p := h.ports[f.Port]
 	worker := p.beginReplacement()
 	if worker == nil {
 		return
 	}
-	ended := h.record.beginDisturbance(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})
+	endDisturbance := h.record.beginDisturbance(Disturbance{Kind: f.Kind, Endpoint: worker.Incarnation()})
 	end(h, p, worker)
-	ended()
+	endDisturbance()
 	time.Sleep(portReuseDelay)
 	h.startEndpoint(p, h.newWorker(service))
 }
 
-// beginReplacement takes the post's endpoint for a fault that replaces it; nil where there is none, or
-// another fault has it.
+// beginReplacement reserves the endpoint at an address for a fault that replaces it. It returns
+// nil if there is no endpoint or another fault is replacing it.
 func (p *endpointPort) beginReplacement() *platform.Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +49,8 @@
 	return p.worker
 }
 
-// startEndpoint starts an endpoint at a post.
+// startEndpoint starts an endpoint at an address, retrying until the address can be bound, and
+// registers it.
 func (h *harness) startEndpoint(p *endpointPort, next *platform.Worker) {
 	for next.StartAt(p.addr) != nil {
 		if h.ctx.Err() != nil {
@@ -74,7 +79,8 @@
 	h.store.Delete("servers/" + worker.ID)
 }
 
-// silenceEndpoint makes an endpoint accept nothing and say nothing, with its connections open.
+// silenceEndpoint makes an endpoint unresponsive: it accepts no connection and sends nothing, but
+// its connections stay open.
 func silenceEndpoint(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.removeWorker()
 	worker.StopListening()
@@ -84,7 +90,7 @@
 	worker.Stop()
 }
 
-// leaveAnnounced announces that an endpoint leaves; it serves on for a while and ends.
+// leaveAnnounced registers an endpoint as leaving; it goes on serving for a while and then ends.
 func leaveAnnounced(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.mu.Lock()
 	p.leaving = true
@@ -94,7 +100,8 @@
 	h.store.Delete("servers/" + worker.ID)
 }
 
-// leaveUnannounced ends the registration of an endpoint that serves on for a while.
+// leaveUnannounced deletes the registration of an endpoint, which goes on serving for a while and
+// then ends.
 func leaveUnannounced(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.mu.Lock()
 	p.registrationPaused = true
@@ -106,8 +113,8 @@
 	p.mu.Unlock()
 }
 
-// stopAfterLeaving notes that the store knows that an endpoint leaves, and stops it when the time
-// that it serves on is over.
+// stopAfterLeaving records that the store now shows an endpoint as leaving, and stops it after
+// the time for which it still has to serve.
 func (h *harness) stopAfterLeaving(p *endpointPort, worker *platform.Worker) {
 	h.record.mu.Lock()
 	h.record.Departures = append(h.record.Departures, Departure{worker.Incarnation(), time.Now()})
@@ -118,7 +125,8 @@
 	p.link.ResetConnections()
 }
 
-// swapServices crashes two endpoints; each address then has the other's service.
+// swapServices crashes two endpoints and starts at each address an endpoint of the other
+// address's service.
 func swapServices(h *harness, f *Fault) {
 	first, second := h.ports[f.Port], h.ports[f.SecondPort]
 	if first == second {
@@ -136,7 +144,7 @@
 	<-done
 }
 
-// removeWorker notes that no endpoint is at the post.
+// removeWorker records that no endpoint runs at the address.
 func (p *endpointPort) removeWorker() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,9 +157,10 @@
 	return p.service
 }
 
-// restartEndpoint ends an endpoint and starts it again under the ID and at the address that it
-// had, at once or after a while, at times after it has said that it leaves. At times a
-// registration of the life before is written once more after that.
+// restartEndpoint ends an endpoint and starts its next incarnation with the same ID and address
+// after the fault's delay. With variantDrainFirst the endpoint announces first that it leaves.
+// With variantOldRegistration the registration of the previous incarnation is written once more
+// after the restart.
 func restartEndpoint(h *harness, f *Fault) {
 	p := h.ports[f.Port]
 	worker := p.beginReplacement()
@@ -180,21 +189,21 @@
 	}
 }
 
-// What else happens as an endpoint starts again: a Fault's Way.
+// Variants of a restart, as values of Fault.Variant.
 const (
 	variantDrainFirst      = 2
 	variantOldRegistration = 3
 )
 
-// foreignRegistrations are registrations that something else wrote: they name no endpoint.
+// foreignRegistrations are registry entries of other writers, which describe no endpoint.
 var foreignRegistrations = []string{
 	`{}`, `{"service":"model"}`, `[1,2]`, "\x00\xff", `{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":"many","state":"ready","cold_left_ms":0,"seq_no":1}`,
 	`{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":16,"state":"resting","cold_left_ms":0,"seq_no":1}`,
 	`{"service":"app","address":"127.0.0.1:9","zone":"dc1","version":"v1","slots":16,"state":"ready","cold_left_ms":0,"seq_no":1,"born":"today"}`,
 }
 
-// writeForeignRegistrations writes registrations that cannot be used, beside the endpoints' own, and
-// removes them after a while.
+// writeForeignRegistrations writes invalid registrations next to those of the endpoints and
+// deletes them after the fault's duration.
 func writeForeignRegistrations(h *harness, f *Fault) {
 	for i, entry := range foreignRegistrations {
 		key := "servers/other-" + strconv.Itoa(i)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -11,14 +11,15 @@
 	"aspenyard.example/standin/platform"
 )
 
-// faultKind is one way of going wrong. run makes it happen and returns when it is over.
+// faultKind is one kind of fault. weight is its relative frequency. run injects the fault and
+// returns when it is over.
 type faultKind struct {
 	name   string
 	weight int
 	run    func(h *harness, f *Fault)
 }
 
-// Kinds that the checks ask for.
+// Kinds of faults that other code refers to by name.
 const (
 	kindStoreLink    = "store-link"
 	kindCallersLink  = "callers-link"
@@ -27,8 +28,8 @@
 	kindCrashingRequest = "crashing-request"
 )
 
-// faultTable lists every kind of fault, with how often it comes. New ones go at its end:
-// with the first ones alone, a seed then gives the schedule that it gave before.
+// faultTable lists every kind of fault. New kinds are appended: with only the kinds that existed
+// when a seed was recorded, the seed still gives the same schedule.
 var faultTable []faultKind
 
 func init() {
@@ -65,26 +66,26 @@
 	}
 }
 
-// runSchedule makes the faults of a schedule happen and waits until all are over.
+// runSchedule injects the faults of a schedule at their times and waits until all are over.
 func (h *harness) runSchedule(ctx context.Context, schedule []Fault) {
-	begun := time.Now()
+	started := time.Now()
 	run := map[string]func(*harness, *Fault){}
 	for _, k := range faultTable {
 		run[k.name] = k.run
 	}
-	var playing sync.WaitGroup
+	var faults sync.WaitGroup
 	for i := range schedule {
 		f := &schedule[i]
-		sleep(ctx, time.Until(begun.Add(f.Start)))
+		sleep(ctx, time.Until(started.Add(f.Start)))
 		if ctx.Err() != nil {
 			break
 		}
 		h.mu.Lock()
 		h.faultCounts[f.Kind]++
 		h.mu.Unlock()
-		playing.Go(func() { run[f.Kind](h, f) })
+		faults.Go(func() { run[f.Kind](h, f) })
 	}
-	playing.Wait()
+	faults.Wait()
 }
 
 // killEverySecond kills every second gateway at once.
@@ -96,7 +97,7 @@
 	}
 }
 
-// stopSequentially stops gateways one after the other.
+// stopSequentially stops up to three gateways gracefully, one after another.
 func stopSequentially(h *harness, f *Fault) {
 	for i := range min(3, len(h.gateways)) {
 		h.gateways[(f.Gateway+i)%len(h.gateways)].terminate(h.record)
@@ -104,6 +105,7 @@
 	}
 }
 
+// freezeGateway stops a gateway by SIGSTOP for the fault's duration.
 func freezeGateway(h *harness, f *Fault) {
 	g := h.gateways[f.Gateway]
 	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name})()
@@ -112,21 +114,25 @@
 	g.signal(syscall.SIGCONT, false)
 }
 
+// reloadGateway rewrites the settings of a gateway and makes it reload them by SIGHUP.
 func reloadGateway(h *harness, f *Fault) {
 	g := h.gateways[f.Gateway]
 	defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name, Planned: true})()
 	if err := g.writeSettings(h.config.Gateways); err != nil {
-		h.record.addViolation("SOAK", "settings of %s: %v", g.name, err)
+		h.record.addViolation("SOAK", "writing the settings of %s: %v", g.name, err)
 	}
-	if life, _ := g.signal(0, false); g.hasServed(life) {
+	if incarnation, _ := g.signal(0, false); g.hasServed(incarnation) {
 		g.signal(syscall.SIGHUP, false)
 	}
 }
 
-// hasServed tells whether the present life is known to have been ready: a signal for
-// which a process that just starts has no handler yet would end it.
-func (g *gateway) hasServed(life int) bool { return g.isReady() && g.currentIncarnation() == life }
+// hasServed reports whether the given incarnation is current and ready. A process that is still
+// starting has no handler for SIGHUP yet, and the signal would end it.
+func (g *gateway) hasServed(incarnation int) bool {
+	return g.isReady() && g.currentIncarnation() == incarnation
+}
 
+// writeConfigSeries writes four configuration edits in quick succession.
 func writeConfigSeries(h *harness, f *Fault) {
 	for range 4 {
 		h.writeConfig()
@@ -134,11 +140,12 @@
 	}
 }
 
+// beginStoreDisturbance records a disturbance of the store; end ends it.
 func (h *harness) beginStoreDisturbance(kind string) (end func()) {
 	return h.record.beginDisturbance(Disturbance{Kind: kind})
 }
 
-// storeFault gives the store a fault for a while.
+// storeFault returns a fault that applies the given store faults for the fault's duration.
 func storeFault(faults platform.StoreFaults) func(*harness, *Fault) {
 	return func(h *harness, f *Fault) {
 		defer h.beginStoreDisturbance(f.Kind)()
@@ -148,15 +155,16 @@
 	}
 }
 
+// slowStore delays the store's answers by the fault's delay.
 func slowStore(h *harness, f *Fault) { storeFault(platform.StoreFaults{Delay: f.Delay})(h, f) }
 
-// lapseRegistrations lets registrations end while the store is down; their owners, which live, write
-// them again within a heartbeat of its return.
+// lapseRegistrations deletes the registrations of two endpoints while the store is down. The
+// endpoints are alive and write them again within a heartbeat interval after the store is back.
 func lapseRegistrations(h *harness, f *Fault) {
 	defer h.beginStoreDisturbance(f.Kind)()
 	h.store.SetFaults(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})
-	silenced := []*endpointPort{h.ports[f.Port], h.ports[f.SecondPort]}
-	for _, p := range silenced {
+	unregistered := []*endpointPort{h.ports[f.Port], h.ports[f.SecondPort]}
+	for _, p := range unregistered {
 		p.mu.Lock()
 		p.registrationPaused = true
 		if p.worker != nil {
@@ -166,14 +174,15 @@
 	}
 	time.Sleep(f.Duration)
 	h.store.SetFaults(platform.StoreFaults{})
-	for _, p := range silenced {
+	for _, p := range unregistered {
 		p.mu.Lock()
 		p.registrationPaused = false
 		p.mu.Unlock()
 	}
 }
 
-// disturbLink does one of several things to a link, and takes it back after a while.
+// disturbLink disturbs a link in one of five ways, chosen by the fault's port, for the fault's
+// duration.
 func disturbLink(l *link.Link, f *Fault) {
 	switch f.Port % 5 {
 	case 0:
@@ -182,10 +191,10 @@
 		l.ResetConnections()
 	case 2:
 		l.BlackholeConnections()
-	case 3: // what is on its way is lost when the link heals
+	case 3: // data in transit is lost when the link recovers
 		l.SetBlocked(link.Direction(f.Variant))
 		defer l.ResetConnections()
-	default: // what is on its way is delivered when the link heals
+	default: // data in transit is delivered when the link recovers
 		l.SetBlocked(link.Direction(f.Variant))
 	}
 	time.Sleep(f.Duration)
@@ -193,15 +202,16 @@
 	l.SetBlocked(0)
 }
 
-// disturbGatewayLink disturbs one of a gateway's links.
-func disturbGatewayLink(of func(*gateway) *link.Link) func(*harness, *Fault) {
+// disturbGatewayLink returns a fault that disturbs one link of a gateway, which linkOf selects.
+func disturbGatewayLink(linkOf func(*gateway) *link.Link) func(*harness, *Fault) {
 	return func(h *harness, f *Fault) {
 		g := h.gateways[f.Gateway]
 		defer h.record.beginDisturbance(Disturbance{Kind: f.Kind, Gateway: g.name})()
-		disturbLink(of(g), f)
+		disturbLink(linkOf(g), f)
 	}
 }
 
+// disturbEndpointLink disturbs the link of an endpoint.
 func disturbEndpointLink(h *harness, f *Fault) {
 	p := h.ports[f.SecondPort]
 	worker := p.currentWorker()
@@ -212,7 +222,7 @@
 	disturbLink(p.link, f)
 }
 
-// applyEndpointFault makes an endpoint do something wrong with all its requests for a while.
+// applyEndpointFault makes an endpoint misbehave with all requests for the fault's duration.
 func applyEndpointFault(h *harness, f *Fault) {
 	p := h.ports[f.Port]
 	worker := p.currentWorker()
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -18,27 +18,28 @@
 const (
 	dataCentre = "dc1"
 	host       = platform.Host
-	// readinessInterval is how often the balancer asks, sampleInterval how often
-	// reservations are looked at.
+	// readinessInterval is the interval of the load balancer's readiness checks, sampleInterval
+	// the interval at which reservations are sampled.
 	readinessInterval = 500 * time.Millisecond
 	readinessTimeout  = time.Second
 	sampleInterval    = 200 * time.Millisecond
-	// heartbeatInterval is how often an endpoint writes its registration.
+	// heartbeatInterval is the interval at which an endpoint renews its registration.
 	heartbeatInterval = 1200 * time.Millisecond
-	// memoryTokens is the KV cache of an engine: so small that a prompt of a size that is
-	// prefilled quickly needs several engines'.
+	// memoryTokens is the KV cache of an engine. It is small, so that even a prompt that is
+	// prefilled quickly needs the KV cache of several engines.
 	memoryTokens = 60_000
 )
 
-// Services.
+// Service names. The route "moved" alternates between serviceApp and serviceNext.
 const (
 	serviceModel = "model"
 	serviceApp   = "app"
 	serviceNext  = "app-next"
 )
 
-// Keys of client accounts: the plain one is always there, the guest's comes and goes,
-// and the counted one belongs to an account that is named for the edit.
+// API keys of client accounts. keyPlain is in every configuration and keyGuest only in some.
+// keyPerEdit belongs to an account whose name contains the number of the configuration edit, so
+// that a run shows which edit its gateway applied.
 const (
 	keyPlain   = "key-plain"
 	keyGuest   = "key-guest"
@@ -48,7 +49,7 @@
 	accountGuest = "guest"
 )
 
-// routes are what callers ask for.
+// routes are the routes that callers request.
 var routes = []*Route{
 	{Name: "once", Kind: directory.NonIdempotent, Service: serviceApp, Timeout: 3 * time.Second},
 	{Name: "again", Kind: directory.Idempotent, Service: serviceApp, Timeout: 2 * time.Second},
@@ -59,7 +60,7 @@
 	{Name: "long", Kind: directory.Streaming, Resumable: true, Service: serviceModel, Events: streamEvents, Timeout: 10 * time.Second, PromptTokens: 58_000},
 }
 
-// maxAttempts is every route's.
+// maxAttempts is the attempt limit of every route.
 const maxAttempts = 3
 
 func init() {
@@ -68,7 +69,7 @@
 	}
 }
 
-// endpointPort is an address at which endpoints live one after the other.
+// endpointPort is an address at which endpoints run one after another.
 type endpointPort struct {
 	addr string
 	link *link.Link
@@ -77,18 +78,18 @@
 	service            string
 	worker             *platform.Worker
 	leaving            bool
-	registrationPaused bool // writes no registration
+	registrationPaused bool // no registration is written
 	replacing          bool // a fault is replacing the endpoint
 }
 
-// currentWorker is the worker that serves at the post; nil while there is none.
+// currentWorker returns the endpoint that serves at the address, or nil if there is none.
 func (p *endpointPort) currentWorker() *platform.Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.worker
 }
 
-// harness is the system under test and its surroundings.
+// harness holds the gateways under test and the stand-ins for everything around them.
 type harness struct {
 	config     Config
 	record     *Record
@@ -103,7 +104,7 @@
 
 	mu           sync.Mutex
 	incarnations int
-	workers      []*platform.Worker // all lives
+	workers      []*platform.Worker // of all incarnations
 	faultCounts  map[string]int
 }
 
@@ -130,7 +131,8 @@
 	return h, nil
 }
 
-// createComponents makes endpoints, the first configuration and the gateways.
+// createComponents starts the endpoints, writes the first configuration and prepares the
+// gateways.
 func (h *harness) createComponents(storeAddr string) error {
 	for service, n := range map[string]int{serviceModel: h.config.Engines, serviceApp: h.config.PlainEndpoints, serviceNext: h.config.PlainEndpoints} {
 		for range n {
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// openPort finds an address for a post and starts its first endpoint there.
+// openPort starts the first endpoint of an endpointPort on a free address, which the port keeps.
 func (h *harness) openPort(p *endpointPort) error {
 	first := h.newWorker(p.service)
 	if err := first.Start(); err != nil {
@@ -167,19 +169,19 @@
 	return nil
 }
 
-// A stream lasts for over a second, so that work that goes on for a caller who left, and
-// requests that a stop cuts, can be seen.
+// A stream takes more than a second, so that a run that continues after its caller disconnected
+// and a request that a shutdown cut off can be observed.
 const (
 	streamEvents  = 40
 	eventInterval = 30 * time.Millisecond
 	plainRunTime  = 10 * time.Millisecond
 )
 
-// newWorker makes an endpoint under an ID of its own.
+// newWorker creates an endpoint with a new ID.
 func (h *harness) newWorker(service string) *platform.Worker { return h.newIncarnation("", service) }
 
-// newIncarnation makes the next life of an endpoint, under the ID that it had or, where that is
-// empty, under a new one.
+// newIncarnation creates an incarnation of the endpoint with the given ID, or of a new endpoint
+// if the ID is empty.
 func (h *harness) newIncarnation(id, service string) *platform.Worker {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -196,7 +198,8 @@
 	return worker
 }
 
-// register writes an endpoint's registration.
+// register writes the registration of the endpoint at p, unless there is none or its registration
+// is paused.
 func (h *harness) register(p *endpointPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,8 +213,8 @@
 	h.store.Put("servers/"+p.worker.ID, p.worker.RegistrationAt(p.link.Addr(), state))
 }
 
-// renewRegistrations writes registrations again that have lapsed. Those that stand are renewed
-// without a change that watches would show.
+// renewRegistrations writes lapsed registrations again. Registrations that still exist are not
+// rewritten, as renewing a lease changes nothing that a watch would show.
 func (h *harness) renewRegistrations() {
 	for h.ctx.Err() == nil {
 		sleep(h.ctx, heartbeatInterval)
@@ -226,8 +229,9 @@
 	}
 }
 
-// writeConfig writes the next version of the configuration, which differs from the last in all
-// that may change.
+// writeConfig writes the next version of the configuration. Each version differs from the
+// previous one in the service of the moved route and in whether it has the optional route; every
+// third version lacks the guest key.
 func (h *harness) writeConfig() {
 	h.record.mu.Lock()
 	n := len(h.record.Edits)
@@ -243,10 +247,10 @@
 	h.record.mu.Unlock()
 }
 
-// accountOfEdit names the account of keyCounted in an edit.
+// accountOfEdit returns the name of the account of keyPerEdit in an edit.
 func accountOfEdit(edit int) string { return fmt.Sprintf("edit-%d", edit) }
 
-// Bounds of the routes and of what callers may send.
+// Latency objectives of the routes and limits on what callers may send.
 const (
 	routeTarget    = time.Second
 	routeTargetGap = 500 * time.Millisecond
@@ -257,7 +261,8 @@
 	maxConnections = 1000
 )
 
-// encodeConfig is an edit as the operator writes it. Versions rise in uneven steps.
+// encodeConfig encodes edit n as the operator writes it. Version numbers increase by more than
+// one and by a different step each time.
 func encodeConfig(n int, e *ConfigEdit) []byte {
 	c := platform.Config{
 		Version:  1 + n*(n+3),
@@ -284,21 +289,22 @@
 	return c.Encode()
 }
 
-// pollReadiness asks all gateways whether they are ready, as the platform's balancer does.
+// pollReadiness checks the readiness of all gateways periodically, as the platform's load
+// balancer does.
 func (h *harness) pollReadiness() {
 	for h.ctx.Err() == nil {
-		var asking sync.WaitGroup
+		var checks sync.WaitGroup
 		for _, g := range h.gateways {
-			asking.Go(func() { g.updateReady(h.client) })
+			checks.Go(func() { g.updateReady(h.client) })
 		}
-		asking.Wait()
+		checks.Wait()
 		sleep(h.ctx, readinessInterval)
 	}
 }
 
-// awaitReady waits until all gateways are ready.
-func (h *harness) awaitReady(ctx context.Context, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+// awaitReady waits until all gateways are ready and returns an error after the timeout.
+func (h *harness) awaitReady(ctx context.Context, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		waiting := ""
 		for _, g := range h.gateways {
@@ -312,13 +318,13 @@
 		case ctx.Err() != nil:
 			return errors.WithStack(ctx.Err())
 		case time.Now().After(deadline):
-			return errors.Errorf("%s is not ready after %v", waiting, patience)
+			return errors.Errorf("gateway %s is not ready after %v", waiting, timeout)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
-// sampleReservations looks at the reservations of all endpoints again and again.
+// sampleReservations records the reservations that endpoints hold, periodically.
 func (h *harness) sampleReservations() {
 	for h.ctx.Err() == nil {
 		now := time.Now()
@@ -328,15 +334,15 @@
 				continue
 			}
 			held, _, _ := worker.Reservations()
-			for ticket := range held {
-				h.record.observeReservation(worker.Incarnation(), ticket, now)
+			for id := range held {
+				h.record.observeReservation(worker.Incarnation(), id, now)
 			}
 		}
 		sleep(h.ctx, sampleInterval)
 	}
 }
 
-// collectArrivals copies the runs of all lives into the record.
+// collectArrivals copies the arrivals at all endpoint incarnations into the record.
 func (h *harness) collectArrivals() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -348,7 +354,7 @@
 	}
 }
 
-// close ends every process that was started and every stand-in.
+// close ends every gateway process and every stand-in.
 func (h *harness) close() {
 	h.cancel()
 	for _, g := range h.gateways {
--- a/soak/process.go
+++ b/soak/process.go
@@ -16,43 +16,46 @@
 	"aspenyard.example/standin/link"
 )
 
-// Bounds that the gateways are told and that the checks use; those of the users' sites.
+// Settings of the gateways, which the checks use as well. The values are those of the users'
+// sites unless noted.
 const (
 	configWithin  = 2 * time.Second
 	leavingWithin = 2 * time.Second
 	drainTimeout  = 8 * time.Second
 	retryWindow   = 10 * time.Second
-	// retryRatio is a tenth of what the users' sites give: a budget that is not kept must
-	// show under faults of single endpoints.
+	// retryRatio is a tenth of the value at the users' sites, so that exceeding the retry budget
+	// shows even with faults of single endpoints.
 	retryRatio = 0.02
-	// retryAllowancePerGateway is less than the users' sites give, for the same reason.
+	// retryAllowancePerGateway is less than at the users' sites, for the same reason.
 	retryAllowancePerGateway = 2
 )
 
-// restartDelay is the time from a process's end to its next start.
+// restartDelay is the time from the end of a gateway process to its restart.
 const restartDelay = 300 * time.Millisecond
 
-// gateway is one process that is started again whenever it ends.
+// gateway is one gateway process, which is restarted whenever it ends.
 type gateway struct {
 	name     string
 	command  []string
 	logPath  string
 	settings string
 	addrs    map[string]string
-	// callers and store carry its traffic with callers and with the store.
+	// callers and store are the links for the gateway's traffic with its callers and with the
+	// store.
 	callers, store *link.Link
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	incarnation  int
-	endSignalled bool // a signal that ends it was sent in this life
+	endSignalled bool // this incarnation was sent a signal that ends it
 	closed       bool
 	ready        bool
-	// endStartDisturbance ends the disturbance that its start is.
+	// endStartDisturbance ends the disturbance that the start of the process counts as.
 	endStartDisturbance func()
 }
 
-// newGateway prepares a process on free ports with links to its surroundings.
+// newGateway prepares a gateway with free ports, links to its callers and the store, and a
+// settings file.
 func newGateway(name, storeAddr string, config *Config) (*gateway, error) {
 	g := &gateway{name: name, command: config.Command, logPath: filepath.Join(config.Dir, name+".log"), settings: filepath.Join(config.Dir, name+".json"), addrs: map[string]string{}}
 	for _, port := range []string{"callers", "readiness", "metrics", "peers"} {
@@ -72,7 +75,8 @@
 	return g, g.writeSettings(config.Gateways)
 }
 
-// writeSettings writes the settings file; gateways is how many share the allowance.
+// writeSettings writes the settings file. gateways is the number of gateways that share the retry
+// allowance.
 func (g *gateway) writeSettings(gateways int) error {
 	data, err := json.MarshalIndent(map[string]any{
 		"name": g.name, "data_centre": dataCentre, "callers_listen": g.addrs["callers"], "readiness_listen": g.addrs["readiness"],
@@ -83,7 +87,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	// Renamed into place: a process that starts meanwhile must not read half of it.
+	// The file is renamed into place, as a process that starts meanwhile must not read half of it.
 	next := g.settings + ".next"
 	if err := os.WriteFile(next, data, 0o644); err != nil {
 		return errors.WithStack(err)
@@ -91,9 +95,9 @@
 	return errors.WithStack(os.Rename(next, g.settings))
 }
 
-// startThread starts all processes from one thread that never ends: the kernel kills a
-// process when the thread that started it ends, so that none outlives the soak even if
-// the soak is killed.
+// startThread starts all processes from one thread that never ends. The kernel kills a process
+// when the thread that started it ends (Pdeathsig), so no gateway outlives the soak even if the
+// soak itself is killed.
 var startThread = sync.OnceValue(func() chan func() {
 	starts := make(chan func())
 	go func() {
@@ -105,30 +109,31 @@
 	return starts
 })
 
-// supervise starts the process and starts it again until close.
+// supervise starts the process and restarts it until close. An end that no signal caused is an
+// EXIT violation.
 func (g *gateway) supervise(r *Record) {
 	for {
 		done, err := g.start(r)
 		if err != nil {
-			r.addViolation("EXIT", "%s does not start: %v", g.name, err)
+			r.addViolation("EXIT", "gateway %s could not be started: %v", g.name, err)
 			return
 		}
 		<-done
 		g.mu.Lock()
-		closed, hit, life := g.closed, g.endSignalled, g.incarnation
+		closed, endSignalled, incarnation := g.closed, g.endSignalled, g.incarnation
 		g.cmd, g.ready = nil, false
 		g.mu.Unlock()
 		if closed {
 			return
 		}
-		if !hit {
-			r.addViolation("EXIT", "%s ended by itself in its life %d", g.name, life)
+		if !endSignalled {
+			r.addViolation("EXIT", "gateway %s exited without a signal in incarnation %d", g.name, incarnation)
 		}
 		time.Sleep(restartDelay)
 	}
 }
 
-// start starts one life; the channel is closed at its end.
+// start starts one incarnation and returns a channel that is closed when it ends.
 func (g *gateway) start(r *Record) (<-chan struct{}, error) {
 	log, err := os.OpenFile(g.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -138,27 +143,28 @@
 	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settings)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	starting := r.beginDisturbance(Disturbance{Kind: "start", Gateway: g.name})
+	endStart := r.beginDisturbance(Disturbance{Kind: "start", Gateway: g.name})
 	started := make(chan error)
 	startThread() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, errors.WithStack(err)
 	}
 	g.mu.Lock()
-	g.cmd, g.endSignalled, g.endStartDisturbance = cmd, false, starting
+	g.cmd, g.endSignalled, g.endStartDisturbance = cmd, false, endStart
 	g.incarnation++
 	g.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		_ = cmd.Wait()
-		starting()
+		endStart()
 		close(done)
 	}()
 	return done, nil
 }
 
-// signal sends a signal to the present life; ends is set for those that end it.
-func (g *gateway) signal(s syscall.Signal, ends bool) (life int, sent bool) {
+// signal sends a signal to the current incarnation; ends says that the signal ends the process.
+// It returns the incarnation and whether the signal was sent.
+func (g *gateway) signal(s syscall.Signal, ends bool) (incarnation int, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.cmd == nil {
@@ -168,29 +174,32 @@
 	return g.incarnation, g.cmd.Process.Signal(s) == nil
 }
 
-// kill ends the present life at once.
+// kill ends the current incarnation by SIGKILL.
 func (g *gateway) kill(r *Record) {
 	end := r.beginDisturbance(Disturbance{Kind: "kill", Gateway: g.name})
 	defer end()
 	g.signal(syscall.SIGKILL, true)
 }
 
-// terminate ends the present life gracefully, and kills it when that takes too long.
+// terminate ends the current incarnation by SIGTERM, and by SIGKILL if it has not ended after
+// drainTimeout.
 func (g *gateway) terminate(r *Record) {
 	end := r.beginDisturbance(Disturbance{Kind: "term", Gateway: g.name, Planned: true})
-	life, sent := g.signal(syscall.SIGTERM, true)
+	incarnation, sent := g.signal(syscall.SIGTERM, true)
 	if !sent {
 		end()
 		return
 	}
 	time.AfterFunc(drainTimeout, func() {
-		if g.currentIncarnation() == life {
+		if g.currentIncarnation() == incarnation {
 			g.signal(syscall.SIGKILL, true)
 		}
 		end()
 	})
 }
 
+// currentIncarnation returns the number of the current incarnation, or the negative number of the
+// last one while none runs.
 func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,7 +209,7 @@
 	return g.incarnation
 }
 
-// close ends the process for good.
+// close ends the process and does not restart it.
 func (g *gateway) close() {
 	g.mu.Lock()
 	g.closed = true
@@ -210,7 +219,7 @@
 	g.store.Close()
 }
 
-// updateReady asks the process, as the balancer does, whether it takes callers.
+// updateReady asks the process whether it is ready for callers, as the load balancer does.
 func (g *gateway) updateReady(client *http.Client) {
 	response, err := client.Get("http://" + g.addrs["readiness"] + "/-/readyz")
 	ready := err == nil && response.StatusCode == http.StatusOK
--- a/soak/record.go
+++ b/soak/record.go
@@ -11,54 +11,58 @@
 	"aspenyard.example/standin/platform"
 )
 
-// Route is what callers ask for.
+// Route is a configured route that callers send requests to.
 type Route struct {
 	Name      string
 	Kind      directory.RouteKind
 	Resumable bool
-	// Service serves it; the moved route's is in the edits.
+	// Service is the service of the route. It is empty for the route "moved", whose service
+	// depends on the edit (ConfigEdit.MovedService).
 	Service string
-	// Events is how many events an answer has; 0: it is plain.
+	// Events is the number of events of a response; 0 means a response that is not a stream.
 	Events      int
 	Timeout     time.Duration
 	MaxAttempts int
-	// Optional routes are not in every configuration.
+	// Optional routes are missing from some configurations.
 	Optional bool
 	// PromptTokens is the length of the prompts.
 	PromptTokens int
 }
 
-// Repeatable tells whether a request may run a second time after it may have run.
+// Repeatable reports whether a request may run again although it may have run before.
 func (r *Route) Repeatable() bool {
 	return r.Kind == directory.Idempotent || r.Kind == directory.Streaming && r.Resumable
 }
 
-// Request is one request of a caller and what came of it.
+// Request is one request of a caller with its result.
 type Request struct {
 	ID    string
 	Route *Route
-	// Gateway names the process, Life which of its lives the request was sent to.
+	// Gateway and Incarnation name the process that the request was sent to.
 	Gateway     string
 	Incarnation int
-	// RequestURI, Body, APIKey and Deadline are what was sent.
+	// RequestURI, Body, APIKey and Deadline are what the caller sent.
 	RequestURI, Body, APIKey string
 	Deadline                 time.Duration
 	SentAt                   time.Time
-	// EndedAt is when the answer was whole, the connection broke or the caller left.
+	// EndedAt is when the response was complete, the connection broke or the caller cancelled.
 	EndedAt time.Time
-	// Cancelled is set when the caller gave up.
+	// Cancelled is set if the caller cancelled the request or its deadline passed.
 	Cancelled bool
-	// Status is that of the answer, 0 for none; Whole is set when it came to its end.
+	// Status is the status of the response, 0 without a response. Complete is set if the
+	// response was read to its end. HasServerStamp says whether the response headers contain the
+	// server stamp of an endpoint; EchoedID is the request ID in them.
 	Status         int
 	Complete       bool
 	ResponseBody   string
 	HasServerStamp bool
 	EchoedID       string
-	// ExpectedStatus is the status that an improper request must get; 0: it is proper.
+	// ExpectedStatus is the status with which an invalid request must be refused; 0 for a valid
+	// request.
 	ExpectedStatus int
 }
 
-// expectedBody is the whole answer.
+// expectedBody returns the complete response body that the endpoint sends.
 func (req *Request) expectedBody() string {
 	if req.Route.Events > 0 {
 		return platform.StreamText(req.ID, req.Route.Events)
@@ -66,8 +70,10 @@
 	return platform.PlainResponse(req.ID)
 }
 
+// succeeded reports whether the request got a complete response with status 200.
 func (req *Request) succeeded() bool { return req.Complete && req.Status == http.StatusOK }
 
+// statusLabel returns the status for Report.Statuses.
 func (req *Request) statusLabel() string {
 	if !req.Complete {
 		return "none"
@@ -75,7 +81,7 @@
 	return strconv.Itoa(req.Status)
 }
 
-// saysNotRun tells whether the answer says that the request has not run.
+// saysNotRun reports whether the response promises that the request did not run.
 func (req *Request) saysNotRun() bool {
 	switch req.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -84,52 +90,55 @@
 	return false
 }
 
-// Arrival is one request as an endpoint had it, whether or not it ran it.
+// Arrival is one request that an endpoint received, whether or not the endpoint ran it. Endpoint
+// identifies the incarnation of the endpoint.
 type Arrival struct {
 	platform.Run
 	Endpoint, Service string
 }
 
-// Disturbance is a time in which something was made to go wrong.
+// Disturbance is a period in which a fault or planned work affected a gateway, an endpoint or the
+// store.
 type Disturbance struct {
 	Kind string
-	// Gateway or Endpoint says whose; both empty: the store's.
+	// Gateway or Endpoint names what was affected; if both are empty, it was the store.
 	Gateway, Endpoint string
-	// Planned work must not be noticed by callers.
+	// Planned work, such as a shutdown or a reload, must have no effect on callers.
 	Planned  bool
 	From, To time.Time
 }
 
 // ConfigEdit is one version of the configuration.
 type ConfigEdit struct {
-	// WrittenAt is when it was written, AckedAt when the store had it.
+	// WrittenAt is when the write began, AckedAt when the store had applied it.
 	WrittenAt, AckedAt time.Time
-	// MovedService is the service of the route that moves; Extra and Guest tell whether the
-	// passing route and the passing key are in it.
+	// MovedService is the service of the route "moved". HasExtraRoute and HasGuestKey say
+	// whether the version has the optional route and the guest key.
 	MovedService               string
 	HasExtraRoute, HasGuestKey bool
 }
 
-// Departure is an endpoint's word that it leaves.
+// Departure is the announcement of an endpoint that it leaves; the store had it at AckedAt.
 type Departure struct {
 	Endpoint string
 	AckedAt  time.Time
 }
 
-// Reservation is a reservation that was seen at an endpoint.
+// Reservation is a KV-cache reservation that was sampled at an endpoint between FirstSeen and
+// LastSeen.
 type Reservation struct {
 	Endpoint, ID        string
 	FirstSeen, LastSeen time.Time
 }
 
-// Violation is a broken promise.
+// Violation is one violation of a rule.
 type Violation struct {
-	// Rule is its name in the users' pages.
+	// Rule is the name of the rule in the users' documents.
 	Rule   string `json:"rule"`
 	Detail string `json:"detail"`
 }
 
-// Record is all that a run has shown. Its lists are complete when the run is over.
+// Record is everything that was observed in a run. Its lists are complete when the run is over.
 type Record struct {
 	mu           sync.Mutex
 	Requests     []*Request
@@ -141,7 +150,7 @@
 	violations   []Violation
 }
 
-// NewRecord makes an empty record.
+// NewRecord returns an empty record.
 func NewRecord() *Record { return &Record{Reservations: map[string]*Reservation{}} }
 
 func (r *Record) addRequest(req *Request) {
@@ -150,7 +159,8 @@
 	r.Requests = append(r.Requests, req)
 }
 
-// beginDisturbance notes the beginning of a disturbance; the function that it returns ends it.
+// beginDisturbance records the start of a disturbance and returns the function that records its
+// end. Only the first call of that function has an effect.
 func (r *Record) beginDisturbance(d Disturbance) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,13 +175,14 @@
 	}
 }
 
+// addViolation records a violation that was noticed during the run.
 func (r *Record) addViolation(rule, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// servedSince tells whether a request sent after a time was served.
+// servedSince reports whether a request that was sent after since succeeded.
 func (r *Record) servedSince(since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -183,33 +194,36 @@
 	return false
 }
 
-func (r *Record) observeReservation(endpoint, ticket string, now time.Time) {
+// observeReservation records that an endpoint holds a reservation at the time now.
+func (r *Record) observeReservation(endpoint, id string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name := endpoint + "/" + ticket
-	if known := r.Reservations[name]; known != nil {
+	key := endpoint + "/" + id
+	if known := r.Reservations[key]; known != nil {
 		known.LastSeen = now
 		return
 	}
-	r.Reservations[name] = &Reservation{endpoint, ticket, now, now}
+	r.Reservations[key] = &Reservation{endpoint, id, now, now}
 }
 
-// calmTime is how long without disturbance counts as calm (the users' contact_ms).
+// calmTime is how long after a disturbance its effects are still excused (contact_ms in the
+// users' documents).
 const calmTime = 3 * time.Second
 
-// undisturbed tells whether a gateway had no unplanned disturbance between two times nor in
-// contact before them. Disturbances of the store count where store is set.
+// undisturbed reports whether a gateway had no unplanned disturbance between from and to or in
+// the calmTime before. With store set, disturbances of the store count as well.
 func (r *Record) undisturbed(gateway string, from, to time.Time, store bool) bool {
 	for _, d := range r.Disturbances {
-		concerns := d.Gateway == gateway || store && d.Gateway == "" && d.Endpoint == ""
-		if concerns && !d.Planned && d.overlaps(from.Add(-calmTime), to) {
+		affects := d.Gateway == gateway || store && d.Gateway == "" && d.Endpoint == ""
+		if affects && !d.Planned && d.overlaps(from.Add(-calmTime), to) {
 			return false
 		}
 	}
 	return true
 }
 
-// endpointUndisturbed tells whether an endpoint was not disturbed in a run, nor shortly before.
+// endpointUndisturbed reports whether an endpoint handled a run without an injected fault and was
+// not disturbed during the run or in the calmTime before it.
 func (r *Record) endpointUndisturbed(run *Arrival) bool {
 	if run.Fault != "" {
 		return false
@@ -222,11 +236,12 @@
 	return true
 }
 
+// overlaps reports whether the disturbance was in effect at some time between from and to.
 func (d *Disturbance) overlaps(from, to time.Time) bool {
 	return d.From.Before(to) && (d.To.IsZero() || d.To.After(from))
 }
 
-// runEnd is when a run ended; far away while it goes on.
+// runEnd returns when a run ended, or a time far in the future while it continues.
 func runEnd(run *Arrival) time.Time {
 	if run.EndedAt.IsZero() {
 		return run.ArrivedAt.Add(time.Hour)
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -10,29 +10,31 @@
 	"aspenyard.example/standin/platform"
 )
 
-// Fault is one thing that is made to go wrong.
+// Fault is one scheduled fault. Which fields apply depends on its kind.
 type Fault struct {
 	Kind string
-	// Start is when, from the start of the schedule, and Duration how long.
+	// Start is the time from the start of the schedule.
 	Start, Duration time.Duration
-	// Gateway and Port index what it concerns; SecondPort is another post.
+	// Gateway, Port and SecondPort are the indexes of the gateway and of the endpoint addresses
+	// that the fault affects.
 	Gateway, Port, SecondPort int
-	// Delay is how much a slowed part adds; Way the direction of a cut, 1 to 3.
+	// Delay is the added latency of a slow link or store, or the pause between the steps of a
+	// fault. Variant, 1 to 3, is the direction of a link cut or the variant of a restart.
 	Delay   time.Duration
 	Variant int
-	// EndpointFault is what endpoints do wrong.
+	// EndpointFault is how an endpoint misbehaves.
 	EndpointFault platform.Fault
 }
 
-// targetCounts are how many gateways and posts there are.
+// targetCounts is the number of gateways and endpoint addresses that faults can affect.
 type targetCounts struct{ gateways, ports int }
 
-// maxDelay is how much a slowed link or store adds at most: under the gateways' timeout
-// of a call to the store, so that some calls still succeed.
+// maxDelay is the upper bound of Fault.Delay. It is below the gateways' timeout of a store call,
+// so that some calls to a slow store still succeed.
 const maxDelay = 500 * time.Millisecond
 
-// Times between the beginnings of two faults. A run has one of them throughout: with
-// rare faults each meets a system at rest, with frequent ones they overlap.
+// meanFaultIntervals are the mean times between the starts of two faults. A run uses one of them
+// throughout: rare faults each occur in an undisturbed system, frequent ones overlap.
 var meanFaultIntervals = []time.Duration{250 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond}
 
 const (
@@ -40,13 +42,13 @@
 	maxFaultDuration = 4 * time.Second
 )
 
-// endpointFaults are what endpoints may do wrong with requests and orders.
+// endpointFaults are the ways in which endpoints can misbehave with requests and reservations.
 var endpointFaults = []platform.Fault{
 	platform.FaultShed, platform.FaultUnmarkedRefusal, platform.FaultError, platform.FaultReset, platform.FaultTruncated, platform.FaultTruncatedUnframed, platform.FaultDuplicateResponse,
 	platform.FaultUnframed, platform.FaultNoServerStamp, platform.FaultGarbage, platform.FaultHang, platform.FaultEarlyResponse, platform.FaultSlow, platform.FaultHelperFailed, platform.FaultLateOrder,
 }
 
-// FaultKinds lists the kinds of faults.
+// FaultKinds returns the names of all kinds of faults.
 func FaultKinds() []string {
 	var names []string
 	for _, k := range faultTable {
@@ -55,12 +57,13 @@
 	return names
 }
 
-// FirstFaultKinds lists the first n kinds of faults, which are those that there were when a
-// seed was kept; all for 0. Error: there are fewer.
+// FirstFaultKinds returns the names of the first n kinds of faults, which are the kinds that
+// existed when a seed was recorded, or nil, which means all kinds, for n = 0. It returns an error
+// if n is negative or there are fewer kinds.
 func FirstFaultKinds(n int) ([]string, error) {
 	names := FaultKinds()
 	if n < 0 || n > len(names) {
-		return nil, errors.Errorf("%d kinds of faults asked for, there are %d", n, len(names))
+		return nil, errors.Errorf("first kinds of faults: %d, want 0 to %d", n, len(names))
 	}
 	if n == 0 {
 		return nil, nil
@@ -68,7 +71,7 @@
 	return names[:n], nil
 }
 
-// unknownKind gives the first of some names that is no kind of fault; empty for none.
+// unknownKind returns the first name that is not a kind of fault, or "" if all are.
 func unknownKind(names []string) string {
 	for _, name := range names {
 		if !slices.Contains(FaultKinds(), name) {
@@ -78,7 +81,9 @@
 	return ""
 }
 
-// GenerateSchedule draws the faults of a run, of some kinds only unless there are none.
+// GenerateSchedule generates the faults of a run from a seed. If only is not empty, the faults
+// are of those kinds. The number and order of the random draws must not change, or recorded seeds
+// give other schedules.
 func GenerateSchedule(seed uint64, length time.Duration, s targetCounts, only []string) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0))
 	pace := meanFaultIntervals[r.IntN(len(meanFaultIntervals))]
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak runs gateways as separate processes between stand-ins of their platform
-// and callers, injects faults from outside at random times, and checks from what callers
-// and endpoints saw that no promise was broken.
+// Package soak runs gateways as separate processes, together with stand-ins for their platform
+// and their callers. It injects faults from outside the processes at random times and checks,
+// from what callers and endpoints observed, that the gateways violated no rule.
 //
-// It exists because faults that come alone are proved by scripted tests, and those that
-// come together, in series and at bad moments are not. A seed fixes the schedule of
-// faults and what callers ask; how the processes interleave is the machine's.
+// Scripted tests cover single faults. This package covers faults that overlap, follow each other
+// and occur at unfavourable moments. A seed fixes the schedule of the faults and the requests of
+// the callers; the interleaving of the processes is left to the machine.
 package soak
 
 import (
@@ -16,48 +16,48 @@
 	"github.com/pkg/errors"
 )
 
-// Config says what one run is made of.
+// Config describes one run.
 type Config struct {
-	// Seed fixes the faults and the callers' requests.
+	// Seed determines the faults and the requests of the callers.
 	Seed uint64
-	// Duration is how long faults come; the end of a run takes some seconds more.
-	// Default 20s.
+	// Duration is how long faults are injected; a run ends some seconds later. Default 20s.
 	Duration time.Duration
-	// Gateways is how many processes there are. Default 8; each takes about 20 MB.
+	// Gateways is the number of gateway processes. Default 8; each takes about 20 MB.
 	Gateways int
-	// Engines and PlainEndpoints are how many endpoints each model service and each plain service
-	// has. Defaults 8 and 2.
+	// Engines is the number of engines of the model service, PlainEndpoints the number of
+	// endpoints of each plain service. Defaults 8 and 2.
 	Engines, PlainEndpoints int
-	// Callers is how many callers there are, each with one connection. Default 3 a
-	// gateway.
+	// Callers is the number of callers, each with one connection. Default 3 per gateway.
 	Callers int
-	// FaultKinds are the faults that come; all where it is empty. Fewer meet a fault more often.
+	// FaultKinds restricts the injected faults to these kinds; empty means all kinds. With fewer
+	// kinds each fault occurs more often.
 	FaultKinds []string
-	// CheckTimeBounds checks the promises that have a bound in time, too. A machine that is busy
-	// with other things can break these without a fault of the program.
+	// CheckTimeBounds also checks the rules that have a time bound. A machine that is busy with
+	// other work can violate these without a fault of the program.
 	CheckTimeBounds bool
-	// Command starts a gateway; the path of its settings is appended.
+	// Command starts a gateway; the path of its settings file is appended.
 	Command []string
-	// Dir takes settings and logs. It must exist.
+	// Dir is an existing directory for settings files and logs.
 	Dir string
 }
 
-// Sizes of a run where Config leaves them out.
+// Defaults and limits of a run.
 const (
 	defaultDuration       = 20 * time.Second
 	defaultGateways       = 8
 	defaultEngines        = 8
 	defaultPlainEndpoints = 2
 	callersPerGateway     = 3
-	maxGateways           = 300 // a few hundred processes, 6 GB
+	maxGateways           = 300 // a few hundred processes, which take 6 GB
 	startTimeout          = 60 * time.Second
 	recoveryTimeout       = 60 * time.Second
 	cleanupDelay          = time.Second
-	maxRecoveryTime       = 12 * time.Second // the users' sites: back to work 12 s after a loss of all nodes
+	maxRecoveryTime       = 12 * time.Second // users' sites: requests are served again 12 s after the loss of all nodes
 	pollInterval          = 50 * time.Millisecond
 	loadAfterRecovery     = 2 * time.Second
 )
 
+// setDefaults replaces zero fields by their defaults and returns an error for invalid ones.
 func (c *Config) setDefaults() error {
 	if c.Duration == 0 {
 		c.Duration = defaultDuration
@@ -78,38 +78,39 @@
 	case c.Duration < 0 || c.Engines < 0 || c.PlainEndpoints < 0 || c.Callers < 0:
 		return errors.New("soak: length, engines, apps and callers must not be negative")
 	case c.Gateways < 1 || c.Gateways > maxGateways:
-		return errors.Errorf("soak: %d gateways, 1 to %d are possible", c.Gateways, maxGateways)
+		return errors.Errorf("soak: %d gateways, want 1 to %d", c.Gateways, maxGateways)
 	case unknownKind(c.FaultKinds) != "":
-		return errors.Errorf("soak: no fault %q, there are %s", unknownKind(c.FaultKinds), strings.Join(FaultKinds(), ", "))
+		return errors.Errorf("soak: unknown kind of fault %q, known kinds: %s", unknownKind(c.FaultKinds), strings.Join(FaultKinds(), ", "))
 	case len(c.Command) == 0 || c.Dir == "":
-		return errors.New("soak: no command or directory")
+		return errors.New("soak: Command and Dir must be set")
 	}
 	return nil
 }
 
-// Report is what a run brought.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Requests is how many attempts callers made, Whole how many were answered whole
-	// with success, Arrivals how many arrived at endpoints.
+	// Requests is the number of requests that callers sent, Succeeded the number that got a
+	// complete response with status 200, and Arrivals the number of requests that endpoints
+	// received.
 	Requests  int `json:"requests"`
 	Succeeded int `json:"whole"`
 	Arrivals  int `json:"arrivals"`
-	// Faults counts those injected, by kind; Statuses the answers, "none" for attempts
-	// without a whole answer.
+	// Faults counts the injected faults by kind. Statuses counts the requests by response
+	// status, with "none" for requests without a complete response.
 	Faults     map[string]int `json:"faults"`
 	Statuses   map[string]int `json:"statuses"`
 	Violations []Violation    `json:"violations"`
 }
 
-// Run makes one run. An error means that it could not be made; broken promises are in
-// the report.
+// Run performs one run. It returns an error if the run could not be performed; rule violations
+// are in the report.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.setDefaults(); err != nil {
 		return nil, err
 	}
 	if _, err := os.Stat(config.Dir); err != nil {
-		return nil, errors.Wrap(err, "soak: directory for logs")
+		return nil, errors.Wrap(err, "soak: log directory")
 	}
 	h, err := newHarness(config)
 	if err != nil {
@@ -127,23 +128,24 @@
 	return h.report(), ctx.Err()
 }
 
-// checkRecovery kills every gateway at once and waits until they serve again.
+// checkRecovery kills all gateways at once and waits until they serve requests again. It records
+// a RECOVER violation if they do not in time.
 func (h *harness) checkRecovery(ctx context.Context) {
 	for _, g := range h.gateways {
 		g.kill(h.record)
 	}
 	if err := h.awaitReady(ctx, recoveryTimeout); err != nil {
-		h.record.addViolation("RECOVER", "after the loss of all gateways: %v", err)
+		h.record.addViolation("RECOVER", "after all gateways were killed: %v", err)
 		return
 	}
-	back := time.Now()
-	limit := back.Add(recoveryTimeout)
+	readyAt := time.Now()
+	limit := readyAt.Add(recoveryTimeout)
 	if h.config.CheckTimeBounds {
-		limit = back.Add(maxRecoveryTime)
+		limit = readyAt.Add(maxRecoveryTime)
 	}
-	for ctx.Err() == nil && !h.record.servedSince(back) {
+	for ctx.Err() == nil && !h.record.servedSince(readyAt) {
 		if time.Now().After(limit) {
-			h.record.addViolation("RECOVER", "nothing was served after the loss of all gateways")
+			h.record.addViolation("RECOVER", "no request was served after all gateways were killed")
 			return
 		}
 		time.Sleep(pollInterval)
@@ -151,7 +153,8 @@
 	sleep(ctx, loadAfterRecovery)
 }
 
-// awaitCleanup waits until what callers left behind at endpoints has ended.
+// awaitCleanup waits until endpoints have ended the runs and released the reservations that the
+// callers left behind.
 func (h *harness) awaitCleanup(ctx context.Context) {
 	sleep(ctx, cleanupDelay)
 	if h.config.CheckTimeBounds {
@@ -159,7 +162,7 @@
 	}
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -167,6 +170,7 @@
 	}
 }
 
+// report copies the arrivals into the record, checks the rules and returns the report.
 func (h *harness) report() *Report {
 	r := h.record
 	h.collectArrivals()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,8 +14,8 @@
 	"aspenyard.example/cli"
 )
 
-// productArgument makes the test binary behave as the product's command line: the gateways of
-// a run are this same binary.
+// productArgument as first argument makes the test binary run as the product's command line: the
+// gateways of a run are this same binary.
 const productArgument = "aspenyard"
 
 func TestMain(m *testing.M) {
@@ -26,12 +26,14 @@
 	os.Exit(m.Run())
 }
 
-// Seeds of CI's runs; what has a bound in time is checked by hand on a quiet machine.
+// CI runs these short soaks without the rules that have a time bound, which are checked by hand
+// on a machine without other load.
 const (
 	shortDuration = 6 * time.Second
 	shortGateways = 4
 )
 
+// runSeed runs one soak with the first firstKinds kinds of faults; 0 means all kinds.
 func runSeed(t *testing.T, seed uint64, gateways int, length time.Duration, firstKinds int) *Report {
 	t.Helper()
 	is := is.New(t)
@@ -60,7 +62,8 @@
 	}
 }
 
-// Seeds that once broke a promise stay as they were.
+// The seeds in testdata/seeds.txt once showed a violation. Each is run again with the number of
+// gateways, the length and the kinds of faults that it was found with.
 func TestRegressionSeeds(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	if err != nil {
@@ -79,13 +82,13 @@
 		if _, err := fmt.Sscan(line, &seed, &gateways, &length, &kinds); err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		lasting, err := time.ParseDuration(length)
+		duration, err := time.ParseDuration(length)
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			for _, v := range runSeed(t, seed, gateways, lasting, kinds).Violations {
+			for _, v := range runSeed(t, seed, gateways, duration, kinds).Violations {
 				t.Errorf("%s: %s", v.Rule, v.Detail)
 			}
 		})
