--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -11,13 +11,14 @@
 	"aspenyard.example/standin/service"
 )
 
+// serviceRecord returns the record that a plain service keeps of what it did.
 func (h *harness) serviceRecord(p *process) (service.Record, error) {
 	var record service.Record
 	return record, h.get("http://"+p.addrs["listen"]+"/record", &record)
 }
 
-// runs SERVICE key=K count=N waits until a service's record has N runs of a key;
-// arrived=N waits for N calls to have arrived, run or not.
+// runs SERVICE key=K count=N waits until a service has run the request key K exactly N times;
+// with arrived=N it waits until N calls have arrived at the service, whether or not they ran.
 func runs(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -29,7 +30,7 @@
 		}
 		if opts["arrived"] != "" {
 			if record.Arrived < parseNumber(opts["arrived"]) {
-				return fmt.Sprintf("%d arrived", record.Arrived)
+				return fmt.Sprintf("%d calls arrived", record.Arrived)
 			}
 			return ""
 		}
@@ -46,7 +47,8 @@
 	})
 }
 
-// lookup ENTRY KEY ran=WORD [state=WORD] asks for the status of a key.
+// lookup ENTRY KEY ran=WORD [state=WORD] checks the status that an entry reports for a request
+// key.
 func lookup(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -64,7 +66,7 @@
 	}
 }
 
-// held NAME... waits until engines hold no memory.
+// held NAME... waits until engines hold no KV cache.
 func held(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	for _, name := range args {
@@ -82,11 +84,11 @@
 	}
 }
 
-// audit compares, when all calls have ended, what the callers were told with the
-// services' records: no key ran more than once; each run was asked for by a call
-// that began before it and was not told "no"; each key that a caller was told
-// "yes" of did run. No text differs from the engines', and no engine has a run of
-// a prompt of which all calls were told "no".
+// audit waits until all calls have ended and compares what callers were told with the records of
+// the services and engines. A request key must not have run more than once. Each run must belong
+// to a call that started before it and was not told "no". Each key of which a caller was told
+// "yes" must have run. The text that a call received must be that of the engine, and an engine
+// must not have run a prompt of which all calls were told "no".
 func audit(ts *testscript.TestScript, _ bool, _ []string) {
 	h := harnessOf(ts)
 	ran := map[string][]service.Run{}
@@ -102,7 +104,7 @@
 		}
 	}
 	byKey := map[string][]*callRecord{}
-	unknown, silent, total := 0, 0, 0
+	unknown, unanswered, total := 0, 0, 0
 	finishAll(ts, false, nil)
 	for _, c := range h.calls {
 		total++
@@ -110,25 +112,26 @@
 		case "unknown":
 			unknown++
 		case "":
-			silent++
+			unanswered++
 		}
-		if problem := c.checkText(); problem != "" {
-			ts.Fatalf("call %s (code %d, ran %q): %s", c.id, c.code, c.ran, problem)
+		if mismatch := c.checkText(); mismatch != "" {
+			ts.Fatalf("call %s (code %d, ran %q): %s", c.id, c.code, c.ran, mismatch)
 		}
 		if c.kind == "excuse-filing" && c.key != "" {
 			byKey[c.key] = append(byKey[c.key], c)
 		}
 	}
 	for key, calls := range byKey {
-		if problem := auditKey(calls, ran[key]); problem != "" {
-			ts.Fatalf("key %s: %s", key, problem)
+		if mismatch := auditKey(calls, ran[key]); mismatch != "" {
+			ts.Fatalf("key %s: %s", key, mismatch)
 		}
 	}
 	h.auditEngines(ts)
-	ts.Logf("audit: %d calls, %d told unknown, %d without an answer", total, unknown, silent)
+	ts.Logf("audit: %d calls, %d told unknown, %d without a response", total, unknown, unanswered)
 }
 
-// auditEngines checks "did not run" against the engines' records.
+// auditEngines checks that no engine ran a prompt of which all calls were told that it did not
+// run.
 func (h *harness) auditEngines(ts *testscript.TestScript) {
 	toldNo := map[uint64]string{}
 	for _, c := range h.calls {
@@ -149,19 +152,21 @@
 		ts.Check(err)
 		for _, run := range record.Runs {
 			if id, found := toldNo[run.PromptPrefixHash]; found {
-				ts.Fatalf("call %s was told that it did not run, and %s ran its prompt (%d tokens)", id, name, run.PromptTokens)
+				ts.Fatalf("call %s was told that it did not run, but engine %s ran its prompt (%d tokens)", id, name, run.PromptTokens)
 			}
 		}
 	}
 }
 
+// auditKey compares the calls with one request key with the runs of that key, and returns a
+// description of a mismatch or "".
 func auditKey(calls []*callRecord, runs []service.Run) string {
 	if len(runs) > 1 {
 		return fmt.Sprintf("ran %d times", len(runs))
 	}
 	for _, c := range calls {
 		if c.ran == "yes" && len(runs) == 0 {
-			return "a caller was told that it ran, and it did not"
+			return "a caller was told that it ran, but it did not"
 		}
 	}
 	for _, run := range runs {
@@ -170,21 +175,23 @@
 			asked = asked || (c.ran != "no" && c.startedAt.UnixNano() < run.UnixNano)
 		}
 		if !asked {
-			return "it ran, and every caller who had asked by then was told that it did not"
+			return "it ran, but every caller that had sent it by then was told that it did not"
 		}
 	}
 	return ""
 }
 
+// checkText checks that the text that a call received is a prefix of its expected text, and all
+// of it if the response was complete.
 func (c *callRecord) checkText() string {
 	if isPlainService(c.kind) {
 		return ""
 	}
 	if !strings.HasPrefix(c.expected, c.text) {
-		return "got text that is not its own answer's"
+		return "got text that does not belong to its response"
 	}
 	if c.complete && c.status == http.StatusOK && c.text != c.expected {
-		return "an incomplete answer was presented as complete"
+		return "an incomplete response was presented as complete"
 	}
 	return ""
 }
--- a/scenarios/calls_test.go
+++ b/scenarios/calls_test.go
@@ -20,7 +20,7 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// callRecord is one call and what its caller was told.
+// callRecord is one call and its result as the caller received it.
 type callRecord struct {
 	id, kind, key string
 	opts          map[string]string
@@ -28,7 +28,7 @@
 	startedAt     time.Time
 	duration      time.Duration
 	done          chan struct{}
-	// firstEvent is closed once the firstEvent event of a streamed answer has come.
+	// firstEvent is closed when the first event of a streamed response has arrived.
 	firstEvent     chan struct{}
 	firstEventOnce sync.Once
 
@@ -38,19 +38,20 @@
 	retryAfter     string
 	requestID      string
 	body           string
-	text           string // of a generation
+	text           string // generated text
 	expected       string
-	promptHash     uint64 // of a generation's prompt
-	complete       bool   // the answer's end marker came
+	promptHash     uint64 // identifies the prompt in the records of engines; 0 for plain services
+	complete       bool   // the end of the response was received
 	transportError error
 }
 
+// isPlainService reports whether a kind of work is served by the plain service.
 func isPlainService(kind string) bool { return kind == "excuse-filing" || kind == "tide-check" }
 
-// call ENTRY KIND [key=K] [deadline=D] [tokens=N] [out=N] [stream=no] [hangup=N] [giveup=D] [first=yes] [as=ID]
-// makes a call. With as, the script goes on; else it waits for the answer, whose
-// id is then "last". With until=CODE it asks again, as the answers' Retry-After
-// says, until that code comes.
+// call ENTRY KIND [key=K] [deadline=D] [tokens=N] [out=N] [stream=no] [hangup=N] [giveup=D]
+// [first=yes] [as=ID] [until=CODE] makes a call. With as, the script continues at once; otherwise
+// it waits for the response and the call has the ID "last". With until, the call is repeated, at
+// a quarter of the Retry-After of each response, until its result code is CODE.
 func call(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	if opts["until"] == "" {
@@ -60,14 +61,15 @@
 	await(ts, "call", func() string {
 		c := startCall(ts, plain, opts)
 		<-c.done
-		if problem := c.check("code", opts["until"]); problem != "" {
+		if mismatch := c.check("code", opts["until"]); mismatch != "" {
 			time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second / 4)
-			return problem
+			return mismatch
 		}
 		return ""
 	})
 }
 
+// startCall starts a call, and waits for its result unless it has an ID of its own (as=).
 func startCall(ts *testscript.TestScript, plain []string, opts map[string]string) *callRecord {
 	h := harnessOf(ts)
 	p := h.mustProcess(ts, plain[0])
@@ -105,18 +107,19 @@
 	return c
 }
 
-// again ENTRY ID makes the call ID once more, through any entry, when its answer's
-// Retry-After says; from then on ID names this call.
+// again ENTRY ID repeats the call ID through an entry, after the Retry-After of its response. ID
+// then names the new call.
 func again(ts *testscript.TestScript, _ bool, args []string) {
 	c := harnessOf(ts).mustCall(ts, args[1])
 	finish(ts, false, args[1:])
 	if c.retryAfter == "" {
-		ts.Fatalf("call %s was not told when to come back (code %d)", c.id, c.code)
+		ts.Fatalf("response to call %s has no Retry-After (code %d)", c.id, c.code)
 	}
 	time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second)
 	startCall(ts, []string{args[0], c.kind}, c.opts)
 }
 
+// request builds the HTTP request of the call and computes the response that is expected.
 func (c *callRecord) request(p *process, opts map[string]string) (*http.Request, error) {
 	path := "/v1/services/" + c.kind
 	body := []byte(`{"summons":"` + opts["body"] + `"}`)
@@ -152,6 +155,8 @@
 	return request, nil
 }
 
+// send sends the request and records the result. If hangup is positive, it disconnects after that
+// many events of a stream.
 func (c *callRecord) send(client *http.Client, request *http.Request, hangup int) {
 	response, err := client.Do(request)
 	if err != nil {
@@ -176,6 +181,8 @@
 	}
 }
 
+// readStream reads the events of a streamed response until its end marker, or until hangup
+// events.
 func (c *callRecord) readStream(body io.Reader, hangup int) {
 	reader := bufio.NewReader(body)
 	for events := 0; hangup == 0 || events < hangup; {
@@ -198,6 +205,7 @@
 	}
 }
 
+// handleEvent records the text or the error of one event.
 func (c *callRecord) handleEvent(data string) {
 	var event struct {
 		Error *struct {
@@ -217,6 +225,7 @@
 	}
 }
 
+// mustCall returns the latest call with an ID and fails the script if there is none.
 func (h *harness) mustCall(ts *testscript.TestScript, id string) *callRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -242,40 +251,41 @@
 				}
 			}
 		}
-		return fmt.Sprintf("nothing runs on %v", args)
+		return fmt.Sprintf("no run in progress on %v", args)
 	})
 }
 
-// finish ID... waits for the answers of calls made with as.
+// finish ID... waits for the responses to calls that were made with as.
 func finish(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
 		harnessOf(ts).mustCall(ts, id).await(ts)
 	}
 }
 
+// await waits until the call has ended, and fails the script conditionTimeout after its deadline.
 func (c *callRecord) await(ts *testscript.TestScript) {
 	select {
 	case <-c.done:
 	case <-time.After(c.deadline + conditionTimeout):
-		ts.Fatalf("call %s has no answer", c.id)
+		ts.Fatalf("call %s got no response", c.id)
 	}
 }
 
-// streaming ID... waits until the first text of streamed calls has come.
+// streaming ID... waits until the first event of streamed calls has arrived.
 func streaming(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
 		c := harnessOf(ts).mustCall(ts, id)
 		select {
 		case <-c.firstEvent:
 		case <-c.done:
-			ts.Fatalf("call %s ended without a text (code %d)", id, c.code)
+			ts.Fatalf("call %s ended without an event (code %d)", id, c.code)
 		case <-time.After(conditionTimeout):
-			ts.Fatalf("call %s has no text", id)
+			ts.Fatalf("call %s got no event", id)
 		}
 	}
 }
 
-// repeat N COMMAND... runs a command N times; the as of a call gets a number.
+// repeat N COMMAND... runs a command N times. A number is appended to the as= ID of a call.
 func repeat(ts *testscript.TestScript, neg bool, args []string) {
 	for i := range parseNumber(args[0]) {
 		numbered := append([]string(nil), args[2:]...)
@@ -288,14 +298,15 @@
 	}
 }
 
-// finish-all waits for the answers of all calls made so far.
+// finish-all waits for the responses to all calls made so far.
 func finishAll(ts *testscript.TestScript, _ bool, _ []string) {
 	for _, c := range harnessOf(ts).calls {
 		c.await(ts)
 	}
 }
 
-// whole least=N checks that at least N calls of generations got a whole answer.
+// whole least=N checks that at least N generations were answered completely and with the expected
+// text.
 func whole(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
 	count := 0
@@ -305,29 +316,31 @@
 		}
 	}
 	if count < parseNumber(opts["least"]) {
-		ts.Fatalf("%d answers were whole", count)
+		ts.Fatalf("%d responses were complete", count)
 	}
 }
 
-// expect ID [code=N|N] [ran=WORD|WORD] [whole=yes] [in-time=yes] [retry=yes] [took-under=D]
-// checks what a caller was told.
+// expect ID... [code=N|N] [ran=WORD|WORD] [whole=yes] [in-time=yes] [retry=yes] [took-under=D]
+// [transport=yes] checks the results of calls.
 func expect(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	finish(ts, false, plain)
 	for _, id := range plain {
 		c := harnessOf(ts).mustCall(ts, id)
 		for key, want := range opts {
-			if problem := c.check(key, want); problem != "" {
+			if mismatch := c.check(key, want); mismatch != "" {
 				ts.Fatalf("call %s: %s (status %d, code %d, ran %q, took %s, transport %v, body %.300s)",
-					id, problem, c.status, c.code, c.ran, c.duration, c.transportError, c.body)
+					id, mismatch, c.status, c.code, c.ran, c.duration, c.transportError, c.body)
 			}
 		}
 	}
 }
 
-// deadlineTolerance is how much later than its deadline an answer may be on a busy machine.
+// deadlineTolerance is how much later than its deadline a response may arrive on a busy machine.
 const deadlineTolerance = 5 * time.Second
 
+// check compares one property of the result with the alternatives in want, which are separated by
+// "|". It returns a description of the mismatch, or "".
 func (c *callRecord) check(key, want string) string {
 	got := ""
 	switch key {
@@ -349,14 +362,14 @@
 	case "transport":
 		got = yesNo(c.transportError != nil)
 	default:
-		return "no check " + key
+		return "unknown check " + key
 	}
 	for _, one := range strings.Split(want, "|") {
 		if got == one {
 			return ""
 		}
 	}
-	return fmt.Sprintf("%s is %q, not %q", key, got, want)
+	return fmt.Sprintf("%s is %q, want %q", key, got, want)
 }
 
 func yesNo(b bool) string {
--- a/scenarios/catalogue_test.go
+++ b/scenarios/catalogue_test.go
@@ -12,8 +12,8 @@
 	"aspenyard.example/catalogue"
 )
 
-// edit ENTRY ID MAXTOKENS [expect=REVISION] [status=CODE] edits the kind of work
-// ID, so that its revision is seen to spread.
+// edit ENTRY ID MAXTOKENS [expect=REVISION] [status=CODE] edits the work record ID through an
+// entry. MAXTOKENS identifies the edit, so that other commands can tell which nodes have it.
 func edit(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -31,18 +31,19 @@
 		want = parseNumber(opts["status"])
 	}
 	if status, body := h.put(p, record, expect); status != want {
-		ts.Fatalf("edit: %d %s", status, bytes.TrimSpace(body))
+		ts.Fatalf("edit: status %d: %s", status, bytes.TrimSpace(body))
 	}
 }
 
+// workRecord returns a work record with a limit on output tokens.
 func workRecord(id string, maxTokens int) *catalogue.Record {
 	return &catalogue.Record{Type: catalogue.TypeWork, ID: id, Owner: "ops", Work: &catalogue.Work{
 		Class: "bulk", Model: "model-a", Repeatable: true, MaxOutputTokens: maxTokens,
 	}}
 }
 
-// sees NODE... ID MAXTOKENS waits until nodes have the edit; entries are asked
-// for the record, agents for its page through an entry's spread.
+// sees NODE... ID MAXTOKENS waits until entries have the edit. "! sees" checks that they do not
+// have it yet.
 func sees(ts *testscript.TestScript, neg bool, args []string) {
 	h := harnessOf(ts)
 	plain, _ := options(args)
@@ -55,13 +56,13 @@
 				return err.Error()
 			}
 			if record.Work.MaxOutputTokens != want {
-				return fmt.Sprintf("%s has %d", name, record.Work.MaxOutputTokens)
+				return fmt.Sprintf("%s has max_output_tokens %d", name, record.Work.MaxOutputTokens)
 			}
 			return ""
 		}
 		if neg {
 			if check() == "" {
-				ts.Fatalf("%s already has %d", name, want)
+				ts.Fatalf("%s already has max_output_tokens %d", name, want)
 			}
 			continue
 		}
@@ -69,8 +70,8 @@
 	}
 }
 
-// keeps NODE... ID MAXTOKENS DURATION checks all through a time that entries have
-// the edit: none goes back, not even for a moment.
+// keeps NODE... ID MAXTOKENS DURATION checks throughout the duration that entries have the edit
+// and never return to an older one.
 func keeps(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	n := len(args)
@@ -82,14 +83,14 @@
 			var record catalogue.Record
 			err := h.get("http://"+h.mustProcess(ts, name).addrs["operators"]+"/v1/catalogue/work/"+id, &record)
 			if err == nil && record.Work.MaxOutputTokens != want {
-				ts.Fatalf("%s went back to %d", name, record.Work.MaxOutputTokens)
+				ts.Fatalf("%s reverted to max_output_tokens %d", name, record.Work.MaxOutputTokens)
 			}
 		}
 	}
 }
 
-// limit ENTRY concurrent=N edits the account's limit and waits until all entries
-// have it.
+// limit ENTRY concurrent=N edits the client account's limit of concurrent requests and waits
+// until all entries have it.
 func limit(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -101,7 +102,7 @@
 	revision := record.Revision
 	record.Account.Limits.Concurrent, record.Revision = parseNumber(opts["concurrent"]), 0
 	if status, body := h.put(h.mustProcess(ts, plain[0]), &record, revision); status != http.StatusOK {
-		ts.Fatalf("limit: %d %s", status, body)
+		ts.Fatalf("limit: status %d: %s", status, body)
 	}
 	await(ts, "limit", func() string {
 		for name, p := range h.processes {
@@ -109,23 +110,23 @@
 				continue
 			}
 			if has, err := account(p); err != nil || has.Account.Limits.Concurrent != parseNumber(opts["concurrent"]) {
-				return name + " lags"
+				return name + " does not have the limit yet"
 			}
 		}
 		return ""
 	})
 }
 
-// calls reads=N writes=N checks the platform's own count of calls: no second had
-// more than these.
+// calls reads=N writes=N checks the platform's own count of store calls: there were at most that
+// many in every second.
 func storeCalls(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
 	h := harnessOf(ts)
 	var record struct{ PeakReads, PeakWrites, Refused, Reads, Writes int }
 	ts.Check(h.get("http://"+h.mustProcess(ts, "platform").addrs["listen"]+"/record", &record))
 	encoded, _ := json.Marshal(record)
-	ts.Logf("the platform's count: %s", encoded)
+	ts.Logf("store calls counted by the platform: %s", encoded)
 	if record.PeakReads > parseNumber(opts["reads"]) || record.PeakWrites > parseNumber(opts["writes"]) {
-		ts.Fatalf("the platform was called too often: %s", encoded)
+		ts.Fatalf("too many store calls in a second: %s", encoded)
 	}
 }
--- a/scenarios/client_test.go
+++ b/scenarios/client_test.go
@@ -13,8 +13,8 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// client ENTRY KIND talks to an entry by an ordinary client library for such
-// interfaces: the list of models, a completion, a streamed chat, and an error.
+// client ENTRY KIND calls an entry through a common OpenAI client library: the list of models, a
+// completion, a streamed chat, and a request that is answered with an error.
 func client(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	config := openai.DefaultConfig(accountKey)
@@ -25,21 +25,22 @@
 	models, err := c.ListModels(ctx)
 	ts.Check(err)
 	if len(models.Models) == 0 {
-		ts.Fatalf("the library lists no models")
+		ts.Fatalf("client: the list of models is empty")
 	}
 	whole, err := c.CreateCompletion(ctx, openai.CompletionRequest{Model: args[1], Prompt: "tie a bowline", MaxTokens: 8})
 	ts.Check(err)
 	if want := standin.Completion("tie a bowline", 8); whole.Choices[0].Text != want {
-		ts.Fatalf("the library got %q, not %q", whole.Choices[0].Text, want)
+		ts.Fatalf("client: completion is %q, want %q", whole.Choices[0].Text, want)
 	}
 	streamChat(ctx, ts, c, args[1])
 	_, err = c.CreateCompletion(ctx, openai.CompletionRequest{Model: "none", Prompt: "x", MaxTokens: 1})
 	var failure *openai.APIError
 	if !errors.As(err, &failure) || failure.HTTPStatusCode != 404 || failure.Type != "unknown_model" {
-		ts.Fatalf("the library got the error %v", err)
+		ts.Fatalf("client: unknown model gave error %v, want status 404 and type unknown_model", err)
 	}
 }
 
+// streamChat makes a streamed chat request and compares the text.
 func streamChat(ctx context.Context, ts *testscript.TestScript, c *openai.Client, model string) {
 	stream, err := c.CreateChatCompletionStream(ctx, openai.ChatCompletionRequest{
 		Model: model, MaxCompletionTokens: 8, Messages: []openai.ChatCompletionMessage{{Role: "user", Content: "tie a bowline"}},
@@ -57,6 +58,6 @@
 		text.WriteString(event.Choices[0].Delta.Content)
 	}
 	if want := standin.Completion("user: tie a bowline\n", 8); text.String() != want {
-		ts.Fatalf("the library's stream gave %q, not %q, after %s", text.String(), want, time.Since(started))
+		ts.Fatalf("client: streamed chat is %q, want %q, after %s", text.String(), want, time.Since(started))
 	}
 }
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -18,27 +18,28 @@
 	"aspenyard.example/standin/link"
 )
 
-// command is one word of the scenarios; README.md lists them.
+// command implements one command of the scripts; README.md lists them.
 type command = func(ts *testscript.TestScript, neg bool, args []string)
 
+// commands are all commands by their names in the scripts.
 var commands map[string]command
 
-// The map is made here and not where it is declared, because repeat looks words up
-// in it.
+// The map is filled in init because the command repeat looks commands up in it, which would
+// otherwise be an initialization cycle.
 func init() {
 	commands = map[string]command{
-		// Processes and what happens to them.
+		// Processes, and faults of processes, links and the platform.
 		"start": start, "restart": restart, "crash": crash, "freeze": freeze, "thaw": thaw, "term": term, "gone": gone,
 		"cut": cut, "heal": heal, "delay": delay, "reset": reset,
 		"platform": platformFault, "fault": fault, "list": list, "outage": outage,
-		// The catalogue and operators' work.
+		// Edits of the catalogue and commands of operators.
 		"seed": seed, "edit": edit, "race": race, "sees": sees, "keeps": keeps, "spread": spread, "cap": setCap, "limit": limit, "operate": operate,
 		// Conditions to wait for.
 		"ready": ready, "member": member, "metric": metric, "claim": claim, "granted": granted, "started": started, "streaming": streaming,
-		// Calls and what their callers were told.
+		// Calls and their results.
 		"call": call, "again": again, "repeat": repeat, "finish": finish, "finish-all": finishAll, "expect": expect, "whole": whole,
 		"lookup": lookup, "client": client, "served": served,
-		// The stand-ins' records.
+		// Checks against the records of the stand-ins.
 		"runs": runs, "held": held, "watts": watts, "drawing": drawing, "calls": storeCalls, "mark": mark, "unchanged": unchanged,
 		"total": total, "cancelled": cancelled, "audit": audit,
 	}
@@ -59,7 +60,7 @@
 	case "entry":
 		err = h.prepareEntry(p, opts)
 	default:
-		ts.Fatalf("start: no kind %q", kind)
+		ts.Fatalf("start: unknown kind of process %q", kind)
 	}
 	ts.Check(err)
 	ts.Check(h.launch(p))
@@ -69,6 +70,7 @@
 	}
 }
 
+// errorText returns the text of an error, or "" for nil.
 func errorText(err error) string {
 	if err != nil {
 		return err.Error()
@@ -76,11 +78,13 @@
 	return ""
 }
 
+// parseNumber parses an integer; it returns 0 for other text, such as a missing option.
 func parseNumber(text string) int {
 	n, _ := strconv.Atoi(text)
 	return n
 }
 
+// prepareStandin writes the settings of a stand-in process.
 func (h *harness) prepareStandin(p *process, opts map[string]string) error {
 	addrs, err := freeAddrs("listen")
 	if err != nil {
@@ -114,6 +118,8 @@
 	return err
 }
 
+// nodeSettings returns the settings that entries and agents have in common, and adds the node to
+// the platform's list of VMs.
 func (h *harness) nodeSettings(p *process, opts map[string]string) (map[string]any, error) {
 	addrs, err := freeAddrs("listen", "operators", "callers")
 	if err != nil {
@@ -150,10 +156,12 @@
 	return body, h.publishVMs()
 }
 
+// publishVMs sends the list of VMs to the platform.
 func (h *harness) publishVMs() error {
 	return h.post("http://"+h.processes["platform"].addrs["listen"]+"/control/vms", h.vms)
 }
 
+// prepareAgent writes the settings of an agent beside the endpoint that the option beside= names.
 func (h *harness) prepareAgent(p *process, opts map[string]string) error {
 	body, err := h.nodeSettings(p, opts)
 	if err != nil {
@@ -161,7 +169,7 @@
 	}
 	beside := h.processes[opts["beside"]]
 	if beside == nil {
-		return fmt.Errorf("agent %s: beside= names no process", p.name)
+		return fmt.Errorf("agent %s: option beside= does not name a process", p.name)
 	}
 	body["endpoint"], body["kind"] = beside.addrs["listen"], beside.role
 	if beside.role == "service" {
@@ -172,6 +180,7 @@
 	return err
 }
 
+// prepareEntry writes the settings of an entry.
 func (h *harness) prepareEntry(p *process, opts map[string]string) error {
 	body, err := h.nodeSettings(p, opts)
 	if err != nil {
@@ -183,7 +192,8 @@
 	return err
 }
 
-// restart NAME... starts a process again on its old addresses, as a replaced VM.
+// restart NAME... kills processes and starts them again on their addresses, like VMs that are
+// replaced.
 func restart(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	for _, name := range args {
@@ -195,13 +205,14 @@
 	}
 }
 
+// signalAll sends a signal to the named processes.
 func signalAll(ts *testscript.TestScript, args []string, s syscall.Signal) {
 	for _, name := range args {
 		harnessOf(ts).mustProcess(ts, name).signal(s)
 	}
 }
 
-// crash NAME... ends processes at once, by SIGKILL.
+// crash NAME... kills processes by SIGKILL and waits for their end.
 func crash(ts *testscript.TestScript, _ bool, args []string) {
 	signalAll(ts, args, syscall.SIGKILL)
 	for _, name := range args {
@@ -209,46 +220,47 @@
 	}
 }
 
-// freeze NAME... stops processes without closing anything; thaw NAME... lets
-// them go on.
+// freeze NAME... suspends processes by SIGSTOP; their connections stay open.
 func freeze(ts *testscript.TestScript, _ bool, args []string) {
 	signalAll(ts, args, syscall.SIGSTOP)
 }
 
+// thaw NAME... resumes frozen processes.
 func thaw(ts *testscript.TestScript, _ bool, args []string) { signalAll(ts, args, syscall.SIGCONT) }
 
-// term NAME... asks processes to shut down gracefully.
+// term NAME... asks processes to shut down gracefully, by SIGTERM.
 func term(ts *testscript.TestScript, _ bool, args []string) { signalAll(ts, args, syscall.SIGTERM) }
 
-// gone NAME [exit=CODE] waits for a process's end.
+// gone NAME [exit=CODE] waits until a process has ended, with the given exit code.
 func gone(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	p := harnessOf(ts).mustProcess(ts, plain[0])
 	select {
 	case <-p.ended:
 	case <-time.After(conditionTimeout):
-		ts.Fatalf("%s has not ended", p.name)
+		ts.Fatalf("process %s has not ended", p.name)
 	}
 	if want := opts["exit"]; want != "" && strconv.Itoa(p.cmd.ProcessState.ExitCode()) != want {
-		ts.Fatalf("%s ended with %v, not %s", p.name, p.cmd.ProcessState, want)
+		ts.Fatalf("process %s ended with %v, want exit code %s", p.name, p.cmd.ProcessState, want)
 	}
 }
 
+// linkOf returns the link of a process and fails the script if the process has none.
 func linkOf(ts *testscript.TestScript, name string) *link.Link {
 	l := harnessOf(ts).mustProcess(ts, name).link
 	if l == nil {
-		ts.Fatalf("%s was not started with link=yes", name)
+		ts.Fatalf("process %s was not started with link=yes", name)
 	}
 	return l
 }
 
-// cut NAME stops all that goes to and from a process on its way; heal NAME
-// delivers it.
+// cut NAME holds back all traffic to and from a process.
 func cut(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetBlocked(link.Both) }
 
+// heal NAME ends a cut and delivers the traffic that was held back.
 func heal(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).SetBlocked(0) }
 
-// delay NAME DURATION holds back each piece on its way.
+// delay NAME DURATION delays all traffic to and from a process.
 func delay(ts *testscript.TestScript, _ bool, args []string) {
 	d, err := time.ParseDuration(args[1])
 	ts.Check(err)
@@ -258,7 +270,8 @@
 // reset NAME breaks the connections of a process.
 func reset(ts *testscript.TestScript, _ bool, args []string) { linkOf(ts, args[0]).ResetConnections() }
 
-// platform up|down|slow MS|lose-answer N PREFIX|lose-answer-and-down PREFIX|stale PREFIX sets the store's fault.
+// platform up|down|slow MS|lose-answer N PREFIX|lose-answer-and-down PREFIX|stale PREFIX sets the
+// fault of the store; up clears it.
 func platformFault(ts *testscript.TestScript, _ bool, args []string) {
 	faults := map[string]any{}
 	switch args[0] {
@@ -274,14 +287,14 @@
 	case "stale":
 		faults["stale_prefix"] = args[1]
 	default:
-		ts.Fatalf("platform: no fault %q", args[0])
+		ts.Fatalf("platform: unknown fault %q", args[0])
 	}
 	h := harnessOf(ts)
 	ts.Check(h.post("http://"+h.mustProcess(ts, "platform").addrs["listen"]+"/control/faults", faults))
 }
 
-// fault NAME [key=value...] sets the faults of an engine or a service, by the
-// names of its control path; without any, it works again.
+// fault NAME [key=value...] sets the faults of an engine or a service, under the field names of
+// the stand-in's control API with dashes for underscores. Without options it clears all faults.
 func fault(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	body := map[string]any{}
@@ -297,7 +310,8 @@
 	ts.Check(h.post("http://"+h.mustProcess(ts, plain[0]).addrs["listen"]+"/control/faults", body))
 }
 
-// list NAME live|leaving|dropped changes the platform's list.
+// list NAME live|leaving|dropped changes the state of a VM in the platform's list; dropped
+// removes it.
 func list(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	for i := range h.vms {
@@ -311,7 +325,9 @@
 	ts.Check(h.publishVMs())
 }
 
-func catalogueRecords(cap int) []*catalogue.Record {
+// catalogueRecords returns the catalogue of the scenarios, with a power cap for the site if
+// capWatts is positive.
+func catalogueRecords(capWatts int) []*catalogue.Record {
 	work := func(id string, work catalogue.Work) *catalogue.Record {
 		return &catalogue.Record{Type: catalogue.TypeWork, ID: id, Owner: "ops", Work: &work}
 	}
@@ -326,15 +342,15 @@
 		work("excuse-filing", catalogue.Work{Class: "urgent", Service: "filing"}),
 		work("tide-check", catalogue.Work{Class: "normal", Service: "filing", Repeatable: true}),
 	}
-	if cap > 0 {
+	if capWatts > 0 {
 		all = append(all, &catalogue.Record{Type: catalogue.TypeSite, ID: "port", Owner: "ops", Site: &catalogue.Site{
-			PowerCapWatts: uint64(cap), DataCentres: []string{"dc1", "dc2", "dc3"},
+			PowerCapWatts: uint64(capWatts), DataCentres: []string{"dc1", "dc2", "dc3"},
 		}})
 	}
 	return all
 }
 
-// seed ENTRY [cap=WATTS] writes the scenarios' catalogue through an entry.
+// seed ENTRY [cap=WATTS] writes the catalogue of the scenarios through an entry.
 func seed(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -348,6 +364,8 @@
 	}
 }
 
+// put writes a record through an entry, on condition that its revision is expect. It returns the
+// response status and body.
 func (h *harness) put(p *process, record *catalogue.Record, expect uint64) (int, []byte) {
 	data, err := json.Marshal(record)
 	if err != nil {
@@ -369,6 +387,7 @@
 	return response.StatusCode, answer.Bytes()
 }
 
+// entryStatus is the part of an entry's status that the commands use.
 type entryStatus struct {
 	Reader  bool `json:"reader"`
 	Members []struct {
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -17,7 +17,8 @@
 	"aspenyard.example/catalogue"
 )
 
-// ready ENTRY agents=N waits until an entry has the catalogue and hears N agents.
+// ready ENTRY agents=N waits until an entry has the catalogue and at least N agents are live to
+// it.
 func ready(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -34,7 +35,7 @@
 			}
 		}
 		if live < parseNumber(opts["agents"]) {
-			return fmt.Sprintf("%d agents live", live)
+			return fmt.Sprintf("%d agents are live", live)
 		}
 		var record catalogue.Record
 		if err := h.get("http://"+p.addrs["operators"]+"/v1/catalogue/account/crew", &record); err != nil {
@@ -44,13 +45,13 @@
 	})
 }
 
-// member ENTRY NODE STATE waits until an entry has a node in a state.
+// member ENTRY NODE STATE waits until an entry reports a node in a state.
 func member(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	p := h.mustProcess(ts, args[0])
-	began := time.Now()
+	started := time.Now()
 	defer func() {
-		ts.Logf("member: %s has %s as %s after %s", args[0], args[1], args[2], time.Since(began).Round(time.Millisecond))
+		ts.Logf("member: %s reports %s as %s after %s", args[0], args[1], args[2], time.Since(started).Round(time.Millisecond))
 	}()
 	await(ts, "member "+args[1], func() string {
 		status, err := h.status(p)
@@ -62,14 +63,14 @@
 				if m.State == args[2] {
 					return ""
 				}
-				return "is " + m.State
+				return "state is " + m.State
 			}
 		}
-		return "not known"
+		return "node is not known"
 	})
 }
 
-// claim KEY STATE waits until the platform's store has a key's claim in a state.
+// claim KEY STATE waits until the claim of a request key in the store has a state.
 func claim(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	name := attempt.ClaimKey("crew", args[0])
@@ -83,14 +84,13 @@
 			return "no claim"
 		}
 		if string(found.State) != args[1] {
-			return "is " + string(found.State)
+			return "state is " + string(found.State)
 		}
 		return ""
 	})
 }
 
-// metric NAME METRIC MIN [MAX] waits until a process shows a metric of at least
-// MIN and at most MAX.
+// metric NAME METRIC MIN [MAX] waits until a metric of a process is at least MIN and at most MAX.
 func metric(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	p := h.mustProcess(ts, args[0])
@@ -117,27 +117,27 @@
 				return ""
 			}
 		}
-		return "not yet"
+		return "metric is missing or out of range"
 	})
 }
 
-// outage DURATION lets an outage, or the time after it, last: what is looked for
-// is what happens in that time, so there is no condition to wait for.
+// outage DURATION waits. It is for checks of what happens during or after an outage of the store,
+// for which there is no condition to wait for.
 func outage(ts *testscript.TestScript, _ bool, args []string) {
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
 }
 
-// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows have
-// the record at the entry's revision.
+// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows apply the record in
+// the revision that the entry has.
 func spread(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
 	base := "http://" + h.mustProcess(ts, plain[0]).addrs["operators"] + "/v1/catalogue/work/" + plain[1]
 	except := strings.Split(opts["except"], ",")
-	began := time.Now()
-	defer func() { ts.Logf("spread: seen after %s", time.Since(began).Round(time.Millisecond)) }()
+	started := time.Now()
+	defer func() { ts.Logf("spread: in force on all nodes after %s", time.Since(started).Round(time.Millisecond)) }()
 	await(ts, "spread", func() string {
 		var record catalogue.Record
 		if err := h.get(base, &record); err != nil {
@@ -154,37 +154,37 @@
 		}
 		for _, n := range answer.Nodes {
 			if !n.InForce && !slices.Contains(except, n.Node) {
-				return n.Node + " lags"
+				return n.Node + " does not apply the revision yet"
 			}
 		}
 		return ""
 	})
 }
 
-// race ENTRY ENTRY ID A B has two operators edit one record from the same revision
-// through two entries at once: exactly one edit is accepted, and stays.
+// race ENTRY ENTRY ID A B makes two operators edit one record at the same revision through two
+// entries at once. Exactly one edit must be accepted and the other answered with a conflict.
 func race(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	var current catalogue.Record
 	ts.Check(h.get("http://"+h.mustProcess(ts, args[0]).addrs["operators"]+"/v1/catalogue/work/"+args[2], &current))
 	statuses := make([]int, 2)
-	var editing sync.WaitGroup
+	var edits sync.WaitGroup
 	for i := range 2 {
-		editing.Go(func() {
+		edits.Go(func() {
 			record := workRecord(args[2], parseNumber(args[3+i]))
 			statuses[i], _ = h.put(h.mustProcess(ts, args[i]), record, current.Revision)
 		})
 	}
-	editing.Wait()
+	edits.Wait()
 	slices.Sort(statuses)
 	if !slices.Equal(statuses, []int{http.StatusOK, http.StatusConflict}) {
-		ts.Fatalf("race: the edits got %v", statuses)
+		ts.Fatalf("race: the edits got statuses %v, want 200 and 409", statuses)
 	}
 }
 
-// operate ENTRY ARGUMENTS... runs an operator's command of the binary against an
-// entry; its output is then there for stdout and stderr. "! operate" wants it to
-// fail. An argument @TYPE/ID stands for that record's present revision.
+// operate ENTRY ARGUMENTS... runs an operator command of the binary against an entry. Its output
+// is available to the commands stdout and stderr. "! operate" expects it to fail. An argument
+// @TYPE/ID is replaced by the current revision of that record.
 func operate(ts *testscript.TestScript, neg bool, args []string) {
 	p := harnessOf(ts).mustProcess(ts, args[0])
 	for i, arg := range args {
--- a/scenarios/harness_test.go
+++ b/scenarios/harness_test.go
@@ -20,27 +20,28 @@
 	"aspenyard.example/standin/link"
 )
 
-// conditionTimeout bounds every wait on a condition: a slow machine must not fail a
-// scenario, and a broken system fails it by this time.
+// conditionTimeout limits every wait for a condition. It is long, so that a slow machine does not
+// fail a scenario, and it makes a scenario fail if the system never reaches the condition.
 const conditionTimeout = 60 * time.Second
 
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// harness is one script's processes and calls.
+// harness holds the processes and the calls of one script.
 type harness struct {
 	dir        string
 	binary     string
 	mu         sync.Mutex
 	processes  map[string]*process
-	callsByID  map[string]*callRecord // the last of each id
-	calls      []*callRecord          // all
+	callsByID  map[string]*callRecord // the latest call of each ID
+	calls      []*callRecord          // all calls of the script
 	vms        []vm
 	client     *http.Client
 	caps       *capHistory
 	markedRuns map[string]int
 }
 
-// process is one running or ended process of the script.
+// process is a process of the script, running or ended.
 type process struct {
 	name, role string
 	args       []string
@@ -50,10 +51,13 @@
 	link       *link.Link
 }
 
+// vm is an entry in the platform's list of VMs.
 type vm struct{ Name, Role, DataCentre, Addr, State string }
 
+// harnessKey is the key of the harness in the values of a testscript environment.
 type harnessKey struct{}
 
+// setup creates the harness of a script and finds the binary under test on its PATH.
 func setup(env *testscript.Env) error {
 	binary := ""
 	for _, dir := range filepath.SplitList(env.Getenv("PATH")) {
@@ -63,7 +67,7 @@
 		}
 	}
 	if binary == "" {
-		return fmt.Errorf("no aspenyard on the script's PATH")
+		return fmt.Errorf("binary aspenyard not found on the script's PATH")
 	}
 	h := &harness{
 		dir: env.WorkDir, binary: binary, processes: map[string]*process{}, callsByID: map[string]*callRecord{}, markedRuns: map[string]int{},
@@ -74,9 +78,10 @@
 	return nil
 }
 
+// harnessOf returns the harness of a script.
 func harnessOf(ts *testscript.TestScript) *harness { return ts.Value(harnessKey{}).(*harness) }
 
-// stop ends the processes that this script started, by their pids.
+// stop kills the processes that this script started, by their process IDs.
 func (h *harness) stop() {
 	for _, p := range h.processes {
 		p.signal(syscall.SIGCONT)
@@ -96,7 +101,7 @@
 	}
 }
 
-// launch starts or restarts a process; its standard error goes to NAME.log.
+// launch starts or restarts a process; its output is appended to NAME.log.
 func (h *harness) launch(p *process) error {
 	log, err := os.OpenFile(filepath.Join(h.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -116,6 +121,7 @@
 	return nil
 }
 
+// writeSettings writes a settings file for a process and returns its path.
 func (h *harness) writeSettings(name string, body any) (string, error) {
 	data, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
@@ -125,7 +131,8 @@
 	return path, os.WriteFile(path, data, 0o644)
 }
 
-// addrs picks free addresses for a process's ports, once for its name.
+// freeAddrs returns a free address for each named port. A process keeps its addresses when it is
+// restarted.
 func freeAddrs(ports ...string) (map[string]string, error) {
 	addrs := map[string]string{}
 	for _, port := range ports {
@@ -138,7 +145,7 @@
 	return addrs, nil
 }
 
-// options splits key=value words off a command's arguments.
+// options separates the key=value arguments of a command from the others.
 func options(args []string) (plain []string, opts map[string]string) {
 	opts = map[string]string{}
 	for _, arg := range args {
@@ -151,6 +158,7 @@
 	return plain, opts
 }
 
+// mustProcess returns the process with a name and fails the script if there is none.
 func (h *harness) mustProcess(ts *testscript.TestScript, name string) *process {
 	p := h.processes[name]
 	if p == nil {
@@ -159,21 +167,23 @@
 	return p
 }
 
-// await polls until check gives "", and fails the script with what it last gave.
+// await polls check until it returns "". After conditionTimeout it fails the script with the last
+// result of check.
 func await(ts *testscript.TestScript, what string, check func() string) {
 	deadline := time.Now().Add(conditionTimeout)
 	for {
-		problem := check()
-		if problem == "" {
+		reason := check()
+		if reason == "" {
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%s: %s", what, problem)
+			ts.Fatalf("%s: %s", what, reason)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
+// get requests url with the operator's key and decodes the JSON response.
 func (h *harness) get(url string, into any) error {
 	request, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
@@ -196,6 +206,7 @@
 	return json.Unmarshal(data, into)
 }
 
+// post sends body as JSON; any status but 200 is an error.
 func (h *harness) post(url string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -213,7 +224,7 @@
 	return nil
 }
 
-// Keys of the scenarios' catalogue.
+// Keys of the operator and of the client account in the catalogue of the scenarios.
 const (
 	operatorKey = "ops.secret"
 	accountKey  = "crew.secret"
--- a/scenarios/power_test.go
+++ b/scenarios/power_test.go
@@ -11,18 +11,19 @@
 	"aspenyard.example/catalogue"
 )
 
-// capHistory notes, while a script runs, since when which cap has been in force.
+// capHistory records the power caps of a script with the times from which they were in force.
 type capHistory struct {
 	changes []capChange
 }
 
+// capChange is a new power cap and the time from which it was in force.
 type capChange struct {
 	unixNano int64
 	watts    int
 }
 
-// cap ENTRY WATTS [in-force=yes] edits the site's cap; with in-force it waits
-// until some entry reports the new cap as in force, which counts from then on.
+// cap ENTRY WATTS [in-force=yes] edits the power cap of the site. With in-force it waits until an
+// entry reports the new cap as in force; from then on the command watts checks against it.
 func setCap(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -32,13 +33,13 @@
 	revision := record.Revision
 	record.Site.PowerCapWatts, record.Revision = uint64(parseNumber(plain[1])), 0
 	if status, body := h.put(p, &record, revision); status != http.StatusOK {
-		ts.Fatalf("cap: %d %s", status, body)
+		ts.Fatalf("cap: status %d: %s", status, body)
 	}
 	if opts["in-force"] != "yes" {
 		return
 	}
 	await(ts, "cap in force", func() string {
-		seen := "no entry keeps the ledger"
+		seen := "no entry has the power ledger"
 		for _, other := range h.processes {
 			if other.role != "entry" {
 				continue
@@ -60,10 +61,10 @@
 	h.caps.changes = append(h.caps.changes, capChange{time.Now().UnixNano(), parseNumber(plain[1])})
 }
 
-// watts cap=WATTS [over=WATTS] sums the engines' own records of their draw over
-// time: at no instant may the sum exceed the cap, or after "cap ... in-force=yes"
-// that one. With over, the sum must have exceeded that value at some instant, so
-// that the check cannot pass on an idle site.
+// watts cap=WATTS [over=WATTS] adds up the power draw in the records of the engines over time.
+// The sum must never exceed the cap, which changes with each "cap ... in-force=yes". With over,
+// the sum must have exceeded that value at some time, so that the check cannot pass on an idle
+// site.
 func watts(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
 	h := harnessOf(ts)
@@ -84,16 +85,16 @@
 		changes = h.caps.changes
 	}
 	peak := peakDraw(steps, func(at int64) int { return capAt(limit, changes, at) }, func(at int64, sum, cap int) {
-		ts.Fatalf("the engines drew %d W together under a cap of %d W, %s ago", sum, cap, time.Since(time.Unix(0, at)))
+		ts.Fatalf("the engines drew %d W in total with a cap of %d W, %s ago", sum, cap, time.Since(time.Unix(0, at)))
 	})
-	ts.Logf("watts: peak %d of %d", peak, limit)
+	ts.Logf("watts: peak %d W, cap %d W", peak, limit)
 	if peak <= parseNumber(opts["over"]) {
 		ts.Fatalf("the engines never drew more than %d W", peak)
 	}
 }
 
-// drawing ENGINE... over=WATTS waits until the engines' own present draw together
-// is more than that.
+// drawing ENGINE... over=WATTS waits until the current draw of the engines is more than WATTS in
+// total.
 func drawing(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -111,16 +112,18 @@
 		if sum > parseNumber(opts["over"]) {
 			return ""
 		}
-		return fmt.Sprintf("%d W", sum)
+		return fmt.Sprintf("the engines draw %d W", sum)
 	})
 }
 
+// drawStep is a change of the power draw of an engine.
 type drawStep struct {
 	at     int64
 	engine string
 	watts  int
 }
 
+// capAt returns the cap that was in force at a time.
 func capAt(limit int, changes []capChange, at int64) int {
 	for _, change := range changes {
 		if at >= change.unixNano {
@@ -130,7 +133,8 @@
 	return limit
 }
 
-// peakDraw walks the steps in time and returns the highest sum.
+// peakDraw goes through the steps in order of time and returns the highest total draw. It calls
+// exceeded whenever the total is above the cap.
 func peakDraw(steps []drawStep, cap func(at int64) int, exceeded func(at int64, sum, cap int)) int {
 	sort.Slice(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
 	draw := map[string]int{}
@@ -146,13 +150,13 @@
 	return peak
 }
 
-// granted ENTRY... least=WATTS waits until one of the entries, the ledger's
-// keeper, has granted that much in sum and has heard that the agents apply it.
+// granted ENTRY... least=WATTS waits until one of the entries, the one that keeps the power
+// ledger, has granted at least WATTS in total and the agents have confirmed that they apply it.
 func granted(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
 	await(ts, "granted", func() string {
-		seen := "no entry keeps the ledger"
+		seen := "no entry has the power ledger"
 		for _, name := range plain {
 			status, err := h.status(h.mustProcess(ts, name))
 			if err != nil || len(status.Sites) == 0 || !status.Sites[0].Known {
@@ -162,7 +166,7 @@
 			for _, m := range status.Members {
 				applied += m.LimitWatts
 			}
-			seen = fmt.Sprintf("%+v, applied %d W", status.Sites[0], applied)
+			seen = fmt.Sprintf("%+v, agents apply %d W", status.Sites[0], applied)
 			if status.Sites[0].CountedWatts >= parseNumber(opts["least"]) && applied >= parseNumber(opts["least"]) {
 				return ""
 			}
--- a/scenarios/records_test.go
+++ b/scenarios/records_test.go
@@ -6,22 +6,21 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// mark ENGINE notes how many runs an engine's record has; unchanged ENGINE checks
-// that it has no more.
+// mark ENGINE remembers the number of runs in an engine's record.
 func mark(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	h.markedRuns[args[0]] = h.engineRuns(ts, args[0])
 }
 
+// unchanged ENGINE checks that the engine has had no further run since mark.
 func unchanged(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	if now := h.engineRuns(ts, args[0]); now != h.markedRuns[args[0]] {
-		ts.Fatalf("%s had %d runs and has %d", args[0], h.markedRuns[args[0]], now)
+		ts.Fatalf("engine %s had %d runs and now has %d", args[0], h.markedRuns[args[0]], now)
 	}
 }
 
-// cancelled ENGINE... least=N checks that the engines' records have at least N runs
-// that were cancelled.
+// cancelled ENGINE... least=N checks that at least N runs of the engines were cancelled.
 func cancelled(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h, count := harnessOf(ts), 0
@@ -39,8 +38,7 @@
 	}
 }
 
-// served ENGINE calls for short work through the first entry until the engine's
-// record has a finished run.
+// served ENGINE makes short calls through the entry n1 until a run of the engine has finished.
 func served(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	entry := h.mustProcess(ts, "n1")
@@ -57,7 +55,7 @@
 	})
 }
 
-// total ENGINE... most=N checks that engines' records have at most N runs together.
+// total ENGINE... most=N checks that the engines had at most N runs together.
 func total(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	sum := 0
@@ -66,17 +64,18 @@
 	}
 	ts.Logf("total: %d runs", sum)
 	if sum > parseNumber(opts["most"]) {
-		ts.Fatalf("%d runs on %v", sum, plain)
+		ts.Fatalf("%d runs on engines %v", sum, plain)
 	}
 }
 
+// engineRuns returns the number of runs of an engine.
 func (h *harness) engineRuns(ts *testscript.TestScript, name string) int {
 	record, err := h.engineRecord(h.mustProcess(ts, name))
 	ts.Check(err)
 	return len(record.Runs)
 }
 
-// engineRecord reads what an engine truly did.
+// engineRecord returns the record that an engine keeps of what it did.
 func (h *harness) engineRecord(p *process) (standin.Record, error) {
 	var record standin.Record
 	return record, h.get("http://"+p.addrs["listen"]+"/record", &record)
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// parallelScripts bounds the scripts at once, and with them the processes.
+// parallelScripts limits the scripts that run at once, and with them the number of processes.
 const parallelScripts = 3
 
 var scriptSlots = make(chan struct{}, parallelScripts)
