--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -170,11 +170,11 @@
 		}
 	}
 	for _, run := range runs {
-		asked := false
+		sent := false
 		for _, c := range calls {
-			asked = asked || (c.ran != "no" && c.startedAt.UnixNano() < run.UnixNano)
+			sent = sent || (c.ran != "no" && c.startedAt.UnixNano() < run.UnixNano)
 		}
-		if !asked {
+		if !sent {
 			return "it ran, but every caller that had sent it by then was told that it did not"
 		}
 	}
--- a/scenarios/calls_test.go
+++ b/scenarios/calls_test.go
@@ -85,9 +85,9 @@
 	request, err := c.request(p, opts)
 	ts.Check(err)
 	if opts["giveup"] != "" {
-		patience, err := time.ParseDuration(opts["giveup"])
+		giveUpAfter, err := time.ParseDuration(opts["giveup"])
 		ts.Check(err)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), giveUpAfter)
 		defer cancel()
 		request = request.WithContext(ctx)
 	}
@@ -173,11 +173,11 @@
 	}
 	data, err := io.ReadAll(response.Body)
 	c.body, c.transportError, c.complete = string(data), err, err == nil
-	var whole struct {
+	var completion struct {
 		Choices []struct{ Text string }
 	}
-	if json.Unmarshal(data, &whole) == nil && len(whole.Choices) > 0 {
-		c.text = whole.Choices[0].Text
+	if json.Unmarshal(data, &completion) == nil && len(completion.Choices) > 0 {
+		c.text = completion.Choices[0].Text
 	}
 }
 
--- a/scenarios/client_test.go
+++ b/scenarios/client_test.go
@@ -27,10 +27,10 @@
 	if len(models.Models) == 0 {
 		ts.Fatalf("client: the list of models is empty")
 	}
-	whole, err := c.CreateCompletion(ctx, openai.CompletionRequest{Model: args[1], Prompt: "tie a bowline", MaxTokens: 8})
+	completion, err := c.CreateCompletion(ctx, openai.CompletionRequest{Model: args[1], Prompt: "tie a bowline", MaxTokens: 8})
 	ts.Check(err)
-	if want := standin.Completion("tie a bowline", 8); whole.Choices[0].Text != want {
-		ts.Fatalf("client: completion is %q, want %q", whole.Choices[0].Text, want)
+	if want := standin.Completion("tie a bowline", 8); completion.Choices[0].Text != want {
+		ts.Fatalf("client: completion is %q, want %q", completion.Choices[0].Text, want)
 	}
 	streamChat(ctx, ts, c, args[1])
 	_, err = c.CreateCompletion(ctx, openai.CompletionRequest{Model: "none", Prompt: "x", MaxTokens: 1})
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -94,11 +94,11 @@
 func metric(ts *testscript.TestScript, _ bool, args []string) {
 	h := harnessOf(ts)
 	p := h.mustProcess(ts, args[0])
-	least, err := strconv.ParseFloat(args[2], 64)
+	minValue, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
-	most := math.Inf(1)
+	maxValue := math.Inf(1)
 	if len(args) > 3 {
-		most, err = strconv.ParseFloat(args[3], 64)
+		maxValue, err = strconv.ParseFloat(args[3], 64)
 		ts.Check(err)
 	}
 	await(ts, "metric "+args[1], func() string {
@@ -113,7 +113,7 @@
 		for _, line := range strings.Split(text.String(), "\n") {
 			name, value, _ := strings.Cut(line, " ")
 			got, err := strconv.ParseFloat(value, 64)
-			if name == args[1] && err == nil && got >= least && got <= most {
+			if name == args[1] && err == nil && got >= minValue && got <= maxValue {
 				return ""
 			}
 		}
--- a/soak/check.go
+++ b/soak/check.go
@@ -331,7 +331,7 @@
 // peakRequests counts the requests for a service in the window from..to, in the window before it
 // and in the one half a window earlier, and returns the largest number.
 func (ix *indexedRecord) peakRequests(service string, from, to time.Time) int {
-	most := 0
+	peak := 0
 	for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
 		n := 0
 		for _, req := range ix.Requests {
@@ -339,9 +339,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	return most
+	return peak
 }
 
 // retryAllowance returns how many retries all gateways together may send in addition to the
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -252,13 +252,13 @@
 
 // Latency objectives of the routes and limits on what callers may send.
 const (
-	routeTarget    = time.Second
-	routeTargetGap = 500 * time.Millisecond
-	maxHeaderBytes = 8192
-	maxBodyBytes   = 65536
-	headerTimeout  = 3 * time.Second
-	idleTimeout    = 15 * time.Second
-	maxConnections = 1000
+	routeTarget      = time.Second
+	routeTargetPause = 500 * time.Millisecond
+	maxHeaderBytes   = 8192
+	maxBodyBytes     = 65536
+	headerTimeout    = 3 * time.Second
+	idleTimeout      = 15 * time.Second
+	maxConnections   = 1000
 )
 
 // encodeConfig encodes edit n as the operator writes it. Version numbers increase by more than
@@ -283,7 +283,7 @@
 		}
 		c.Routes = append(c.Routes, platform.Route{
 			Name: r.Name, Host: host, Prefix: "/" + r.Name + "/", Kind: r.Kind.String(), Service: service, Resumable: r.Resumable,
-			Timeout: r.Timeout, Target: routeTarget, TargetPause: routeTargetGap, MaxAttempts: r.MaxAttempts,
+			Timeout: r.Timeout, Target: routeTarget, TargetPause: routeTargetPause, MaxAttempts: r.MaxAttempts,
 		})
 	}
 	return c.Encode()
--- a/soak/record.go
+++ b/soak/record.go
@@ -81,7 +81,7 @@
 	return strconv.Itoa(req.Status)
 }
 
-// saysNotRun reports whether the response promises that the request did not run.
+// saysNotRun reports whether the response says that the request did not run.
 func (req *Request) saysNotRun() bool {
 	switch req.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -54,7 +54,7 @@
 	cleanupDelay          = time.Second
 	maxRecoveryTime       = 12 * time.Second // users' sites: requests are served again 12 s after the loss of all nodes
 	pollInterval          = 50 * time.Millisecond
-	loadAfterRecovery     = 2 * time.Second
+	loadAfterRecovery     = 2 * time.Second // how long callers send requests after the recovery
 )
 
 // setDefaults replaces zero fields by their defaults and returns an error for invalid ones.
@@ -76,7 +76,7 @@
 	}
 	switch {
 	case c.Duration < 0 || c.Engines < 0 || c.PlainEndpoints < 0 || c.Callers < 0:
-		return errors.New("soak: length, engines, apps and callers must not be negative")
+		return errors.New("soak: Duration, Engines, PlainEndpoints and Callers must not be negative")
 	case c.Gateways < 1 || c.Gateways > maxGateways:
 		return errors.Errorf("soak: %d gateways, want 1 to %d", c.Gateways, maxGateways)
 	case unknownKind(c.FaultKinds) != "":
