--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -11,25 +11,26 @@
 	"aspenyard.example/standin/service"
 )
 
-func (w *world) serviceRecord(p *process) (service.Record, error) {
+// serviceRecord returns the record that a plain service keeps of what it did.
+func (h *harness) serviceRecord(p *process) (service.Record, error) {
 	var record service.Record
-	return record, w.get("http://"+p.addrs["listen"]+"/record", &record)
+	return record, h.get("http://"+p.addrs["listen"]+"/record", &record)
 }
 
-// runs SERVICE key=K count=N waits until a service's record has N runs of a key;
-// arrived=N waits for N calls to have arrived, run or not.
+// runs SERVICE key=K count=N waits until a service has run the request key K exactly N times;
+// with arrived=N it waits until N calls have arrived at the service, whether or not they ran.
 func runs(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	await(ts, "runs "+opts["key"], func() string {
-		record, err := w.serviceRecord(p)
+		record, err := h.serviceRecord(p)
 		if err != nil {
 			return err.Error()
 		}
 		if opts["arrived"] != "" {
-			if record.Arrived < number(opts["arrived"]) {
-				return fmt.Sprintf("%d arrived", record.Arrived)
+			if record.Arrived < parseNumber(opts["arrived"]) {
+				return fmt.Sprintf("%d calls arrived", record.Arrived)
 			}
 			return ""
 		}
@@ -39,22 +40,23 @@
 				count++
 			}
 		}
-		if count != number(opts["count"]) {
+		if count != parseNumber(opts["count"]) {
 			return fmt.Sprintf("%d runs of %s", count, opts["key"])
 		}
 		return ""
 	})
 }
 
-// lookup ENTRY KEY ran=WORD [state=WORD] asks for the status of a key.
+// lookup ENTRY KEY ran=WORD [state=WORD] checks the status that an entry reports for a request
+// key.
 func lookup(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
-	w := of(ts)
-	p := w.proc(ts, plain[0])
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
 	request, err := http.NewRequest(http.MethodGet, "http://"+p.addrs["callers"]+"/v1/requests?key="+plain[1], nil)
 	ts.Check(err)
 	request.Header.Set("Authorization", "Bearer "+accountKey)
-	response, err := w.client.Do(request)
+	response, err := h.client.Do(request)
 	ts.Check(err)
 	defer func() { _ = response.Body.Close() }()
 	var status struct{ State, Ran string }
@@ -64,13 +66,13 @@
 	}
 }
 
-// held NAME... waits until engines hold no memory.
+// held NAME... waits until engines hold no KV cache.
 func held(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	for _, name := range args {
-		p := w.proc(ts, name)
+		p := h.mustProcess(ts, name)
 		await(ts, "held "+name, func() string {
-			record, err := w.engineRecord(p)
+			record, err := h.engineRecord(p)
 			if err != nil {
 				return err.Error()
 			}
@@ -82,19 +84,19 @@
 	}
 }
 
-// audit compares, when all calls have ended, what the callers were told with the
-// services' records: no key ran more than once; each run was asked for by a call
-// that began before it and was not told "no"; each key that a caller was told
-// "yes" of did run. No text differs from the engines', and no engine has a run of
-// a prompt of which all calls were told "no".
+// audit waits until all calls have ended and compares what callers were told with the records of
+// the services and engines. A request key must not have run more than once. Each run must belong
+// to a call that started before it and was not told "no". Each key of which a caller was told
+// "yes" must have run. The text that a call received must be that of the engine, and an engine
+// must not have run a prompt of which all calls were told "no".
 func audit(ts *testscript.TestScript, _ bool, _ []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	ran := map[string][]service.Run{}
-	for _, p := range w.procs {
+	for _, p := range h.processes {
 		if p.role != "service" {
 			continue
 		}
-		record, err := w.serviceRecord(p)
+		record, err := h.serviceRecord(p)
 		ts.Check(err)
 		for _, run := range record.Runs {
 			key := strings.TrimPrefix(run.Key, "crew/")
@@ -102,89 +104,94 @@
 		}
 	}
 	byKey := map[string][]*callRecord{}
-	unknown, silent, total := 0, 0, 0
+	unknown, unanswered, total := 0, 0, 0
 	finishAll(ts, false, nil)
-	for _, c := range w.made {
+	for _, c := range h.calls {
 		total++
 		switch c.ran {
 		case "unknown":
 			unknown++
 		case "":
-			silent++
+			unanswered++
 		}
-		if problem := c.auditText(); problem != "" {
-			ts.Fatalf("call %s (code %d, ran %q): %s", c.id, c.code, c.ran, problem)
+		if mismatch := c.checkText(); mismatch != "" {
+			ts.Fatalf("call %s (code %d, ran %q): %s", c.id, c.code, c.ran, mismatch)
 		}
 		if c.kind == "excuse-filing" && c.key != "" {
 			byKey[c.key] = append(byKey[c.key], c)
 		}
 	}
 	for key, calls := range byKey {
-		if problem := auditKey(calls, ran[key]); problem != "" {
-			ts.Fatalf("key %s: %s", key, problem)
+		if mismatch := auditKey(calls, ran[key]); mismatch != "" {
+			ts.Fatalf("key %s: %s", key, mismatch)
 		}
 	}
-	w.auditEngines(ts)
-	ts.Logf("audit: %d calls, %d told unknown, %d without an answer", total, unknown, silent)
+	h.auditEngines(ts)
+	ts.Logf("audit: %d calls, %d told unknown, %d without a response", total, unknown, unanswered)
 }
 
-// auditEngines checks "did not run" against the engines' records.
-func (w *world) auditEngines(ts *testscript.TestScript) {
+// auditEngines checks that no engine ran a prompt of which all calls were told that it did not
+// run.
+func (h *harness) auditEngines(ts *testscript.TestScript) {
 	toldNo := map[uint64]string{}
-	for _, c := range w.made {
-		if c.beginning != 0 && c.ran == "no" {
-			toldNo[c.beginning] = c.id
+	for _, c := range h.calls {
+		if c.promptHash != 0 && c.ran == "no" {
+			toldNo[c.promptHash] = c.id
 		}
 	}
-	for _, c := range w.made {
+	for _, c := range h.calls {
 		if c.ran != "no" {
-			delete(toldNo, c.beginning)
+			delete(toldNo, c.promptHash)
 		}
 	}
-	for name, p := range w.procs {
+	for name, p := range h.processes {
 		if p.role != "engine" {
 			continue
 		}
-		record, err := w.engineRecord(p)
+		record, err := h.engineRecord(p)
 		ts.Check(err)
 		for _, run := range record.Runs {
 			if id, found := toldNo[run.PromptPrefixHash]; found {
-				ts.Fatalf("call %s was told that it did not run, and %s ran its prompt (%d tokens)", id, name, run.PromptTokens)
+				ts.Fatalf("call %s was told that it did not run, but engine %s ran its prompt (%d tokens)", id, name, run.PromptTokens)
 			}
 		}
 	}
 }
 
+// auditKey compares the calls with one request key with the runs of that key, and returns a
+// description of a mismatch or "".
 func auditKey(calls []*callRecord, runs []service.Run) string {
 	if len(runs) > 1 {
 		return fmt.Sprintf("ran %d times", len(runs))
 	}
 	for _, c := range calls {
 		if c.ran == "yes" && len(runs) == 0 {
-			return "a caller was told that it ran, and it did not"
+			return "a caller was told that it ran, but it did not"
 		}
 	}
 	for _, run := range runs {
-		asked := false
+		sent := false
 		for _, c := range calls {
-			asked = asked || (c.ran != "no" && c.began.UnixNano() < run.UnixNano)
+			sent = sent || (c.ran != "no" && c.startedAt.UnixNano() < run.UnixNano)
 		}
-		if !asked {
-			return "it ran, and every caller who had asked by then was told that it did not"
+		if !sent {
+			return "it ran, but every caller that had sent it by then was told that it did not"
 		}
 	}
 	return ""
 }
 
-func (c *callRecord) auditText() string {
-	if isService(c.kind) {
+// checkText checks that the text that a call received is a prefix of its expected text, and all
+// of it if the response was complete.
+func (c *callRecord) checkText() string {
+	if isPlainService(c.kind) {
 		return ""
 	}
 	if !strings.HasPrefix(c.expected, c.text) {
-		return "got text that is not its own answer's"
+		return "got text that does not belong to its response"
 	}
-	if c.ended && c.status == http.StatusOK && c.text != c.expected {
-		return "an incomplete answer was presented as complete"
+	if c.complete && c.status == http.StatusOK && c.text != c.expected {
+		return "an incomplete response was presented as complete"
 	}
 	return ""
 }
--- a/scenarios/calls_test.go
+++ b/scenarios/calls_test.go
@@ -20,58 +20,60 @@
 	standin "aspenyard.example/standin/engine"
 )
 
-// callRecord is one call and what its caller was told.
+// callRecord is one call and its result as the caller received it.
 type callRecord struct {
 	id, kind, key string
 	opts          map[string]string
 	deadline      time.Duration
-	began         time.Time
-	took          time.Duration
+	startedAt     time.Time
+	duration      time.Duration
 	done          chan struct{}
-	// first is closed once the first event of a streamed answer has come.
-	first     chan struct{}
-	firstOnce sync.Once
+	// firstEvent is closed when the first event of a streamed response has arrived.
+	firstEvent     chan struct{}
+	firstEventOnce sync.Once
 
-	status     int
-	code       int
-	ran        string
-	retryAfter string
-	requestID  string
-	body       string
-	text       string // of a generation
-	expected   string
-	beginning  uint64 // of a generation's prompt
-	ended      bool   // the answer's end marker came
-	transport  error
+	status         int
+	code           int
+	ran            string
+	retryAfter     string
+	requestID      string
+	body           string
+	text           string // generated text
+	expected       string
+	promptHash     uint64 // identifies the prompt in the records of engines; 0 for plain services
+	complete       bool   // the end of the response was received
+	transportError error
 }
 
-func isService(kind string) bool { return kind == "excuse-filing" || kind == "tide-check" }
+// isPlainService reports whether a kind of work is served by the plain service.
+func isPlainService(kind string) bool { return kind == "excuse-filing" || kind == "tide-check" }
 
-// call ENTRY KIND [key=K] [deadline=D] [tokens=N] [out=N] [stream=no] [hangup=N] [giveup=D] [first=yes] [as=ID]
-// makes a call. With as, the script goes on; else it waits for the answer, whose
-// id is then "last". With until=CODE it asks again, as the answers' Retry-After
-// says, until that code comes.
+// call ENTRY KIND [key=K] [deadline=D] [tokens=N] [out=N] [stream=no] [hangup=N] [giveup=D]
+// [first=yes] [as=ID] [until=CODE] makes a call. With as, the script continues at once; otherwise
+// it waits for the response and the call has the ID "last". With until, the call is repeated, at
+// a quarter of the Retry-After of each response, until its result code is CODE.
 func call(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	if opts["until"] == "" {
-		callOnce(ts, plain, opts)
+		startCall(ts, plain, opts)
 		return
 	}
 	await(ts, "call", func() string {
-		c := callOnce(ts, plain, opts)
+		c := startCall(ts, plain, opts)
 		<-c.done
-		if problem := c.check("code", opts["until"]); problem != "" {
-			time.Sleep(time.Duration(number(c.retryAfter)) * time.Second / 4)
-			return problem
+		if mismatch := c.check("code", opts["until"]); mismatch != "" {
+			time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second / 4)
+			return mismatch
 		}
 		return ""
 	})
 }
 
-func callOnce(ts *testscript.TestScript, plain []string, opts map[string]string) *callRecord {
-	w := of(ts)
-	p := w.proc(ts, plain[0])
-	c := &callRecord{id: opts["as"], kind: plain[1], opts: opts, key: opts["key"], done: make(chan struct{}), first: make(chan struct{}), deadline: 20 * time.Second, began: time.Now()}
+// startCall starts a call, and waits for its result unless it has an ID of its own (as=).
+func startCall(ts *testscript.TestScript, plain []string, opts map[string]string) *callRecord {
+	h := harnessOf(ts)
+	p := h.mustProcess(ts, plain[0])
+	c := &callRecord{id: opts["as"], kind: plain[1], opts: opts, key: opts["key"], done: make(chan struct{}), firstEvent: make(chan struct{}), deadline: 20 * time.Second, startedAt: time.Now()}
 	if c.id == "" {
 		c.id = "last"
 	}
@@ -83,21 +85,21 @@
 	request, err := c.request(p, opts)
 	ts.Check(err)
 	if opts["giveup"] != "" {
-		patience, err := time.ParseDuration(opts["giveup"])
+		giveUpAfter, err := time.ParseDuration(opts["giveup"])
 		ts.Check(err)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), giveUpAfter)
 		defer cancel()
 		request = request.WithContext(ctx)
 	}
-	w.mu.Lock()
-	w.calls[c.id] = c
-	w.made = append(w.made, c)
-	w.mu.Unlock()
+	h.mu.Lock()
+	h.callsByID[c.id] = c
+	h.calls = append(h.calls, c)
+	h.mu.Unlock()
 	go func() {
 		defer close(c.done)
 		started := time.Now()
-		c.send(w.client, request, number(opts["hangup"]))
-		c.took = time.Since(started)
+		c.send(h.client, request, parseNumber(opts["hangup"]))
+		c.duration = time.Since(started)
 	}()
 	if opts["as"] == "" {
 		<-c.done
@@ -105,32 +107,33 @@
 	return c
 }
 
-// again ENTRY ID makes the call ID once more, through any entry, when its answer's
-// Retry-After says; from then on ID names this call.
+// again ENTRY ID repeats the call ID through an entry, after the Retry-After of its response. ID
+// then names the new call.
 func again(ts *testscript.TestScript, _ bool, args []string) {
-	c := of(ts).find(ts, args[1])
+	c := harnessOf(ts).mustCall(ts, args[1])
 	finish(ts, false, args[1:])
 	if c.retryAfter == "" {
-		ts.Fatalf("call %s was not told when to come back (code %d)", c.id, c.code)
+		ts.Fatalf("response to call %s has no Retry-After (code %d)", c.id, c.code)
 	}
-	time.Sleep(time.Duration(number(c.retryAfter)) * time.Second)
-	callOnce(ts, []string{args[0], c.kind}, c.opts)
+	time.Sleep(time.Duration(parseNumber(c.retryAfter)) * time.Second)
+	startCall(ts, []string{args[0], c.kind}, c.opts)
 }
 
+// request builds the HTTP request of the call and computes the response that is expected.
 func (c *callRecord) request(p *process, opts map[string]string) (*http.Request, error) {
 	path := "/v1/services/" + c.kind
 	body := []byte(`{"summons":"` + opts["body"] + `"}`)
-	if !isService(c.kind) {
+	if !isPlainService(c.kind) {
 		path = "/v1/completions"
 		tokens, out := 1000, 16
 		if opts["tokens"] != "" {
-			tokens = number(opts["tokens"])
+			tokens = parseNumber(opts["tokens"])
 		}
 		if opts["out"] != "" {
-			out = number(opts["out"])
+			out = parseNumber(opts["out"])
 		}
 		prompt := bench.Prompt(xxhash.Sum64String(c.id), tokens) + c.id
-		c.expected, c.beginning = standin.Completion(prompt, out), standin.PromptPrefixHash(prompt)
+		c.expected, c.promptHash = standin.Completion(prompt, out), standin.PromptPrefixHash(prompt)
 		var err error
 		body, err = json.Marshal(map[string]any{"model": c.kind, "prompt": prompt, "max_tokens": out, "stream": opts["stream"] != "no"})
 		if err != nil {
@@ -152,10 +155,12 @@
 	return request, nil
 }
 
+// send sends the request and records the result. If hangup is positive, it disconnects after that
+// many events of a stream.
 func (c *callRecord) send(client *http.Client, request *http.Request, hangup int) {
 	response, err := client.Do(request)
 	if err != nil {
-		c.transport = err
+		c.transportError = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -167,21 +172,23 @@
 		return
 	}
 	data, err := io.ReadAll(response.Body)
-	c.body, c.transport, c.ended = string(data), err, err == nil
-	var whole struct {
+	c.body, c.transportError, c.complete = string(data), err, err == nil
+	var completion struct {
 		Choices []struct{ Text string }
 	}
-	if json.Unmarshal(data, &whole) == nil && len(whole.Choices) > 0 {
-		c.text = whole.Choices[0].Text
+	if json.Unmarshal(data, &completion) == nil && len(completion.Choices) > 0 {
+		c.text = completion.Choices[0].Text
 	}
 }
 
+// readStream reads the events of a streamed response until its end marker, or until hangup
+// events.
 func (c *callRecord) readStream(body io.Reader, hangup int) {
 	reader := bufio.NewReader(body)
 	for events := 0; hangup == 0 || events < hangup; {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			c.transport = err
+			c.transportError = err
 			return
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
@@ -190,15 +197,16 @@
 		}
 		events++
 		if data == "[DONE]" {
-			c.ended = true
+			c.complete = true
 			return
 		}
-		c.event(data)
-		c.firstOnce.Do(func() { close(c.first) })
+		c.handleEvent(data)
+		c.firstEventOnce.Do(func() { close(c.firstEvent) })
 	}
 }
 
-func (c *callRecord) event(data string) {
+// handleEvent records the text or the error of one event.
+func (c *callRecord) handleEvent(data string) {
 	var event struct {
 		Error *struct {
 			Code int
@@ -217,10 +225,11 @@
 	}
 }
 
-func (w *world) find(ts *testscript.TestScript, id string) *callRecord {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.calls[id]
+// mustCall returns the latest call with an ID and fails the script if there is none.
+func (h *harness) mustCall(ts *testscript.TestScript, id string) *callRecord {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := h.callsByID[id]
 	if c == nil {
 		ts.Fatalf("no call %q", id)
 	}
@@ -229,10 +238,10 @@
 
 // started ENGINE|ENGINE... waits until one of the engines has a run in progress.
 func started(ts *testscript.TestScript, _ bool, args []string) {
-	w := of(ts)
+	h := harnessOf(ts)
 	await(ts, "started", func() string {
 		for _, name := range strings.Split(args[0], "|") {
-			record, err := w.engineRecord(w.proc(ts, name))
+			record, err := h.engineRecord(h.mustProcess(ts, name))
 			if err != nil {
 				return err.Error()
 			}
@@ -242,42 +251,43 @@
 				}
 			}
 		}
-		return fmt.Sprintf("nothing runs on %v", args)
+		return fmt.Sprintf("no run in progress on %v", args)
 	})
 }
 
-// finish ID... waits for the answers of calls made with as.
+// finish ID... waits for the responses to calls that were made with as.
 func finish(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
-		of(ts).find(ts, id).await(ts)
+		harnessOf(ts).mustCall(ts, id).await(ts)
 	}
 }
 
+// await waits until the call has ended, and fails the script conditionTimeout after its deadline.
 func (c *callRecord) await(ts *testscript.TestScript) {
 	select {
 	case <-c.done:
-	case <-time.After(c.deadline + generous):
-		ts.Fatalf("call %s has no answer", c.id)
+	case <-time.After(c.deadline + conditionTimeout):
+		ts.Fatalf("call %s got no response", c.id)
 	}
 }
 
-// streaming ID... waits until the first text of streamed calls has come.
+// streaming ID... waits until the first event of streamed calls has arrived.
 func streaming(ts *testscript.TestScript, _ bool, args []string) {
 	for _, id := range args {
-		c := of(ts).find(ts, id)
+		c := harnessOf(ts).mustCall(ts, id)
 		select {
-		case <-c.first:
+		case <-c.firstEvent:
 		case <-c.done:
-			ts.Fatalf("call %s ended without a text (code %d)", id, c.code)
-		case <-time.After(generous):
-			ts.Fatalf("call %s has no text", id)
+			ts.Fatalf("call %s ended without an event (code %d)", id, c.code)
+		case <-time.After(conditionTimeout):
+			ts.Fatalf("call %s got no event", id)
 		}
 	}
 }
 
-// repeat N COMMAND... runs a command N times; the as of a call gets a number.
+// repeat N COMMAND... runs a command N times. A number is appended to the as= ID of a call.
 func repeat(ts *testscript.TestScript, neg bool, args []string) {
-	for i := range number(args[0]) {
+	for i := range parseNumber(args[0]) {
 		numbered := append([]string(nil), args[2:]...)
 		for j, arg := range numbered {
 			if strings.HasPrefix(arg, "as=") {
@@ -288,46 +298,49 @@
 	}
 }
 
-// finish-all waits for the answers of all calls made so far.
+// finish-all waits for the responses to all calls made so far.
 func finishAll(ts *testscript.TestScript, _ bool, _ []string) {
-	for _, c := range of(ts).made {
+	for _, c := range harnessOf(ts).calls {
 		c.await(ts)
 	}
 }
 
-// whole least=N checks that at least N calls of generations got a whole answer.
+// whole least=N checks that at least N generations were answered completely and with the expected
+// text.
 func whole(ts *testscript.TestScript, _ bool, args []string) {
 	_, opts := options(args)
 	count := 0
-	for _, c := range of(ts).made {
-		if !isService(c.kind) && c.ended && c.text == c.expected {
+	for _, c := range harnessOf(ts).calls {
+		if !isPlainService(c.kind) && c.complete && c.text == c.expected {
 			count++
 		}
 	}
-	if count < number(opts["least"]) {
-		ts.Fatalf("%d answers were whole", count)
+	if count < parseNumber(opts["least"]) {
+		ts.Fatalf("%d responses were complete", count)
 	}
 }
 
-// expect ID [code=N|N] [ran=WORD|WORD] [whole=yes] [in-time=yes] [retry=yes] [took-under=D]
-// checks what a caller was told.
+// expect ID... [code=N|N] [ran=WORD|WORD] [whole=yes] [in-time=yes] [retry=yes] [took-under=D]
+// [transport=yes] checks the results of calls.
 func expect(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	finish(ts, false, plain)
 	for _, id := range plain {
-		c := of(ts).find(ts, id)
+		c := harnessOf(ts).mustCall(ts, id)
 		for key, want := range opts {
-			if problem := c.check(key, want); problem != "" {
+			if mismatch := c.check(key, want); mismatch != "" {
 				ts.Fatalf("call %s: %s (status %d, code %d, ran %q, took %s, transport %v, body %.300s)",
-					id, problem, c.status, c.code, c.ran, c.took, c.transport, c.body)
+					id, mismatch, c.status, c.code, c.ran, c.duration, c.transportError, c.body)
 			}
 		}
 	}
 }
 
-// late is how much later than its deadline an answer may be on a busy machine.
-const late = 5 * time.Second
+// deadlineTolerance is how much later than its deadline a response may arrive on a busy machine.
+const deadlineTolerance = 5 * time.Second
 
+// check compares one property of the result with the alternatives in want, which are separated by
+// "|". It returns a description of the mismatch, or "".
 func (c *callRecord) check(key, want string) string {
 	got := ""
 	switch key {
@@ -336,30 +349,30 @@
 	case "ran":
 		got = c.ran
 	case "whole":
-		got = yes(c.ended && c.text == c.expected)
+		got = yesNo(c.complete && c.text == c.expected)
 	case "in-time":
-		got = yes(c.took < c.deadline+late)
+		got = yesNo(c.duration < c.deadline+deadlineTolerance)
 	case "retry":
-		got = yes(c.retryAfter != "")
+		got = yesNo(c.retryAfter != "")
 	case "took-under":
 		limit, err := time.ParseDuration(want)
-		if err == nil && c.took < limit {
+		if err == nil && c.duration < limit {
 			got = want
 		}
 	case "transport":
-		got = yes(c.transport != nil)
+		got = yesNo(c.transportError != nil)
 	default:
-		return "no check " + key
+		return "unknown check " + key
 	}
 	for _, one := range strings.Split(want, "|") {
 		if got == one {
 			return ""
 		}
 	}
-	return fmt.Sprintf("%s is %q, not %q", key, got, want)
+	return fmt.Sprintf("%s is %q, want %q", key, got, want)
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,24 +14,26 @@
 	"aspenyard.example/cli"
 )
 
-// asProduct makes the test binary behave as the product's command line: the gateways of
-// a run are this same binary.
-const asProduct = "aspenyard"
+// productArgument as first argument makes the test binary run as the product's command line: the
+// gateways of a run are this same binary.
+const productArgument = "aspenyard"
 
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == asProduct {
+	if len(os.Args) > 1 && os.Args[1] == productArgument {
 		os.Args = append(os.Args[:1], os.Args[2:]...)
 		os.Exit(cli.Main())
 	}
 	os.Exit(m.Run())
 }
 
-// Seeds of CI's runs; what has a bound in time is checked by hand on a quiet machine.
+// CI runs these short soaks without the rules that have a time bound, which are checked by hand
+// on a machine without other load.
 const (
-	shortLength   = 6 * time.Second
+	shortDuration = 6 * time.Second
 	shortGateways = 4
 )
 
+// runSeed runs one soak with the first firstKinds kinds of faults; 0 means all kinds.
 func runSeed(t *testing.T, seed uint64, gateways int, length time.Duration, firstKinds int) *Report {
 	t.Helper()
 	is := is.New(t)
@@ -40,7 +42,7 @@
 	kinds, err := FirstFaultKinds(firstKinds)
 	is.NoErr(err)
 	report, err := Run(context.Background(), Config{
-		Seed: seed, Duration: length, Gateways: gateways, FaultKinds: kinds, Dir: t.TempDir(), Command: []string{self, asProduct, "gateway", "--settings"},
+		Seed: seed, Duration: length, Gateways: gateways, FaultKinds: kinds, Dir: t.TempDir(), Command: []string{self, productArgument, "gateway", "--settings"},
 	})
 	is.NoErr(err)
 	return report
@@ -51,7 +53,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			report := runSeed(t, seed, shortGateways, shortLength, 0)
+			report := runSeed(t, seed, shortGateways, shortDuration, 0)
 			is.True(report.Succeeded > 0)
 			for _, v := range report.Violations {
 				t.Errorf("%s: %s", v.Rule, v.Detail)
@@ -60,7 +62,8 @@
 	}
 }
 
-// Seeds that once broke a promise stay as they were.
+// The seeds in testdata/seeds.txt once showed a violation. Each is run again with the number of
+// gateways, the length and the kinds of faults that it was found with.
 func TestRegressionSeeds(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	if err != nil {
@@ -79,13 +82,13 @@
 		if _, err := fmt.Sscan(line, &seed, &gateways, &length, &kinds); err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		lasting, err := time.ParseDuration(length)
+		duration, err := time.ParseDuration(length)
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			for _, v := range runSeed(t, seed, gateways, lasting, kinds).Violations {
+			for _, v := range runSeed(t, seed, gateways, duration, kinds).Violations {
 				t.Errorf("%s: %s", v.Rule, v.Detail)
 			}
 		})
