--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -136,12 +136,12 @@
 	return endpoints, local
 }
 
-// RecordAnswer records that a request was answered completely. The crashes before do not count
+// RecordResponse records that a request was answered completely. The crashes before do not count
 // any more, since the request does not crash every endpoint.
-func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
+func (q *Quarantine) RecordResponse(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.applyAnswer(request, now)
+	q.applyResponse(request, now)
 }
 
 // Merge adds the findings of another node. It returns the requests that they put into quarantine.
@@ -155,7 +155,7 @@
 			continue
 		}
 		if f.Endpoint == Answered {
-			q.applyAnswer(f.Request, at)
+			q.applyResponse(f.Request, at)
 		} else if q.addCrash(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
 			quarantined = append(quarantined, f.Request)
 		}
@@ -181,9 +181,9 @@
 	return !before && s.quarantined()
 }
 
-// applyAnswer removes the crashes before an answer. An answer to a request that is not a suspect
+// applyResponse removes the crashes before an answer. An answer to a request that is not a suspect
 // is ignored.
-func (q *Quarantine) applyAnswer(request Fingerprint, at time.Time) {
+func (q *Quarantine) applyResponse(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
 		return
--- a/attempt/quarantine_test.go
+++ b/attempt/quarantine_test.go
@@ -55,12 +55,12 @@
 }
 
 // Guards against refusing a request that is sent often and was in flight at several crashes.
-func TestAnswerClearsEarlierCrashes(t *testing.T) {
+func TestResponseClearsEarlierCrashes(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
 	q.RecordCrash(quarantineStart, fingerprintOf("a"), 1)
 	q.RecordCrash(quarantineStart, fingerprintOf("a"), 2)
-	q.RecordAnswer(quarantineStart.Add(time.Second), fingerprintOf("a"))
+	q.RecordResponse(quarantineStart.Add(time.Second), fingerprintOf("a"))
 	crashes, quarantined := q.RecordCrash(quarantineStart.Add(2*time.Second), fingerprintOf("a"), 3)
 	is.Equal(crashes, 1)
 	is.True(!quarantined)
@@ -154,7 +154,7 @@
 				for i := range nodes { // an answer counts on nodes that have the suspect
 					report(i, node)
 				}
-				nodes[node].RecordAnswer(now, request)
+				nodes[node].RecordResponse(now, request)
 				clear(crashedSince[request])
 			case 1, 2, 3:
 				if len(crashedSince[request]) == 0 || rapid.Bool().Draw(t, "another incarnation") {
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -388,20 +388,20 @@
 	}
 	r.latestStart = expected.LatestStart(r.kind.Target)
 	r.queued = r.entry.policy.Enqueue(sim.service, r.promptTokens)
-	r.waitForRoom()
+	r.waitForCapacity()
 }
 
-// waitForRoom polls until the engines have room for a queued prompt, and refuses it if there
+// waitForCapacity polls until the engines have room for a queued prompt, and refuses it if there
 // is none by its latest start.
-func (r *request) waitForRoom() {
+func (r *request) waitForCapacity() {
 	sim := r.sim
-	room := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
-	if !room && sim.Now()-r.arrivedAt < r.latestStart {
-		sim.AfterFunc(direct.QueuePollInterval, r.waitForRoom)
+	hasCapacity := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
+	if !hasCapacity && sim.Now()-r.arrivedAt < r.latestStart {
+		sim.AfterFunc(direct.QueuePollInterval, r.waitForCapacity)
 		return
 	}
 	r.queued.Dequeue()
-	if !room && sim.config.enabled(Refusing) {
+	if !hasCapacity && sim.config.enabled(Refusing) {
 		r.result.Refused++
 		return
 	}
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -28,8 +28,8 @@
 	firstEventAt, lastEventAt   time.Duration
 }
 
-// promptPart is a part of a prompt that waits to be prefilled.
-type promptPart struct {
+// prefillPart is a part of a prompt that waits to be prefilled.
+type prefillPart struct {
 	job         *job
 	prefillTime time.Duration
 	// tokens is the length of the part.
@@ -46,7 +46,7 @@
 	// slowdown multiplies the time of all work; 1 is the speed of spec.
 	slowdown     float64
 	waiting      []*job // for a slot or memory
-	pendingParts []promptPart
+	pendingParts []prefillPart
 	decoding     []*job
 	usedTokens   int // KV cache in use, reservations included
 	usedSlots    int
@@ -77,13 +77,13 @@
 		e.usedSlots++
 		e.usedTokens += j.memoryTokens
 		for _, helper := range append([]*engine{e}, j.helpers...) {
-			helper.addPart(promptPart{j, j.partPrefill, j.request.promptTokens / (1 + len(j.helpers))})
+			helper.addPart(prefillPart{j, j.partPrefill, j.request.promptTokens / (1 + len(j.helpers))})
 		}
 	}
 }
 
 // addPart adds a part to prefill, which interrupts the prefill of an older one.
-func (e *engine) addPart(p promptPart) {
+func (e *engine) addPart(p prefillPart) {
 	e.interruptPrefill()
 	e.pendingParts = append(e.pendingParts, p)
 	e.startNext()
@@ -125,7 +125,7 @@
 		}
 		e.prefillingNewest = false
 		e.pendingParts = e.pendingParts[:len(e.pendingParts)-1]
-		e.finishParts([]promptPart{newest}, nil)
+		e.finishParts([]prefillPart{newest}, nil)
 		e.admit()
 		e.startNext()
 	})
@@ -145,7 +145,7 @@
 
 // passTime is the duration of a pass at normal speed: the decode steps of one event, and the
 // prefill of the parts.
-func (e *engine) passTime(parts []promptPart) time.Duration {
+func (e *engine) passTime(parts []prefillPart) time.Duration {
 	duration := direct.DecodeTime(e.spec, len(e.decoding), e.usedTokens)
 	for _, p := range parts {
 		duration += p.prefillTime
@@ -163,7 +163,7 @@
 }
 
 // endPass ends a pass: its parts are prefilled, and each decoding request writes an event.
-func (e *engine) endPass(parts []promptPart) {
+func (e *engine) endPass(parts []prefillPart) {
 	e.inPass = false
 	e.finishParts(parts, slices.Clone(e.decoding))
 	e.admit()
@@ -172,7 +172,7 @@
 
 // finishParts marks parts as prefilled and writes an event of each job in decoded. A job
 // whose parts are all prefilled starts to decode at the engine that it was sent to.
-func (e *engine) finishParts(parts []promptPart, decoded []*job) {
+func (e *engine) finishParts(parts []prefillPart, decoded []*job) {
 	for _, p := range parts {
 		if p.job.unfinishedParts--; p.job.unfinishedParts > 0 {
 			continue
--- a/bench/emulator/engine_test.go
+++ b/bench/emulator/engine_test.go
@@ -10,7 +10,7 @@
 // addTestPart adds a part of a prompt that has a second part at another engine.
 func addTestPart(e *engine, prefill time.Duration) *job {
 	j := &job{unfinishedParts: 2}
-	e.addPart(promptPart{j, prefill, 1000})
+	e.addPart(prefillPart{j, prefill, 1000})
 	return j
 }
 
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -90,7 +90,7 @@
 	CauseNotStarted Cause = "first event: not begun"
 	// CauseSlowPrefill: the engine had too much to prefill.
 	CauseSlowPrefill  Cause = "first event: read too late"
-	CauseLateAnswer   Cause = "answer of a plain service"
+	CauseLateResponse Cause = "answer of a plain service"
 	causePausePrefix        = "pause: parts of "
 	causePauseUnknown Cause = "pause: no prefill known"
 )
@@ -263,7 +263,7 @@
 	case q.Resumed:
 		return CauseResumed, 1 - lateWorth
 	case q.PromptTokens == 0:
-		return CauseLateAnswer, 1 - lateWorth
+		return CauseLateResponse, 1 - lateWorth
 	case q.Late == LateFirst || q.Late == LateBoth:
 		return lateFirstCause(q, parts), 1 - lateWorth
 	}
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -71,7 +71,7 @@
 		"slow prefill":          {late(LateBoth, first), nil, []PrefillPart{part("q", "short", 10, 11, 20), part("x", "long", 9, 10.5, 400)}, CauseSlowPrefill},
 		"pause":                 {late(LatePause, pause), nil, []PrefillPart{part("x", "long", 10.1, 10.5, 300), part("y", "short", 10.1, 10.5, 50), part("z", "long", 11, 12, 900)}, "pause: parts of long"},
 		"pause, its own part":   {late(LatePause, pause), nil, []PrefillPart{part("q", "short", 10, 10.5, 300)}, causePauseUnknown},
-		"plain service":         {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateAnswer},
+		"plain service":         {late(LateFirst, func(q *Request) { q.PromptTokens = 0 }), nil, nil, CauseLateResponse},
 		"excluded":              {late(OnTime, func(q *Request) { q.Code, q.Excluded = 2004, true }), nil, nil, ""},
 		"process started later": {late(LateFirst, first), []time.Time{testTime(10.5)}, nil, CauseNotStarted},
 	} {
--- a/entry/api.go
+++ b/entry/api.go
@@ -179,12 +179,12 @@
 		return
 	}
 	defer e.limiter.Done(c.account.ID)
-	var answer serviceResponse
+	var response serviceResponse
 	var failure *result.Error
 	if c.kind.Work.Repeatable {
-		answer, failure = e.callRepeatable(r.Context(), c, body)
+		response, failure = e.callRepeatable(r.Context(), c, body)
 	} else {
-		answer, failure = e.newNonRepeatableCall(c, body).run(r.Context())
+		response, failure = e.newNonRepeatableCall(c, body).run(r.Context())
 	}
 	e.finishCall(c, failure)
 	if failure != nil {
@@ -192,13 +192,13 @@
 		return
 	}
 	code := result.OK
-	if answer.replayed {
+	if response.replayed {
 		code = result.Replayed
 	}
 	writeHeaders(w, c, code, result.RanYes)
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(answer.status)
-	_, _ = w.Write(answer.body)
+	w.WriteHeader(response.status)
+	_, _ = w.Write(response.body)
 }
 
 // prepareServiceCall authenticates the caller of a plain service, reads the body and
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -34,15 +34,15 @@
 		}
 		return nil, result.Refuse(result.NoEndpoint, time.Second, "the agent of %s did not answer the reservation request", endpoint.Name)
 	}
-	answer := response.Msg
-	e.control.recordAgentLoad(endpoint.Name, answer.Reservation.GetIncarnation(), answer.Load)
-	if !answer.Accepted {
-		wait := time.Duration(answer.RetryAfterMs) * time.Millisecond
-		refusal := result.Refuse(result.Code(answer.Code), wait, "the agent of %s refused the request", endpoint.Name)
-		refusal.Deferral = answer.Deferral
+	msg := response.Msg
+	e.control.recordAgentLoad(endpoint.Name, msg.Reservation.GetIncarnation(), msg.Load)
+	if !msg.Accepted {
+		wait := time.Duration(msg.RetryAfterMs) * time.Millisecond
+		refusal := result.Refuse(result.Code(msg.Code), wait, "the agent of %s refused the request", endpoint.Name)
+		refusal.Deferral = msg.Deferral
 		return nil, refusal
 	}
-	return answer.Reservation, nil
+	return msg.Reservation, nil
 }
 
 // runStream is the event stream of one run request. Each event is verified as it is
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -129,12 +129,12 @@
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 		defer cancel()
-		answer, err := l.entry.clients.Peer(addr).Borrow(ctx, connect.NewRequest(request))
+		borrowed, err := l.entry.clients.Peer(addr).Borrow(ctx, connect.NewRequest(request))
 		if err != nil {
 			l.entry.log.Debug("no limits borrowed: the home entry did not answer", zap.String("home", addr), zap.Error(err))
 			return
 		}
-		response = answer.Msg
+		response = borrowed.Msg
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -86,14 +86,14 @@
 		case attempt.ReportUnknown:
 			return serviceResponse{}, result.Fail(result.OutcomeUnknown, result.RanUnknown, "it cannot be determined whether an earlier request with this key ran")
 		case attempt.AskAgent:
-			answer, failure, settled := n.resolveClaim(ctx, claim)
+			response, failure, settled := n.resolveClaim(ctx, claim)
 			if !settled {
-				return answer, failure
+				return response, failure
 			}
 		}
-		answer, failure := n.attempt(ctx, claim)
+		response, failure := n.attempt(ctx, claim)
 		if failure == nil || failure.Ran != result.RanNo || !n.mayRetry(failure) {
-			return answer, failure
+			return response, failure
 		}
 		last = failure
 	}
@@ -139,31 +139,31 @@
 // replayOutcome returns the outcome that a claim in the state ClaimDone records.
 func replayOutcome(claim *attempt.Claim) (serviceResponse, *result.Error) {
 	outcome := claim.Outcome
-	answer := serviceResponse{status: outcome.ServiceStatus, body: outcome.Body, replayed: true}
+	response := serviceResponse{status: outcome.ServiceStatus, body: outcome.Body, replayed: true}
 	if outcome.Code != int(result.OK) {
-		return answer, result.Fail(result.Code(outcome.Code), result.RanYes, "this is the recorded outcome of an earlier request with this key")
+		return response, result.Fail(result.Code(outcome.Code), result.RanYes, "this is the recorded outcome of an earlier request with this key")
 	}
-	return answer, nil
+	return response, nil
 }
 
 // resolveClaim queries the agent that a claim names for the outcome, and records what is
 // final. settled is true when the claimed run did not and will not start, so that the
 // key may be claimed again.
-func (n *nonRepeatableCall) resolveClaim(ctx context.Context, claim *attempt.Claim) (answer serviceResponse, failure *result.Error, settled bool) {
+func (n *nonRepeatableCall) resolveClaim(ctx context.Context, claim *attempt.Claim) (response serviceResponse, failure *result.Error, settled bool) {
 	reservation := &wire.Reservation{Incarnation: claim.Reservation.Incarnation, Number: claim.Reservation.Number}
-	response, err := n.entry.withdraw(ctx, claim.Addr, reservation, true)
+	withdrawal, err := n.entry.withdraw(ctx, claim.Addr, reservation, true)
 	if err != nil {
 		return serviceResponse{}, &result.Error{
 			Code: result.OutcomeUnknown, Ran: result.RanUnknown, RetryAfter: inProgressRetryAfter,
 			Detail: "the endpoint that may have run the earlier request does not answer",
 		}, false
 	}
-	switch response.State {
+	switch withdrawal.State {
 	case wire.AttemptState_ATTEMPT_STATE_DID_NOT_RUN:
 		return serviceResponse{}, nil, true
 	case wire.AttemptState_ATTEMPT_STATE_FINISHED:
-		answer, failure = n.handleEnd(ctx, claim, response.End)
-		return answer, failure, false
+		response, failure = n.handleEnd(ctx, claim, withdrawal.End)
+		return response, failure, false
 	case wire.AttemptState_ATTEMPT_STATE_FORGOTTEN:
 		unknown := *claim
 		unknown.State = attempt.ClaimUnknown
@@ -202,12 +202,12 @@
 		return serviceResponse{}, failure
 	}
 	n.ownClaim = claim
-	answer, failure := n.sendRun(ctx, claim, reservation)
+	response, failure := n.sendRun(ctx, claim, reservation)
 	if failure != nil && failure.Ran == result.RanNo {
 		n.routing.Tried[endpoint.Name] = true
 		return serviceResponse{}, n.markNotRun(ctx, failure)
 	}
-	return answer, failure
+	return response, failure
 }
 
 // writeClaim writes the claim of this call in place of old. The run request may be sent
--- a/entry/service.go
+++ b/entry/service.go
@@ -18,10 +18,10 @@
 	ran, failures := result.RanNo, 0
 	for {
 		c.attempts++
-		answer, failure := e.attemptRepeatable(ctx, c, &request, body)
+		response, failure := e.attemptRepeatable(ctx, c, &request, body)
 		if failure == nil {
 			e.budgets[c.class()].RecordSuccess()
-			return answer, nil
+			return response, nil
 		}
 		ran = combineRan(ran, failure.Ran)
 		failure.Ran = ran
@@ -33,7 +33,7 @@
 			if ran != result.RanNo && failure.Code.Refusal() {
 				failure.Code = result.EndpointFailed
 			}
-			return answer, failure
+			return response, failure
 		case ran != result.RanNo && !e.budgets[c.class()].Take():
 			failure.Code, failure.RetryAfter = result.RetryBudget, noEndpointRetryAfter
 			return serviceResponse{}, failure
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -78,11 +78,11 @@
 	}
 }
 
-// recordAnswer records that an endpoint has answered the call completely: crashes before that no
+// recordResponse records that an endpoint has answered the call completely: crashes before that no
 // longer count against the request.
-func (f *forwarding) recordAnswer() {
+func (f *forwarding) recordResponse() {
 	if f.isSuspect() {
-		f.gateway.quarantine.RecordAnswer(time.Now(), f.fingerprint())
+		f.gateway.quarantine.RecordResponse(time.Now(), f.fingerprint())
 	}
 }
 
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -71,9 +71,9 @@
 	loggedInvalidItems map[string]uint64
 }
 
-// storeAnswer is the outcome of one call to the store: the state from a full read, the changes
+// storeResult is the outcome of one call to the store: the state from a full read, the changes
 // from any other, or an error.
-type storeAnswer struct {
+type storeResult struct {
 	state   *directory.StoreState
 	changes *directory.Changes
 	err     error
@@ -84,8 +84,8 @@
 	w := &storeWatcher{gateway: g, replica: directory.NewReplica(), needsFullRead: true, backoff: minBackoff, timeout: g.settings.StoreTimeout.D(), loggedInvalidItems: map[string]uint64{}}
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
-	answers := make(chan storeAnswer, 1)
-	w.startCall(ctx, 0, answers)
+	results := make(chan storeResult, 1)
+	w.startCall(ctx, 0, results)
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,8 +94,8 @@
 			if w.replica.ExpireMissing(now) {
 				w.publish()
 			}
-		case answer := <-answers:
-			w.startCall(ctx, w.handleAnswer(answer), answers)
+		case result := <-results:
+			w.startCall(ctx, w.handleResult(result), results)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // startCall makes one call to the store, after a pause, in a goroutine of its own that does not
 // touch the watcher's state. During an outage the call does not wait for changes, so that the
 // store's return is noticed at once.
-func (w *storeWatcher) startCall(ctx context.Context, pause time.Duration, answers chan<- storeAnswer) {
+func (w *storeWatcher) startCall(ctx context.Context, pause time.Duration, results chan<- storeResult) {
 	fullRead, revision, wait, timeout, gateway := w.needsFullRead, w.replica.Revision(), w.gateway.longPollWait(), w.timeout, w.gateway
 	if fullRead || !w.outageSince.IsZero() {
 		wait = 0
@@ -116,30 +116,30 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, wait+timeout)
 		defer cancel()
-		var answer storeAnswer
+		var result storeResult
 		start := time.Now()
 		if fullRead {
-			answer.state, answer.err = gateway.source.Read(ctx)
+			result.state, result.err = gateway.source.Read(ctx)
 		} else {
-			answer.changes, answer.err = gateway.source.Watch(ctx, revision, wait)
+			result.changes, result.err = gateway.source.Watch(ctx, revision, wait)
 		}
-		gateway.observeStoreCall(fullRead, time.Since(start), answer.err)
-		answers <- answer
+		gateway.observeStoreCall(fullRead, time.Since(start), result.err)
+		results <- result
 	}()
 }
 
-// handleAnswer applies the outcome of a call and returns the pause before the next call.
-func (w *storeWatcher) handleAnswer(answer storeAnswer) time.Duration {
+// handleResult applies the outcome of a call and returns the pause before the next call.
+func (w *storeWatcher) handleResult(result storeResult) time.Duration {
 	log, now := w.gateway.log, time.Now()
 	switch {
-	case errors.Is(answer.err, directory.ErrHistoryGone):
+	case errors.Is(result.err, directory.ErrHistoryGone):
 		w.needsFullRead = true
 		log.Info("store_history_gone", zap.Uint64("at", w.replica.Revision()))
 		return 0
-	case answer.err != nil:
+	case result.err != nil:
 		if w.outageSince.IsZero() {
 			w.outageSince = now
-			log.Warn("store_lost", eventlog.Error(answer.err), zap.Uint64("at", w.replica.Revision()))
+			log.Warn("store_lost", eventlog.Error(result.err), zap.Uint64("at", w.replica.Revision()))
 		}
 		// Pooled connections that went silent would fail every call made on them.
 		w.gateway.source.CloseIdleConnections()
@@ -157,18 +157,18 @@
 	before := w.gateway.snapshot.Load().Config
 	pause := time.Duration(0)
 	switch {
-	case answer.state != nil:
-		w.replica.ApplyState(now, answer.state)
+	case result.state != nil:
+		w.replica.ApplyState(now, result.state)
 		w.needsFullRead = false
-		w.logInvalidItems(answer.state.InvalidItems)
-		for i := range answer.state.Records {
-			w.gateway.applyQuarantineRecord(now, &answer.state.Records[i])
+		w.logInvalidItems(result.state.InvalidItems)
+		for i := range result.state.Records {
+			w.gateway.applyQuarantineRecord(now, &result.state.Records[i])
 		}
 	default:
-		pause = w.batchPause(answer.changes)
-		w.replica.ApplyChanges(now, answer.changes)
-		w.logInvalidItems(answer.changes.InvalidItems)
-		w.handleChanges(now, answer.changes)
+		pause = w.batchPause(result.changes)
+		w.replica.ApplyChanges(now, result.changes)
+		w.logInvalidItems(result.changes.InvalidItems)
+		w.handleChanges(now, result.changes)
 	}
 	w.gateway.storeAnsweredAt.Store(w.gateway.uptimeNanos())
 	w.publish()
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -57,7 +57,7 @@
 		}
 		outcome, err := f.sendTo(ctx, plan)
 		if err == nil {
-			f.recordAnswer()
+			f.recordResponse()
 			return nil
 		}
 		if outcome == attempt.Broken && ctx.Err() == nil {
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -382,7 +382,7 @@
 // memory has room for one long prompt, and two entries each send it one; an entry knew only
 // the memory that its own requests need, and the engine made the second wait until the
 // first had ended.
-func TestALongPromptGoesWhereMemoryHasRoom(t *testing.T) {
+func TestALongPromptGoesWhereMemoryIsFree(t *testing.T) {
 	is := is.New(t)
 	list := endpoints(12)
 	p := newPolicy(1)
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if list[first].full {
-		first = replaceLastWithRoom(list, parts, first)
+		first = replaceLastByNonFull(list, parts, first)
 	}
 	plan.Endpoint, plan.Cost = list[first].endpoint, list[first].cost
 	helpers := append(list[:first:first], list[first+1:parts]...)
@@ -59,10 +59,10 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// replaceLastWithRoom replaces the last of the first parts elements by the cheapest further
+// replaceLastByNonFull replaces the last of the first parts elements by the cheapest further
 // engine whose memory has room, and returns its index; it returns first where there is no
 // such engine.
-func replaceLastWithRoom(list []scored, parts, first int) int {
+func replaceLastByNonFull(list []scored, parts, first int) int {
 	for i := parts; i < len(list); i++ {
 		if !list[i].full {
 			list[parts-1], list[i] = list[i], list[parts-1]
