--- a/admission/lending.go
+++ b/admission/lending.go
@@ -4,21 +4,21 @@
 
 // A client account's limits hold over all entries together. A small share of them is
 // divided equally among the entries; the rest is lent for a short time to the entries
-// that receive the account's requests. The lender is the account's home, an entry that
+// that receive the account's requests. The lender is the account's home entry, which
 // every entry derives from the account's name.
 //
 // The shares must never sum to more than 1. A loan stays counted until its lease has
-// ended by the home's clock; the lease starts later at the home than at the borrower.
-// A new home lends nothing for as long as a lease of the previous one may last. Without
-// a home, an entry is left with its part of StaticShare.
+// ended by the home entry's clock; the lease starts later there than at the borrower. A
+// new home entry lends nothing for as long as a lease of the previous one may last.
+// Without a home entry, an entry is left with its part of StaticShare.
 const (
 	// StaticShare is the fraction of each limit that is divided equally among the
 	// entries.
 	StaticShare = 0.2
 	// LendingLease is how long a loan lasts. A longer lease tolerates more lost
-	// answers; a shorter one follows moving traffic sooner.
+	// responses; a shorter one follows moving traffic sooner.
 	LendingLease = 2 * time.Second
-	// BorrowInterval is the time between two requests of a borrower to a home.
+	// BorrowInterval is the time between two requests of a borrower to a home entry.
 	BorrowInterval = 500 * time.Millisecond
 	// demandWeight is the weight of the newest demand in the moving average. A share
 	// that follows every random fluctuation is lowered and raised all the time, and the
@@ -26,7 +26,7 @@
 	demandWeight = 0.2
 )
 
-// Lender is the home's side of lending. It is not safe for concurrent use.
+// Lender is the home entry's side of lending. It is not safe for concurrent use.
 type Lender struct {
 	started  time.Time
 	accounts map[string]map[string]*loan
@@ -128,8 +128,8 @@
 // NewBorrower returns a borrower without loans.
 func NewBorrower() *Borrower { return &Borrower{loans: map[string]borrowedShare{}} }
 
-// SetLoan records the share that a home has lent. asked is when the request was sent: the
-// lease counts from there, so that it ends here before it ends at the home.
+// SetLoan records the share that a home entry has lent. asked is when the request was sent:
+// the lease counts from there, so that it ends here before it ends at the home entry.
 func (b *Borrower) SetLoan(asked time.Time, account string, share float64) {
 	b.loans[account] = borrowedShare{share: share, expires: asked.Add(LendingLease)}
 }
--- a/admission/lending_test.go
+++ b/admission/lending_test.go
@@ -14,7 +14,7 @@
 	lender := NewLender(testStart)
 	now := testStart.Add(LendingLease)
 	lendable := 1 - StaticShare
-	is.Equal(lender.Lend(testStart, "a", "n1", 10), 0.0)  // a new home lends nothing at first
+	is.Equal(lender.Lend(testStart, "a", "n1", 10), 0.0)  // a new home entry lends nothing at first
 	is.Equal(lender.Lend(now, "a", "n1", 10), lendable)   // all the traffic arrives at n1
 	is.Equal(lender.Lend(now, "a", "n2", 10), 0.0)        // all is still lent to n1
 	is.Equal(lender.Lend(now, "a", "n1", 10), lendable/2) // lowered, but still counted at the old value
@@ -30,8 +30,8 @@
 	expires time.Time
 }
 
-// TestLoansNeverExceedLendableShare runs borrowers whose answers are lost or late, restarts
-// of the home and sweeps at random times. The shares that the borrowers take to be theirs
+// TestLoansNeverExceedLendableShare runs borrowers whose responses are lost or late, restarts
+// of the home entry and sweeps at random times. The shares that the borrowers take to be theirs
 // never sum to more than the lendable share.
 func TestLoansNeverExceedLendableShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -216,9 +216,9 @@
 		time.Sleep(responseFlushDelay)
 		a.log.Info("drained")
 	case <-signals:
-		a.log.Warn("second signal; stopping with unfinished requests")
+		a.log.Warn("second signal received: stopping with requests in flight")
 	case <-time.After(a.settings.DrainTimeout.D()):
-		a.log.Warn("drain_timeout has passed; stopping with unfinished requests")
+		a.log.Warn("drain_timeout has passed: stopping with requests in flight")
 	}
 }
 
--- a/attempt/claim.go
+++ b/attempt/claim.go
@@ -44,7 +44,7 @@
 	Outcome *ClaimOutcome `json:"outcome,omitempty"`
 }
 
-// ClaimOutcome is the answer that the caller received or would have received: its result
+// ClaimOutcome is the response that the caller received or would have received: its result
 // code, and the status and body of the service.
 type ClaimOutcome struct {
 	Code          int    `json:"code"`
--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -26,7 +26,7 @@
 	// two.
 	crashesToQuarantine = 3
 	// maxCrashesKept is how many crashes of a request are kept, the latest ones. They are more than
-	// crashesToQuarantine, because an answer that another node reports late cancels the crashes
+	// crashesToQuarantine, because a response that another node reports late cancels the crashes
 	// before it.
 	maxCrashesKept = 2 * crashesToQuarantine
 	// findingTTL is how long a finding counts after the end of the run. It ends at the same time
@@ -164,7 +164,7 @@
 }
 
 // addCrash adds a crash and returns whether it put the request into quarantine. A crash of the
-// same incarnation counts once, and one before the last answer not at all.
+// same incarnation counts once, and one before the last complete response not at all.
 func (q *Quarantine) addCrash(now time.Time, request Fingerprint, c crash) bool {
 	s := q.suspects[request]
 	if s == nil {
@@ -181,8 +181,8 @@
 	return !before && s.quarantined()
 }
 
-// applyResponse removes the crashes before an answer. An answer to a request that is not a suspect
-// is ignored.
+// applyResponse removes the crashes before a complete response. A response to a request that is
+// not a suspect is ignored.
 func (q *Quarantine) applyResponse(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// lastFindingAt returns the time of a suspect's last crash, or of its answer if none counts.
+// lastFindingAt returns the time of a suspect's last crash, or of its response if none counts.
 func (s *suspect) lastFindingAt() time.Time {
 	if len(s.crashes) > 0 {
 		return s.crashes[len(s.crashes)-1].at
--- a/attempt/quarantine_test.go
+++ b/attempt/quarantine_test.go
@@ -64,7 +64,7 @@
 	crashes, quarantined := q.RecordCrash(quarantineStart.Add(2*time.Second), fingerprintOf("a"), 3)
 	is.Equal(crashes, 1)
 	is.True(!quarantined)
-	// Crashes before the answer that another node reports late do not count either.
+	// Crashes before the response that another node reports late do not count either.
 	is.Equal(len(q.Merge(quarantineStart.Add(2*time.Second), []Finding{{fingerprintOf("a"), 4, 2 * time.Second}, {fingerprintOf("a"), 5, 2 * time.Second}})), 0)
 	is.Equal(q.Remaining(quarantineStart.Add(2*time.Second), fingerprintOf("a")), time.Duration(0))
 }
@@ -136,8 +136,8 @@
 	is.Equal(len(q.Findings(quarantineStart.Add(2*freshFindingAge), true, 100)), 2)
 }
 
-// Nodes that observe crashes and answers and exchange findings in any order, with losses, refuse a
-// request only after three incarnations crashed since its last answer, and agree once all
+// Nodes that observe crashes and responses and exchange findings in any order, with losses, refuse
+// a request only after three incarnations crashed since its last response, and agree once all
 // findings have arrived.
 func TestNodesAgreeOnQuarantine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -151,7 +151,7 @@
 			node, request := rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom(requests).Draw(t, "request")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				for i := range nodes { // an answer counts on nodes that have the suspect
+				for i := range nodes { // a response counts on nodes that have the suspect
 					report(i, node)
 				}
 				nodes[node].RecordResponse(now, request)
@@ -174,7 +174,7 @@
 							report(j, i)
 						}
 						if q.Remaining(now, r) > 0 {
-							t.Fatalf("node %d refuses a request with %d crashes since its last answer", i, len(crashedSince[r]))
+							t.Fatalf("node %d refuses a request with %d crashes since its last response", i, len(crashedSince[r]))
 						}
 					}
 				}
--- a/attempt/retrier.go
+++ b/attempt/retrier.go
@@ -12,7 +12,7 @@
 	// HelperFailed: the endpoint answered that it did not run the request because a
 	// helper did not do its part. The request may be sent to the same endpoint again.
 	HelperFailed
-	// Broken: there is no complete answer; the request may have run.
+	// Broken: there is no complete response; the request may have run.
 	Broken
 	// Failed: the endpoint answered completely that it failed; the request has run.
 	Failed
--- a/attempt/table.go
+++ b/attempt/table.go
@@ -39,7 +39,7 @@
 	Forgotten
 )
 
-// Outcome is the outcome of a started attempt. The agent stores the answer that it gave.
+// Outcome is the outcome of a started attempt. The agent stores the response that it sent.
 type Outcome any
 
 // record is what the table holds of one reservation.
--- a/attempt/table_test.go
+++ b/attempt/table_test.go
@@ -39,7 +39,7 @@
 	is.True(!table.Start(r))
 }
 
-// Guards against the answer "did not run" for a request that ran, once its outcome is
+// Guards against the response "did not run" for a request that ran, once its outcome is
 // deleted after the retention time and its number is unknown.
 func TestDroppedOutcomeIsForgotten(t *testing.T) {
 	is := is.New(t)
--- a/bench/emulator/emulator.go
+++ b/bench/emulator/emulator.go
@@ -391,8 +391,8 @@
 	r.waitForCapacity()
 }
 
-// waitForCapacity polls until the engines have room for a queued prompt, and refuses it if there
-// is none by its latest start.
+// waitForCapacity polls until the engines have capacity for a queued prompt, and refuses it if
+// they have none by its latest start.
 func (r *request) waitForCapacity() {
 	sim := r.sim
 	hasCapacity := !sim.config.enabled(Waiting) || r.queued.MayStart(sim.wallTime(), sim.endpoints)
--- a/bench/emulator/engine.go
+++ b/bench/emulator/engine.go
@@ -28,7 +28,7 @@
 	firstEventAt, lastEventAt   time.Duration
 }
 
-// prefillPart is a part of a prompt that waits to be prefilled.
+// prefillPart is a prefill part that waits at an engine.
 type prefillPart struct {
 	job         *job
 	prefillTime time.Duration
--- a/catalogue/replica.go
+++ b/catalogue/replica.go
@@ -156,7 +156,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// HashMatches tells whether hash is the hex hash of key. It takes constant time.
+// HashMatches reports whether hash is the hex hash of key. It takes constant time.
 func HashMatches(hash, key string) bool {
 	return subtle.ConstantTimeCompare([]byte(hash), []byte(HashKey(key))) == 1
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -112,7 +112,7 @@
 	return time.Duration(l.number(name) * float64(time.Millisecond))
 }
 
-// prefillsAt tells whether a placed request was to be prefilled at an endpoint, be it the
+// prefillsAt reports whether a placed request was to be prefilled at an endpoint, be it the
 // one that the request is sent to or a helper.
 func (l *logLine) prefillsAt(endpoint string) bool {
 	return slices.Contains(l.endpoints(), endpoint)
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// lossRecords extracts from log lines the requests, the prompt parts that endpoints were
-// given to prefill, and the starts of processes.
+// lossRecords extracts from log lines the requests, the prefill parts that endpoints were
+// given, and the starts of processes.
 func lossRecords(lines []logLine) *losses.Records {
 	records := &losses.Records{}
 	traces := map[string]*requestTrace{}
--- a/directory/config.go
+++ b/directory/config.go
@@ -40,9 +40,9 @@
 type Route struct {
 	Name, Host, Prefix string
 	Kind               RouteKind
-	// Timeout bounds the time from a request to the end of its answer.
+	// Timeout bounds the time from a request to the end of its response.
 	Timeout time.Duration
-	// Target is the latency within which an answer is on time; for a stream, the latency
+	// Target is the latency within which a response is on time; for a stream, the latency
 	// of its first event.
 	Target time.Duration
 	// TargetPause is the longest pause between events of a stream that is on time.
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -47,7 +47,7 @@
 	r.apply(Change{Revision: 5, Endpoint: incarnation("a", 100, 5, false)})
 	is.True(r.Snapshot().EndpointByID("a") == nil) // also while no registration exists
 	r.apply(Change{Revision: 6, Endpoint: incarnation("a", 200, 6, false)})
-	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // its registration had only lapsed
+	is.Equal(r.Snapshot().EndpointByID("a").Incarnation, Incarnation{"a", 200}) // its registration had only expired
 }
 
 // Requests must not reach an endpoint that is about to stop: after an endpoint was leaving
--- a/directory/replica.go
+++ b/directory/replica.go
@@ -108,12 +108,12 @@
 }
 
 // missingGrace is how long an endpoint whose registration ended shortly after an outage of
-// the store is kept as a last resort. Registrations lapse while endpoints cannot renew
+// the store is kept as a last resort. Registrations expire while endpoints cannot renew
 // them; endpoints that are alive register again within two seconds.
 const missingGrace = 1500 * time.Millisecond
 
-// lapseWindow is how long after an outage the end of a registration may be due to such a
-// lapse.
+// lapseWindow is how long after an outage the end of a registration may be due to such
+// an expiry.
 const lapseWindow = 4 * time.Second
 
 // Replica is a node's copy of the store's state. It only moves forward: an older
@@ -265,7 +265,7 @@
 }
 
 // removeEndpoint applies the end of a registration. A registration that ends soon after an
-// outage of the store may only have lapsed, so its endpoint is kept as missing for
+// outage of the store may only have expired, so its endpoint is kept as missing for
 // missingGrace.
 func (r *Replica) removeEndpoint(now time.Time, id string, revision uint64) {
 	known := r.endpoints[id]
--- a/directory/replica_test.go
+++ b/directory/replica_test.go
@@ -16,8 +16,8 @@
 }
 
 // A revoked key must not work again, and an endpoint that is stopping must not get requests
-// again. Both would happen if the last answer replaced the newest one: stale reads, late
-// answers and repeated changes may arrive in any order.
+// again. Both would happen if the last response replaced the newest one: stale reads, late
+// responses and repeated changes may arrive in any order.
 func TestReplicaOnlyMovesForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
@@ -67,7 +67,7 @@
 }
 
 // After an outage of the store, in which endpoints cannot renew their registrations, all of
-// them lapse and are back within two seconds. Nothing would be served in between if the
+// them expire and are back within two seconds. Nothing would be served in between if the
 // endpoints were dropped at once.
 func TestLapsedEndpointsAreKeptAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,7 +14,7 @@
 )
 
 // reserveTimeout bounds a Reserve call: a request loses this much time at an agent that
-// does not answer before the next one is tried. A late answer is harmless, because an
+// does not answer before the next one is tried. A late response is harmless, because an
 // unused reservation expires.
 const reserveTimeout = time.Second
 
@@ -82,7 +82,7 @@
 }
 
 // receive returns the next event: a chunk of output, the notice that a prefill part is
-// held, or the end. It verifies each event: a late or misrouted answer, which names
+// held, or the end. It verifies each event: a late or misrouted response, which names
 // another reservation, a lost or duplicated token and a truncated stream give an error,
 // and their output never reaches the caller.
 func (r *runStream) receive() (*wire.RunEvent, error) {
--- a/entry/control.go
+++ b/entry/control.go
@@ -31,7 +31,7 @@
 }
 
 // loadReport is the newest load report of an endpoint, from a heartbeat or from the
-// answer to a reservation.
+// response to a reservation request.
 type loadReport struct {
 	incarnation uint64
 	takenMs     int64 // time of the report by the agent's clock, in milliseconds
@@ -75,7 +75,7 @@
 	c.endpointsChanged = true
 }
 
-// recordAgentLoad stores the load report that came with an agent's answer. It may be
+// recordAgentLoad stores the load report that came with an agent's response. It may be
 // called from any goroutine.
 func (c *controlState) recordAgentLoad(endpoint string, incarnation uint64, load *wire.Load) {
 	c.entry.loop.Post(func() { c.recordLoad(time.Now(), endpoint, incarnation, load) })
--- a/entry/lending.go
+++ b/entry/lending.go
@@ -120,7 +120,7 @@
 }
 
 // borrowFrom sends one Borrow request to the home entry at addr, which is "" for this
-// entry. Without an answer, the shares borrowed before expire and this entry is left
+// entry. Without a response, the shares borrowed before expire and this entry is left
 // with its static share.
 func (l *limitLending) borrowFrom(ctx context.Context, askedAt time.Time, addr string, request *wire.BorrowRequest) {
 	var response *wire.BorrowResponse
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -26,7 +26,8 @@
 	// its history and the state must be read again.
 	minBackoff = 40 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// expireInterval is the time between two checks for lapsed registrations.
+	// expireInterval is the time between two checks for endpoints that have been missing
+	// for too long.
 	expireInterval = 500 * time.Millisecond
 )
 
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -239,7 +239,7 @@
 		ran = result.RanUnknown
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return result.Fail(result.DeadlineExceeded, ran, "deadline exceeded")
+		return result.Fail(result.DeadlineExceeded, ran, "deadline passed before the request ended")
 	}
 	return result.Fail(result.Cancelled, ran, "caller disconnected")
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -21,7 +21,7 @@
 
 const (
 	// registrationTTL is how long a node that died stays registered. renewalInterval leaves
-	// time for two lost renewals before a registration lapses.
+	// time for two lost renewals before a registration expires.
 	registrationTTL = 12 * time.Second
 	renewalInterval = 4 * time.Second
 	// registryTimeout bounds one call that registers, renews or writes a record.
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -25,7 +25,7 @@
 }
 
 // A node's registration is visible to other nodes and ends with its lease. It can be renewed, and
-// made again after the lease has lapsed, also when responses of the store were lost.
+// made again after the lease has expired, also when responses of the store were lost.
 func TestNodesRegisterInTheStore(t *testing.T) {
 	is := is.New(t)
 	store, client := newStoreAndClient(t)
--- a/membership/state.go
+++ b/membership/state.go
@@ -128,9 +128,9 @@
 	sequence                      uint64
 	interval                      time.Duration
 	viewChanged                   bool
-	// advisedInterval and leavingNames are computed at each tick. Every answer to a
+	// advisedInterval and leavingNames are computed at each tick. Every response to a
 	// heartbeat carries them, and computing them there would cost a pass over all
-	// members for each answer.
+	// members for each response.
 	advisedInterval time.Duration
 	leavingNames    []string
 	// recipientAddrs are the addresses that heartbeats are sent to, as chosen at
@@ -348,7 +348,7 @@
 
 // chooseRecipients returns the addresses that a round of heartbeats is sent to: entries of
 // this data centre and of each other one, as many as LocalEntries and RemoteEntries say
-// or as affordableEntries allows. All nodes report to entries; agents get answers instead
+// or as affordableEntries allows. All nodes report to entries; agents get responses instead
 // of rounds of heartbeats.
 //
 // An entry that hears only some of the others extrapolates their load to all, and two
--- a/mutation/mutation_test.go
+++ b/mutation/mutation_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// hasTest tells whether a test file in dir declares the test function.
+// hasTest reports whether a test file in dir declares the test function.
 func hasTest(t *testing.T, dir, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
--- a/result/result.go
+++ b/result/result.go
@@ -1,4 +1,4 @@
-// Package result defines the numbered result codes that every answer carries, and the error
+// Package result defines the numbered result codes that every response carries, and the error
 // type that carries a code from where a failure occurs to the caller.
 //
 // The code, the callers' interface and docs/RESULT-CODES.md share one table, so that an
@@ -84,7 +84,7 @@
 	Code Code
 	// Name is the stable identifier in logs and error bodies.
 	Name string
-	// HTTPStatus is the HTTP status of an answer with this code.
+	// HTTPStatus is the HTTP status of a response with this code.
 	HTTPStatus int
 	// Meaning says what happened, in a sentence.
 	Meaning string
--- a/result/table.go
+++ b/result/table.go
@@ -62,7 +62,7 @@
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
-	b.WriteString("Every answer carries its code in `X-Result-Code` and, when it is an error, in the body\n")
+	b.WriteString("Every response carries its code in `X-Result-Code` and, when it is an error, in the body\n")
 	b.WriteString("with `ran` (`no`, `yes` or `unknown`). 1xxx: carried out; 2xxx: the request is invalid; 3xxx:\n")
 	b.WriteString("refused, the request did not run; 4xxx: failed after admission; 5xxx: internal error.\n")
 	b.WriteString("With 3008 and 3010, `ran` refers to the idempotency key: an earlier request with the key\n")
--- a/routing/direct/direct_test.go
+++ b/routing/direct/direct_test.go
@@ -379,7 +379,7 @@
 }
 
 // Guards against a prompt with 0.4 s of prefill starting only after 3 to 5 s. An engine's
-// memory has room for one long prompt, and two entries each send it one; an entry knew only
+// memory holds one long prompt, and two entries each send it one; an entry knew only
 // the memory that its own requests need, and the engine made the second wait until the
 // first had ended.
 func TestALongPromptGoesWhereMemoryIsFree(t *testing.T) {
@@ -391,7 +391,7 @@
 	for i, e := range list {
 		load := EndpointLoad{Endpoint: HashEndpoint(e.Incarnation), InFlight: 1, MemoryTokens: 210_000}
 		if i == 11 {
-			load.PendingPrefill, load.MemoryTokens = 200*time.Millisecond, 20_000 // has room, and the most to prefill
+			load.PendingPrefill, load.MemoryTokens = 200*time.Millisecond, 20_000 // free memory, and the most to prefill
 		}
 		loads = append(loads, load)
 	}
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -10,8 +10,8 @@
 // prompt is sent to the one of them whose memory is least used. A short prompt is sent to
 // the preferred engine for short prompts, where its events come sooner and its memory
 // displaces no long prompt, and its other parts go to engines for long prompts. Where none
-// of the engines has room in its memory, the cheapest one with room replaces the last of
-// them: an engine without room makes a request wait until another one ends, so that
+// of the engines has enough free memory, the cheapest one that has replaces the last of
+// them: an engine whose memory is full makes a request wait until another one ends, so that
 // prompts with less than a second of prefill would start only after several seconds. For a
 // request that needs more memory than one engine gives, the helpers are sorted by memory
 // use, as the first of them reserve memory. It returns the largest pending prefill of the
@@ -60,8 +60,8 @@
 }
 
 // replaceLastByNonFull replaces the last of the first parts elements by the cheapest further
-// engine whose memory has room, and returns its index; it returns first where there is no
-// such engine.
+// engine whose memory is not full, and returns its index; it returns first where there is
+// no such engine.
 func replaceLastByNonFull(list []scored, parts, first int) int {
 	for i := parts; i < len(list); i++ {
 		if !list[i].full {
--- a/routing/direct/scorer.go
+++ b/routing/direct/scorer.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// markPreferred marks the cheapest of the engines that are not slow and whose memory has
-// room. A prompt whose other parts are prefilled elsewhere should be sent to it.
+// markPreferred marks the cheapest of the engines that are not slow and whose memory is
+// not full. A prompt whose other parts are prefilled elsewhere should be sent to it.
 func markPreferred(list []scored) {
 	best := -1
 	for i, s := range list {
--- a/wire/wireconnect/wire.connect.go
+++ b/wire/wireconnect/wire.connect.go
@@ -219,7 +219,7 @@
 	// Revisions returns this node's revision of each catalogue page.
 	Revisions(context.Context, *connect.Request[wire.RevisionsRequest]) (*connect.Response[wire.RevisionsResponse], error)
 	// Borrow requests shares of client accounts' limits from this entry, which is
-	// the home of these accounts.
+	// the home entry of these accounts.
 	Borrow(context.Context, *connect.Request[wire.BorrowRequest]) (*connect.Response[wire.BorrowResponse], error)
 }
 
@@ -284,7 +284,7 @@
 	// Revisions returns this node's revision of each catalogue page.
 	Revisions(context.Context, *connect.Request[wire.RevisionsRequest]) (*connect.Response[wire.RevisionsResponse], error)
 	// Borrow requests shares of client accounts' limits from this entry, which is
-	// the home of these accounts.
+	// the home entry of these accounts.
 	Borrow(context.Context, *connect.Request[wire.BorrowRequest]) (*connect.Response[wire.BorrowResponse], error)
 }
 
