--- a/directory/replica.go
+++ b/directory/replica.go
@@ -112,9 +112,9 @@
 // them; endpoints that are alive register again within two seconds.
 const missingGrace = 1500 * time.Millisecond
 
-// lapseWindow is how long after an outage the end of a registration may be due to such
+// expiryWindow is how long after an outage the end of a registration may be due to such
 // an expiry.
-const lapseWindow = 4 * time.Second
+const expiryWindow = 4 * time.Second
 
 // Replica is a node's copy of the store's state. It only moves forward: an older
 // configuration never replaces a newer one, and an endpoint that was leaving never takes
@@ -273,7 +273,7 @@
 		return
 	}
 	r.addTombstone(known, revision)
-	if known.Leaving || r.outageEnd.IsZero() || now.Sub(r.outageEnd) > lapseWindow {
+	if known.Leaving || r.outageEnd.IsZero() || now.Sub(r.outageEnd) > expiryWindow {
 		delete(r.endpoints, id)
 		return
 	}
--- a/directory/replica_test.go
+++ b/directory/replica_test.go
@@ -69,7 +69,7 @@
 // After an outage of the store, in which endpoints cannot renew their registrations, all of
 // them expire and are back within two seconds. Nothing would be served in between if the
 // endpoints were dropped at once.
-func TestLapsedEndpointsAreKeptAfterStoreOutage(t *testing.T) {
+func TestExpiredEndpointsAreKeptAfterStoreOutage(t *testing.T) {
 	is := is.New(t)
 	r := NewReplica()
 	now := time.Now()
