--- a/attempt/claim.go
+++ b/attempt/claim.go
@@ -30,7 +30,7 @@
 	// Digest identifies the request's content. The same key with other content is an
 	// error of the caller.
 	Digest string `json:"digest"`
-	// Attempt is the unique ID of the attempt. If the store's answer to a write is lost,
+	// Attempt is the unique ID of the attempt. If the store's response to a write is lost,
 	// reading the claim back shows whether the write succeeded.
 	Attempt   string     `json:"attempt"`
 	RequestID string     `json:"request_id"`
--- a/directory/source.go
+++ b/directory/source.go
@@ -11,7 +11,7 @@
 // given revision. The full state must then be read again.
 var ErrHistoryGone = errors.New("directory: the store no longer has the changes after this revision")
 
-// ErrUnavailable is returned if the store gave no usable answer.
+// ErrUnavailable is returned if the store gave no usable response.
 var ErrUnavailable = errors.New("directory: store unavailable")
 
 // Source reads the state of the deployment from the store.
