--- a/attempt/quarantine.go
+++ b/attempt/quarantine.go
@@ -26,7 +26,7 @@
 	// two.
 	crashesToQuarantine = 3
 	// maxCrashesKept is how many crashes of a request are kept, the latest ones. They are more than
-	// crashesToQuarantine, because an answer that another node reports late cancels the crashes
+	// crashesToQuarantine, because a response that another node reports late cancels the crashes
 	// before it.
 	maxCrashesKept = 2 * crashesToQuarantine
 	// findingTTL is how long a finding counts after the end of the run. It ends at the same time
@@ -136,12 +136,12 @@
 	return endpoints, local
 }
 
-// RecordAnswer records that a request was answered completely. The crashes before do not count
+// RecordResponse records that a request was answered completely. The crashes before do not count
 // any more, since the request does not crash every endpoint.
-func (q *Quarantine) RecordAnswer(now time.Time, request Fingerprint) {
+func (q *Quarantine) RecordResponse(now time.Time, request Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.applyAnswer(request, now)
+	q.applyResponse(request, now)
 }
 
 // Merge adds the findings of another node. It returns the requests that they put into quarantine.
@@ -155,7 +155,7 @@
 			continue
 		}
 		if f.Endpoint == Answered {
-			q.applyAnswer(f.Request, at)
+			q.applyResponse(f.Request, at)
 		} else if q.addCrash(now, f.Request, crash{endpoint: f.Endpoint, at: at}) {
 			quarantined = append(quarantined, f.Request)
 		}
@@ -164,7 +164,7 @@
 }
 
 // addCrash adds a crash and returns whether it put the request into quarantine. A crash of the
-// same incarnation counts once, and one before the last answer not at all.
+// same incarnation counts once, and one before the last complete response not at all.
 func (q *Quarantine) addCrash(now time.Time, request Fingerprint, c crash) bool {
 	s := q.suspects[request]
 	if s == nil {
@@ -181,9 +181,9 @@
 	return !before && s.quarantined()
 }
 
-// applyAnswer removes the crashes before an answer. An answer to a request that is not a suspect
-// is ignored.
-func (q *Quarantine) applyAnswer(request Fingerprint, at time.Time) {
+// applyResponse removes the crashes before a complete response. A response to a request that is
+// not a suspect is ignored.
+func (q *Quarantine) applyResponse(request Fingerprint, at time.Time) {
 	s := q.suspects[request]
 	if s == nil || !at.After(s.answered) {
 		return
@@ -230,7 +230,7 @@
 	}
 }
 
-// lastFindingAt returns the time of a suspect's last crash, or of its answer if none counts.
+// lastFindingAt returns the time of a suspect's last crash, or of its response if none counts.
 func (s *suspect) lastFindingAt() time.Time {
 	if len(s.crashes) > 0 {
 		return s.crashes[len(s.crashes)-1].at
--- a/attempt/quarantine_test.go
+++ b/attempt/quarantine_test.go
@@ -55,16 +55,16 @@
 }
 
 // Guards against refusing a request that is sent often and was in flight at several crashes.
-func TestAnswerClearsEarlierCrashes(t *testing.T) {
+func TestResponseClearsEarlierCrashes(t *testing.T) {
 	is := is.New(t)
 	q := NewQuarantine()
 	q.RecordCrash(quarantineStart, fingerprintOf("a"), 1)
 	q.RecordCrash(quarantineStart, fingerprintOf("a"), 2)
-	q.RecordAnswer(quarantineStart.Add(time.Second), fingerprintOf("a"))
+	q.RecordResponse(quarantineStart.Add(time.Second), fingerprintOf("a"))
 	crashes, quarantined := q.RecordCrash(quarantineStart.Add(2*time.Second), fingerprintOf("a"), 3)
 	is.Equal(crashes, 1)
 	is.True(!quarantined)
-	// Crashes before the answer that another node reports late do not count either.
+	// Crashes before the response that another node reports late do not count either.
 	is.Equal(len(q.Merge(quarantineStart.Add(2*time.Second), []Finding{{fingerprintOf("a"), 4, 2 * time.Second}, {fingerprintOf("a"), 5, 2 * time.Second}})), 0)
 	is.Equal(q.Remaining(quarantineStart.Add(2*time.Second), fingerprintOf("a")), time.Duration(0))
 }
@@ -136,8 +136,8 @@
 	is.Equal(len(q.Findings(quarantineStart.Add(2*freshFindingAge), true, 100)), 2)
 }
 
-// Nodes that observe crashes and answers and exchange findings in any order, with losses, refuse a
-// request only after three incarnations crashed since its last answer, and agree once all
+// Nodes that observe crashes and responses and exchange findings in any order, with losses, refuse
+// a request only after three incarnations crashed since its last response, and agree once all
 // findings have arrived.
 func TestNodesAgreeOnQuarantine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -151,10 +151,10 @@
 			node, request := rapid.IntRange(0, 2).Draw(t, "node"), rapid.SampledFrom(requests).Draw(t, "request")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
-				for i := range nodes { // an answer counts on nodes that have the suspect
+				for i := range nodes { // a response counts on nodes that have the suspect
 					report(i, node)
 				}
-				nodes[node].RecordAnswer(now, request)
+				nodes[node].RecordResponse(now, request)
 				clear(crashedSince[request])
 			case 1, 2, 3:
 				if len(crashedSince[request]) == 0 || rapid.Bool().Draw(t, "another incarnation") {
@@ -174,7 +174,7 @@
 							report(j, i)
 						}
 						if q.Remaining(now, r) > 0 {
-							t.Fatalf("node %d refuses a request with %d crashes since its last answer", i, len(crashedSince[r]))
+							t.Fatalf("node %d refuses a request with %d crashes since its last response", i, len(crashedSince[r]))
 						}
 					}
 				}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,7 +14,7 @@
 )
 
 // reserveTimeout bounds a Reserve call: a request loses this much time at an agent that
-// does not answer before the next one is tried. A late answer is harmless, because an
+// does not answer before the next one is tried. A late response is harmless, because an
 // unused reservation expires.
 const reserveTimeout = time.Second
 
@@ -34,15 +34,15 @@
 		}
 		return nil, result.Refuse(result.NoEndpoint, time.Second, "the agent of %s did not answer the reservation request", endpoint.Name)
 	}
-	answer := response.Msg
-	e.control.recordAgentLoad(endpoint.Name, answer.Reservation.GetIncarnation(), answer.Load)
-	if !answer.Accepted {
-		wait := time.Duration(answer.RetryAfterMs) * time.Millisecond
-		refusal := result.Refuse(result.Code(answer.Code), wait, "the agent of %s refused the request", endpoint.Name)
-		refusal.Deferral = answer.Deferral
+	msg := response.Msg
+	e.control.recordAgentLoad(endpoint.Name, msg.Reservation.GetIncarnation(), msg.Load)
+	if !msg.Accepted {
+		wait := time.Duration(msg.RetryAfterMs) * time.Millisecond
+		refusal := result.Refuse(result.Code(msg.Code), wait, "the agent of %s refused the request", endpoint.Name)
+		refusal.Deferral = msg.Deferral
 		return nil, refusal
 	}
-	return answer.Reservation, nil
+	return msg.Reservation, nil
 }
 
 // runStream is the event stream of one run request. Each event is verified as it is
@@ -82,7 +82,7 @@
 }
 
 // receive returns the next event: a chunk of output, the notice that a prefill part is
-// held, or the end. It verifies each event: a late or misrouted answer, which names
+// held, or the end. It verifies each event: a late or misrouted response, which names
 // another reservation, a lost or duplicated token and a truncated stream give an error,
 // and their output never reaches the caller.
 func (r *runStream) receive() (*wire.RunEvent, error) {
