--- a/scenarios/catalogue_test.go
+++ b/scenarios/catalogue_test.go
@@ -76,9 +76,9 @@
 	h := harnessOf(ts)
 	n := len(args)
 	id, want := args[n-3], parseNumber(args[n-2])
-	span, err := time.ParseDuration(args[n-1])
+	duration, err := time.ParseDuration(args[n-1])
 	ts.Check(err)
-	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(pollInterval / 4) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(pollInterval / 4) {
 		for _, name := range args[:n-3] {
 			var record catalogue.Record
 			err := h.get("http://"+h.mustProcess(ts, name).addrs["operators"]+"/v1/catalogue/work/"+id, &record)
--- a/scenarios/commands_test.go
+++ b/scenarios/commands_test.go
@@ -382,9 +382,9 @@
 		return 0, []byte(err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
-	var answer bytes.Buffer
-	_, _ = answer.ReadFrom(response.Body)
-	return response.StatusCode, answer.Bytes()
+	var responseBody bytes.Buffer
+	_, _ = responseBody.ReadFrom(response.Body)
+	return response.StatusCode, responseBody.Bytes()
 }
 
 // entryStatus is the part of an entry's status that the commands use.
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -143,16 +143,16 @@
 		if err := h.get(base, &record); err != nil {
 			return err.Error()
 		}
-		var answer struct {
+		var spreadStatus struct {
 			Nodes []struct {
 				Node    string
 				InForce bool `json:"in_force"`
 			}
 		}
-		if err := h.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &answer); err != nil {
+		if err := h.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &spreadStatus); err != nil {
 			return err.Error()
 		}
-		for _, n := range answer.Nodes {
+		for _, n := range spreadStatus.Nodes {
 			if !n.InForce && !slices.Contains(except, n.Node) {
 				return n.Node + " does not apply the revision yet"
 			}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -64,7 +64,7 @@
 	rand    *rand.Rand
 	gateway *gateway
 	client  *http.Client
-	sent    int
+	requestCount    int
 }
 
 // run sends requests until ctx ends. It retries a failed request once, at another gateway, if
@@ -84,8 +84,8 @@
 		if c.mayRetry(req) && ctx.Err() == nil {
 			sleep(ctx, min(retryAfter, maxRetryWait))
 			c.switchGateway()
-			again := c.newRequest(req.Route)
-			c.send(ctx, again)
+			retry := c.newRequest(req.Route)
+			c.send(ctx, retry)
 		}
 		if !req.Complete {
 			c.client = nil
@@ -128,9 +128,9 @@
 
 // newRequest creates a request with a random API key and deadline, without sending it.
 func (c *caller) newRequest(route *Route) *Request {
-	c.sent++
-	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
-	req.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, req.ID, c.sent)
+	c.requestCount++
+	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.requestCount), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
+	req.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, req.ID, c.requestCount)
 	req.Body = "body of " + req.ID
 	req.APIKey = []string{keyPlain, keyPlain, keyPerEdit, keyGuest}[c.rand.IntN(4)]
 	if c.rand.IntN(longDeadlineOneIn) == 0 {
--- a/soak/check.go
+++ b/soak/check.go
@@ -77,13 +77,13 @@
 		ix.requestsByID[req.ID] = req
 	}
 	for i := range r.Arrivals {
-		run := &r.Arrivals[i]
-		ix.arrivalsByID[run.ID] = append(ix.arrivalsByID[run.ID], run)
-		if !run.Ran {
+		arrival := &r.Arrivals[i]
+		ix.arrivalsByID[arrival.ID] = append(ix.arrivalsByID[arrival.ID], arrival)
+		if !arrival.Ran {
 			continue
 		}
-		for _, id := range run.ReservationIDs() {
-			ix.runsByReservation[id] = append(ix.runsByReservation[id], run)
+		for _, id := range arrival.ReservationIDs() {
+			ix.runsByReservation[id] = append(ix.runsByReservation[id], arrival)
 		}
 	}
 	found := append([]Violation(nil), r.violations...)
@@ -151,8 +151,8 @@
 		if !req.Complete || !req.HasServerStamp || req.succeeded() {
 			return ""
 		}
-		for _, run := range ix.arrivalsByID[req.ID] {
-			if run.Status == req.Status {
+		for _, arrival := range ix.arrivalsByID[req.ID] {
+			if arrival.Status == req.Status {
 				return ""
 			}
 		}
@@ -307,10 +307,10 @@
 // allows.
 func checkRetryBudget(ix *indexedRecord) []string {
 	retries := map[string][]time.Time{} // arrival times of retries by service
-	for _, runs := range ix.arrivalsByID {
-		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
-		for _, run := range runs[1:] {
-			retries[run.Service] = append(retries[run.Service], run.ArrivedAt)
+	for _, arrivals := range ix.arrivalsByID {
+		sort.Slice(arrivals, func(i, j int) bool { return arrivals[i].ArrivedAt.Before(arrivals[j].ArrivedAt) })
+		for _, arrival := range arrivals[1:] {
+			retries[arrival.Service] = append(retries[arrival.Service], arrival.ArrivedAt)
 		}
 	}
 	var findings []string
@@ -358,14 +358,14 @@
 func checkDeadlines(ix *indexedRecord) []string {
 	var findings []string
 	for i := range ix.Arrivals {
-		run := &ix.Arrivals[i]
-		req := ix.requestsByID[run.ID]
+		arrival := &ix.Arrivals[i]
+		req := ix.requestsByID[arrival.ID]
 		if req == nil {
 			continue
 		}
-		end := run.ArrivedAt.Add(time.Duration(run.DeadlineMS) * time.Millisecond)
-		if (run.DeadlineMS <= 0 || end.After(req.SentAt.Add(req.Deadline+deadlineSlack))) && ix.undisturbed(req.Gateway, req.SentAt, run.ArrivedAt, true) {
-			findings = append(findings, fmt.Sprintf("%s got a deadline of %d ms for %s", run.Endpoint, run.DeadlineMS, describe(req)))
+		end := arrival.ArrivedAt.Add(time.Duration(arrival.DeadlineMS) * time.Millisecond)
+		if (arrival.DeadlineMS <= 0 || end.After(req.SentAt.Add(req.Deadline+deadlineSlack))) && ix.undisturbed(req.Gateway, req.SentAt, arrival.ArrivedAt, true) {
+			findings = append(findings, fmt.Sprintf("%s got a deadline of %d ms for %s", arrival.Endpoint, arrival.DeadlineMS, describe(req)))
 		}
 	}
 	return moreThan(findings, max(allowedDeadlineExceptions, len(ix.Arrivals)/5))
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -125,14 +125,14 @@
 	}
 	var findings []string
 	for i := range ix.Arrivals {
-		run := &ix.Arrivals[i]
-		acked, leaving := leftAt[run.Endpoint]
-		req := ix.requestsByID[run.ID]
-		if !leaving || req == nil || run.Status == http.StatusMisdirectedRequest || !run.ArrivedAt.After(acked.Add(leavingWithin)) {
+		arrival := &ix.Arrivals[i]
+		acked, leaving := leftAt[arrival.Endpoint]
+		req := ix.requestsByID[arrival.ID]
+		if !leaving || req == nil || arrival.Status == http.StatusMisdirectedRequest || !arrival.ArrivedAt.After(acked.Add(leavingWithin)) {
 			continue
 		}
-		if ix.undisturbed(req.Gateway, acked, run.ArrivedAt, true) {
-			findings = append(findings, fmt.Sprintf("%s reached %s %v after it had announced that it leaves", describe(req), run.Endpoint, run.ArrivedAt.Sub(acked)))
+		if ix.undisturbed(req.Gateway, acked, arrival.ArrivedAt, true) {
+			findings = append(findings, fmt.Sprintf("%s reached %s %v after it had announced that it leaves", describe(req), arrival.Endpoint, arrival.ArrivedAt.Sub(acked)))
 		}
 	}
 	return findings
@@ -142,12 +142,12 @@
 // undisturbed endpoints and their gateway had no unplanned disturbance.
 func checkNoRequestCut(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
-		runs := ix.arrivalsByID[req.ID]
-		if req.Complete || req.Cancelled || len(runs) == 0 || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt, false) {
+		arrivals := ix.arrivalsByID[req.ID]
+		if req.Complete || req.Cancelled || len(arrivals) == 0 || !ix.undisturbed(req.Gateway, req.SentAt, req.EndedAt, false) {
 			return ""
 		}
-		for _, run := range runs {
-			if !ix.endpointUndisturbed(run) {
+		for _, arrival := range arrivals {
+			if !ix.endpointUndisturbed(arrival) {
 				return ""
 			}
 		}
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -63,10 +63,10 @@
 		}
 	}
 	var findings []string
-	for target, runs := range copies {
-		sort.Slice(runs, func(i, j int) bool { return runs[i].ArrivedAt.Before(runs[j].ArrivedAt) })
-		if n := ix.sendsAfterQuarantine(runs); n > maxSendsAfterQuarantine {
-			findings = append(findings, fmt.Sprintf("%s was sent another %d times after it had crashed %d endpoints", target, n, crashesToQuarantine))
+	for uri, arrivals := range copies {
+		sort.Slice(arrivals, func(i, j int) bool { return arrivals[i].ArrivedAt.Before(arrivals[j].ArrivedAt) })
+		if n := ix.sendsAfterQuarantine(arrivals); n > maxSendsAfterQuarantine {
+			findings = append(findings, fmt.Sprintf("%s was sent another %d times after it had crashed %d endpoints", uri, n, crashesToQuarantine))
 		}
 	}
 	return findings
@@ -74,17 +74,17 @@
 
 // sendsAfterQuarantine counts the arrivals of a request more than calmTime after the crash that
 // had to quarantine it.
-func (ix *indexedRecord) sendsAfterQuarantine(runs []*Arrival) int {
+func (ix *indexedRecord) sendsAfterQuarantine(arrivals []*Arrival) int {
 	var crashes []time.Time
 	n := 0
-	for _, run := range runs {
-		switch req := ix.requestsByID[run.ID]; {
+	for _, arrival := range arrivals {
+		switch req := ix.requestsByID[arrival.ID]; {
 		case len(crashes) < crashesToQuarantine:
-		case run.ArrivedAt.Sub(crashes[crashesToQuarantine-1]) > calmTime && ix.undisturbed(req.Gateway, crashes[crashesToQuarantine-1], run.ArrivedAt, false):
+		case arrival.ArrivedAt.Sub(crashes[crashesToQuarantine-1]) > calmTime && ix.undisturbed(req.Gateway, crashes[crashesToQuarantine-1], arrival.ArrivedAt, false):
 			n++
 		}
-		if run.Ran {
-			crashes = append(crashes, run.ArrivedAt)
+		if arrival.Ran {
+			crashes = append(crashes, arrival.ArrivedAt)
 		}
 	}
 	return n
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -121,14 +121,14 @@
 	if err := g.writeSettings(h.config.Gateways); err != nil {
 		h.record.addViolation("SOAK", "writing the settings of %s: %v", g.name, err)
 	}
-	if incarnation, _ := g.signal(0, false); g.hasServed(incarnation) {
+	if incarnation, _ := g.signal(0, false); g.isCurrentAndReady(incarnation) {
 		g.signal(syscall.SIGHUP, false)
 	}
 }
 
-// hasServed reports whether the given incarnation is current and ready. A process that is still
+// isCurrentAndReady reports whether the given incarnation is current and ready. A process that is still
 // starting has no handler for SIGHUP yet, and the signal would end it.
-func (g *gateway) hasServed(incarnation int) bool {
+func (g *gateway) isCurrentAndReady(incarnation int) bool {
 	return g.isReady() && g.currentIncarnation() == incarnation
 }
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -38,7 +38,7 @@
 	name     string
 	command  []string
 	logPath  string
-	settings string
+	settingsPath string
 	addrs    map[string]string
 	// callers and store are the links for the gateway's traffic with its callers and with the
 	// store.
@@ -57,7 +57,7 @@
 // newGateway prepares a gateway with free ports, links to its callers and the store, and a
 // settings file.
 func newGateway(name, storeAddr string, config *Config) (*gateway, error) {
-	g := &gateway{name: name, command: config.Command, logPath: filepath.Join(config.Dir, name+".log"), settings: filepath.Join(config.Dir, name+".json"), addrs: map[string]string{}}
+	g := &gateway{name: name, command: config.Command, logPath: filepath.Join(config.Dir, name+".log"), settingsPath: filepath.Join(config.Dir, name+".json"), addrs: map[string]string{}}
 	for _, port := range []string{"callers", "readiness", "metrics", "peers"} {
 		addr, err := link.FreeAddr()
 		if err != nil {
@@ -88,11 +88,11 @@
 		return errors.WithStack(err)
 	}
 	// The file is renamed into place, as a process that starts meanwhile must not read half of it.
-	next := g.settings + ".next"
+	next := g.settingsPath + ".next"
 	if err := os.WriteFile(next, data, 0o644); err != nil {
 		return errors.WithStack(err)
 	}
-	return errors.WithStack(os.Rename(next, g.settings))
+	return errors.WithStack(os.Rename(next, g.settingsPath))
 }
 
 // startThread starts all processes from one thread that never ends. The kernel kills a process
@@ -140,7 +140,7 @@
 		return nil, errors.WithStack(err)
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settings)...)
+	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settingsPath)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	endStart := r.beginDisturbance(Disturbance{Kind: "start", Gateway: g.name})
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -84,9 +84,9 @@
 // GenerateSchedule generates the faults of a run from a seed. If only is not empty, the faults
 // are of those kinds. The number and order of the random draws must not change, or recorded seeds
 // give other schedules.
-func GenerateSchedule(seed uint64, length time.Duration, s targetCounts, only []string) []Fault {
+func GenerateSchedule(seed uint64, length time.Duration, counts targetCounts, only []string) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0))
-	pace := meanFaultIntervals[r.IntN(len(meanFaultIntervals))]
+	meanInterval := meanFaultIntervals[r.IntN(len(meanFaultIntervals))]
 	var kinds []string
 	for _, k := range faultTable {
 		if len(only) > 0 && !slices.Contains(only, k.name) {
@@ -98,13 +98,13 @@
 	}
 	var list []Fault
 	for at := time.Duration(0); ; {
-		at += time.Duration(r.ExpFloat64() * float64(pace))
+		at += time.Duration(r.ExpFloat64() * float64(meanInterval))
 		if at >= length {
 			return list
 		}
 		list = append(list, Fault{
 			Kind: kinds[r.IntN(len(kinds))], Start: at, Duration: minFaultDuration + time.Duration(r.Int64N(int64(maxFaultDuration-minFaultDuration))),
-			Gateway: r.IntN(s.gateways), Port: r.IntN(s.ports), SecondPort: r.IntN(s.ports), Delay: time.Duration(r.Int64N(int64(maxDelay))), Variant: 1 + r.IntN(3),
+			Gateway: r.IntN(counts.gateways), Port: r.IntN(counts.ports), SecondPort: r.IntN(counts.ports), Delay: time.Duration(r.Int64N(int64(maxDelay))), Variant: 1 + r.IntN(3),
 			EndpointFault: endpointFaults[r.IntN(len(endpointFaults))],
 		})
 	}
