--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -188,7 +188,7 @@
 		return ""
 	}
 	if !strings.HasPrefix(c.expected, c.text) {
-		return "got text that does not belong to its response"
+		return "the text received is not a prefix of the text expected"
 	}
 	if c.complete && c.status == http.StatusOK && c.text != c.expected {
 		return "an incomplete response was presented as complete"
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -129,8 +129,8 @@
 	time.Sleep(d)
 }
 
-// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows apply the record in
-// the revision that the entry has.
+// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows, but for those in
+// except, apply the revision of the record that the entry has.
 func spread(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -59,12 +59,12 @@
 
 // caller sends one request after another, on one connection while it works.
 type caller struct {
-	harness *harness
-	name    string
-	rand    *rand.Rand
-	gateway *gateway
-	client  *http.Client
-	requestCount    int
+	harness      *harness
+	name         string
+	rand         *rand.Rand
+	gateway      *gateway
+	client       *http.Client
+	requestCount int
 }
 
 // run sends requests until ctx ends. It retries a failed request once, at another gateway, if
@@ -112,8 +112,8 @@
 	c.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1}}
 }
 
-// mayRetry reports whether a caller may retry a request: after a response that says that it did
-// not run, or after any failure of a repeatable request.
+// mayRetry reports whether a caller may retry a request: after a response that says that the
+// request did not run, or after any failure of a repeatable request.
 func (c *caller) mayRetry(req *Request) bool {
 	switch {
 	case req.Cancelled || req.succeeded():
--- a/soak/check.go
+++ b/soak/check.go
@@ -197,7 +197,8 @@
 	return findings
 }
 
-// accountMatches reports whether an account is one to which the API key of a request belongs.
+// accountMatches reports whether the API key of a request belongs to the given account in any
+// edit.
 func (ix *indexedRecord) accountMatches(req *Request, account string) bool {
 	switch req.APIKey {
 	case keyPlain:
@@ -354,7 +355,8 @@
 	return retryAllowancePerGateway * max(len(names), 1)
 }
 
-// checkDeadlines finds arrivals without a deadline or with one later than the caller's.
+// checkDeadlines finds arrivals without a deadline or with one later than the caller's. They are
+// reported only if they exceed both allowedDeadlineExceptions and a fifth of all arrivals.
 func checkDeadlines(ix *indexedRecord) []string {
 	var findings []string
 	for i := range ix.Arrivals {
--- a/soak/checktime.go
+++ b/soak/checktime.go
@@ -47,8 +47,8 @@
 	return findings
 }
 
-// checkConfigApplied finds requests that were handled according to older edits only, although a
-// newer edit had to be in effect by then.
+// checkConfigApplied finds requests that were handled as only older edits allow, although a newer
+// edit had to be in effect by then.
 func checkConfigApplied(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		newest := sort.Search(len(ix.Edits), func(i int) bool { return ix.Edits[i].AckedAt.Add(configWithin).After(req.SentAt) }) - 1
@@ -139,7 +139,7 @@
 }
 
 // checkNoRequestCut finds requests that got no complete response although they had reached
-// undisturbed endpoints and their gateway had no unplanned disturbance.
+// endpoints, all of these were undisturbed, and the gateway had no unplanned disturbance.
 func checkNoRequestCut(ix *indexedRecord) []string {
 	return ix.findRequests(func(req *Request) string {
 		arrivals := ix.arrivalsByID[req.ID]
--- a/soak/crashes.go
+++ b/soak/crashes.go
@@ -12,10 +12,10 @@
 const (
 	// crashBody is the body of a request that crashes every endpoint that runs it.
 	crashBody = "crashes whoever runs it"
-	// crashInterval is the time between two copies of it.
+	// crashInterval is the time between two sends of the crashing request.
 	crashInterval = 60 * time.Millisecond
-	// After crashesToQuarantine crashes, and calmTime after the last of them, a request must not
-	// be sent to endpoints more than maxSendsAfterQuarantine times.
+	// From calmTime after crash number crashesToQuarantine of a request, gateways must not send
+	// the request to endpoints more than maxSendsAfterQuarantine further times.
 	crashesToQuarantine, maxSendsAfterQuarantine = 3, 3
 )
 
@@ -54,7 +54,7 @@
 }
 
 // checkCrashingRequests finds requests that gateways kept sending after the requests had crashed
-// several endpoints and the gateways had had time to learn of it.
+// several endpoints and the gateways had had time to learn of these crashes.
 func checkCrashingRequests(ix *indexedRecord) []string {
 	copies := map[string][]*Arrival{}
 	for _, req := range ix.Requests {
@@ -72,8 +72,8 @@
 	return findings
 }
 
-// sendsAfterQuarantine counts the arrivals of a request more than calmTime after the crash that
-// had to quarantine it.
+// sendsAfterQuarantine counts the arrivals of a request more than calmTime after the crash after
+// which gateways had to quarantine it.
 func (ix *indexedRecord) sendsAfterQuarantine(arrivals []*Arrival) int {
 	var crashes []time.Time
 	n := 0
--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -11,8 +11,8 @@
 	// portReuseDelay is the time from the end of an endpoint to the start of the next one at its
 	// address.
 	portReuseDelay = 2 * time.Second
-	// registrationTTL is the time after which the registration of an endpoint lapses that no
-	// longer renews it.
+	// registrationTTL is the time after which a registration lapses that its endpoint no longer
+	// renews.
 	registrationTTL = 3 * heartbeatInterval
 	// serveAfterLeaving is how long a leaving endpoint still serves after the time at which
 	// gateways must have stopped sending it requests.
@@ -37,8 +37,8 @@
 	h.startEndpoint(p, h.newWorker(service))
 }
 
-// beginReplacement reserves the endpoint at an address for a fault that replaces it. It returns
-// nil if there is no endpoint or another fault is replacing it.
+// beginReplacement marks the endpoint at an address as being replaced by a fault and returns it.
+// It returns nil if there is no endpoint or another fault is replacing it.
 func (p *endpointPort) beginReplacement() *platform.Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,8 +113,8 @@
 	p.mu.Unlock()
 }
 
-// stopAfterLeaving records that the store now shows an endpoint as leaving, and stops it after
-// the time for which it still has to serve.
+// stopAfterLeaving records that the store now shows an endpoint as leaving, lets the endpoint
+// serve for leavingWithin and serveAfterLeaving, and stops it.
 func (h *harness) stopAfterLeaving(p *endpointPort, worker *platform.Worker) {
 	h.record.mu.Lock()
 	h.record.Departures = append(h.record.Departures, Departure{worker.Incarnation(), time.Now()})
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// isCurrentAndReady reports whether the given incarnation is current and ready. A process that is still
-// starting has no handler for SIGHUP yet, and the signal would end it.
+// isCurrentAndReady reports whether the given incarnation is current and ready. A process that is
+// still starting has no handler for SIGHUP yet, and the signal would end it.
 func (g *gateway) isCurrentAndReady(incarnation int) bool {
 	return g.isReady() && g.currentIncarnation() == incarnation
 }
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -25,8 +25,8 @@
 	sampleInterval    = 200 * time.Millisecond
 	// heartbeatInterval is the interval at which an endpoint renews its registration.
 	heartbeatInterval = 1200 * time.Millisecond
-	// memoryTokens is the KV cache of an engine. It is small, so that even a prompt that is
-	// prefilled quickly needs the KV cache of several engines.
+	// memoryTokens is the size of an engine's KV cache, in tokens. It is small, so that even a
+	// prompt that is prefilled quickly needs the KV cache of several engines.
 	memoryTokens = 60_000
 )
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -35,11 +35,11 @@
 
 // gateway is one gateway process, which is restarted whenever it ends.
 type gateway struct {
-	name     string
-	command  []string
-	logPath  string
+	name         string
+	command      []string
+	logPath      string
 	settingsPath string
-	addrs    map[string]string
+	addrs        map[string]string
 	// callers and store are the links for the gateway's traffic with its callers and with the
 	// store.
 	callers, store *link.Link
@@ -109,8 +109,8 @@
 	return starts
 })
 
-// supervise starts the process and restarts it until close. An end that no signal caused is an
-// EXIT violation.
+// supervise starts the process and restarts it whenever it ends, until close. An exit that no
+// signal caused is an EXIT violation.
 func (g *gateway) supervise(r *Record) {
 	for {
 		done, err := g.start(r)
@@ -198,8 +198,8 @@
 	})
 }
 
-// currentIncarnation returns the number of the current incarnation, or the negative number of the
-// last one while none runs.
+// currentIncarnation returns the number of the current incarnation. While none runs, it returns
+// the negated number of the last one.
 func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/engine/calls.go
+++ b/standin/engine/calls.go
@@ -79,8 +79,7 @@
 	})
 }
 
-// currentRecord returns the record, with the memory held and the cached tokens as they are
-// now.
+// currentRecord returns the record with the current numbers of held and cached tokens.
 func (s *Server) currentRecord() Record {
 	record := s.record
 	record.HeldTokens = s.model.HeldTokens()
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -29,8 +29,8 @@
 	ChunkTokens int
 	// StepTime is the fixed duration of a step; default 4ms.
 	StepTime time.Duration
-	// PrefillTime and DecodeTime are what each prefill token and the next token of each
-	// sequence add to a step; defaults 40µs and 100µs.
+	// PrefillTime is the time that each prefill token adds to a step, and DecodeTime the
+	// time that the next output token of each sequence adds; defaults 40µs and 100µs.
 	PrefillTime, DecodeTime time.Duration
 	// FloorWatts is the idle draw and MaxWatts the draw of a full batch; defaults 1,000 and
 	// 5,000.
@@ -153,7 +153,7 @@
 		return fmt.Errorf("sequence %s already exists", s.ID)
 	}
 	if s.PromptTokens+s.MaxTokens > m.config.MemoryTokens {
-		return fmt.Errorf("sequence %s needs %d tokens of memory, the engine has %d", s.ID, s.PromptTokens+s.MaxTokens, m.config.MemoryTokens)
+		return fmt.Errorf("sequence %s needs %d tokens of KV cache, the engine has %d", s.ID, s.PromptTokens+s.MaxTokens, m.config.MemoryTokens)
 	}
 	m.arrivals++
 	s.arrival = m.arrivals
@@ -217,8 +217,8 @@
 	m.evict()
 }
 
-// evict evicts the least recently used blocks until the cache fits beside the memory that
-// sequences hold.
+// evict evicts the least recently used blocks until the prefix cache fits beside the KV
+// cache that sequences hold.
 func (m *Model) evict() {
 	for m.recent.Len() > 0 && m.heldTokens+m.recent.Len()*BlockTokens > m.config.MemoryTokens {
 		oldest := m.recent.Back()
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -57,7 +57,8 @@
 	PromptTokens int    `json:"prompt_tokens"`
 	Finished     bool   `json:"finished"`
 	Cancelled    bool   `json:"cancelled"`
-	// PromptPrefixHash is the prompt's hash, by which tests find a caller's request.
+	// PromptPrefixHash is the hash of the prompt's first bytes, by which tests find a
+	// caller's request.
 	PromptPrefixHash uint64 `json:"beginning"`
 }
 
@@ -374,8 +375,9 @@
 	return st, nil
 }
 
-// awaitTokens waits for tokens beyond the first from and returns them with the stream's
-// state.
+// awaitTokens waits until the stream has tokens at index from or later, or is held,
+// finished or cancelled. It returns these tokens and the state. A ctx that ends counts as
+// cancelled.
 func (s *Server) awaitTokens(ctx context.Context, st *stream, from int) (tokens []string, held, finished, cancelled bool) {
 	for {
 		s.mu.Lock()
--- a/standin/platform/caller.go
+++ b/standin/platform/caller.go
@@ -73,7 +73,8 @@
 	return r
 }
 
-// DirectRequest returns the same request as a gateway would send it to the worker.
+// DirectRequest returns the request of CallerRequest in the form in which a gateway sends
+// it to the worker w.
 func DirectRequest(w *Worker, id, body string) *http.Request {
 	r := CallerRequest(w.Addr(), id, body)
 	r.Header.Del("Authorization")
--- a/standin/platform/reservations.go
+++ b/standin/platform/reservations.go
@@ -28,7 +28,7 @@
 	return true
 }
 
-// reservation is KV cache that is reserved until a time.
+// reservation is an amount of KV cache that is reserved until expiresAt.
 type reservation struct {
 	tokens    int
 	expiresAt time.Time
--- a/standin/platform/worker.go
+++ b/standin/platform/worker.go
@@ -133,7 +133,7 @@
 // Start listens on a free port of the loopback interface.
 func (w *Worker) Start() error { return w.StartAt("127.0.0.1:0") }
 
-// StartAt listens on an address, which may be that of a worker that has stopped.
+// StartAt listens on an address. A worker that has stopped may have used it before.
 func (w *Worker) StartAt(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -217,8 +217,8 @@
 	w.defaultFault = f
 }
 
-// SetSlowdown sets the factor that the load report gives by which work takes longer than
-// the configuration describes; with 0 the report has no valid factor.
+// SetSlowdown sets the factor by which, according to the load report, work takes longer
+// than configured; with 0 the report has no valid factor.
 func (w *Worker) SetSlowdown(slowdown float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,8 +264,8 @@
 	return w.acceptedCount
 }
 
-// Reservations returns the tokens of each reservation that is held, by ID, the number of
-// release orders and that of all orders.
+// Reservations returns the tokens of each held reservation by its ID, the number of
+// release orders and the number of all orders.
 func (w *Worker) Reservations() (held map[string]int, released, orders int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
