--- a/soak/harness.go
+++ b/soak/harness.go
@@ -127,7 +127,7 @@
 	}
 	h.background.Go(h.pollReadiness)
 	h.background.Go(h.sampleReservations)
-	h.background.Go(h.renewRegistrations)
+	h.background.Go(h.restoreRegistrations)
 	return h, nil
 }
 
@@ -213,9 +213,9 @@
 	h.store.Put("servers/"+p.worker.ID, p.worker.RegistrationAt(p.link.Addr(), state))
 }
 
-// renewRegistrations writes lapsed registrations again. Registrations that still exist are not
+// restoreRegistrations writes lapsed registrations again. Registrations that still exist are not
 // rewritten, as renewing a lease changes nothing that a watch would show.
-func (h *harness) renewRegistrations() {
+func (h *harness) restoreRegistrations() {
 	for h.ctx.Err() == nil {
 		sleep(h.ctx, heartbeatInterval)
 		for _, p := range h.ports {
