--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// auditKey compares the calls with one request key with the runs of that key, and returns a
-// description of a mismatch or "".
+// auditKey compares the calls that have the same request key with the runs of that key. It
+// returns a description of a mismatch, or "".
 func auditKey(calls []*callRecord, runs []service.Run) string {
 	if len(runs) > 1 {
 		return fmt.Sprintf("ran %d times", len(runs))
