--- a/scenarios/audit_test.go
+++ b/scenarios/audit_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// auditKey compares the calls with one request key with the runs of that key, and returns a
-// description of a mismatch or "".
+// auditKey compares the calls that have the same request key with the runs of that key. It
+// returns a description of a mismatch, or "".
 func auditKey(calls []*callRecord, runs []service.Run) string {
 	if len(runs) > 1 {
 		return fmt.Sprintf("ran %d times", len(runs))
@@ -188,7 +188,7 @@
 		return ""
 	}
 	if !strings.HasPrefix(c.expected, c.text) {
-		return "got text that does not belong to its response"
+		return "the text received is not a prefix of the text expected"
 	}
 	if c.complete && c.status == http.StatusOK && c.text != c.expected {
 		return "an incomplete response was presented as complete"
--- a/scenarios/conditions_test.go
+++ b/scenarios/conditions_test.go
@@ -129,8 +129,8 @@
 	time.Sleep(d)
 }
 
-// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows apply the record in
-// the revision that the entry has.
+// spread ENTRY ID [except=NODE,...] waits until all nodes that an entry knows, but for those in
+// except, apply the revision of the record that the entry has.
 func spread(ts *testscript.TestScript, _ bool, args []string) {
 	plain, opts := options(args)
 	h := harnessOf(ts)
@@ -143,16 +143,16 @@
 		if err := h.get(base, &record); err != nil {
 			return err.Error()
 		}
-		var answer struct {
+		var spreadStatus struct {
 			Nodes []struct {
 				Node    string
 				InForce bool `json:"in_force"`
 			}
 		}
-		if err := h.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &answer); err != nil {
+		if err := h.get(fmt.Sprintf("%s/spread?revision=%d", base, record.Revision), &spreadStatus); err != nil {
 			return err.Error()
 		}
-		for _, n := range answer.Nodes {
+		for _, n := range spreadStatus.Nodes {
 			if !n.InForce && !slices.Contains(except, n.Node) {
 				return n.Node + " does not apply the revision yet"
 			}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -59,12 +59,12 @@
 
 // caller sends one request after another, on one connection while it works.
 type caller struct {
-	harness *harness
-	name    string
-	rand    *rand.Rand
-	gateway *gateway
-	client  *http.Client
-	sent    int
+	harness      *harness
+	name         string
+	rand         *rand.Rand
+	gateway      *gateway
+	client       *http.Client
+	requestCount int
 }
 
 // run sends requests until ctx ends. It retries a failed request once, at another gateway, if
@@ -84,8 +84,8 @@
 		if c.mayRetry(req) && ctx.Err() == nil {
 			sleep(ctx, min(retryAfter, maxRetryWait))
 			c.switchGateway()
-			again := c.newRequest(req.Route)
-			c.send(ctx, again)
+			retry := c.newRequest(req.Route)
+			c.send(ctx, retry)
 		}
 		if !req.Complete {
 			c.client = nil
@@ -112,8 +112,8 @@
 	c.client = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1}}
 }
 
-// mayRetry reports whether a caller may retry a request: after a response that says that it did
-// not run, or after any failure of a repeatable request.
+// mayRetry reports whether a caller may retry a request: after a response that says that the
+// request did not run, or after any failure of a repeatable request.
 func (c *caller) mayRetry(req *Request) bool {
 	switch {
 	case req.Cancelled || req.succeeded():
@@ -128,9 +128,9 @@
 
 // newRequest creates a request with a random API key and deadline, without sending it.
 func (c *caller) newRequest(route *Route) *Request {
-	c.sent++
-	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
-	req.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, req.ID, c.sent)
+	c.requestCount++
+	req := &Request{ID: fmt.Sprintf("%s-%d", c.name, c.requestCount), Route: route, Gateway: c.gateway.name, Incarnation: c.gateway.currentIncarnation(), Deadline: shortDeadline}
+	req.RequestURI = fmt.Sprintf("/%s/%s?n=%d", route.Name, req.ID, c.requestCount)
 	req.Body = "body of " + req.ID
 	req.APIKey = []string{keyPlain, keyPlain, keyPerEdit, keyGuest}[c.rand.IntN(4)]
 	if c.rand.IntN(longDeadlineOneIn) == 0 {
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -25,8 +25,8 @@
 	sampleInterval    = 200 * time.Millisecond
 	// heartbeatInterval is the interval at which an endpoint renews its registration.
 	heartbeatInterval = 1200 * time.Millisecond
-	// memoryTokens is the KV cache of an engine. It is small, so that even a prompt that is
-	// prefilled quickly needs the KV cache of several engines.
+	// memoryTokens is the size of an engine's KV cache, in tokens. It is small, so that even a
+	// prompt that is prefilled quickly needs the KV cache of several engines.
 	memoryTokens = 60_000
 )
 
@@ -127,7 +127,7 @@
 	}
 	h.background.Go(h.pollReadiness)
 	h.background.Go(h.sampleReservations)
-	h.background.Go(h.renewRegistrations)
+	h.background.Go(h.restoreRegistrations)
 	return h, nil
 }
 
@@ -213,9 +213,9 @@
 	h.store.Put("servers/"+p.worker.ID, p.worker.RegistrationAt(p.link.Addr(), state))
 }
 
-// renewRegistrations writes lapsed registrations again. Registrations that still exist are not
+// restoreRegistrations writes lapsed registrations again. Registrations that still exist are not
 // rewritten, as renewing a lease changes nothing that a watch would show.
-func (h *harness) renewRegistrations() {
+func (h *harness) restoreRegistrations() {
 	for h.ctx.Err() == nil {
 		sleep(h.ctx, heartbeatInterval)
 		for _, p := range h.ports {
--- a/soak/process.go
+++ b/soak/process.go
@@ -35,11 +35,11 @@
 
 // gateway is one gateway process, which is restarted whenever it ends.
 type gateway struct {
-	name     string
-	command  []string
-	logPath  string
-	settings string
-	addrs    map[string]string
+	name         string
+	command      []string
+	logPath      string
+	settingsPath string
+	addrs        map[string]string
 	// callers and store are the links for the gateway's traffic with its callers and with the
 	// store.
 	callers, store *link.Link
@@ -57,7 +57,7 @@
 // newGateway prepares a gateway with free ports, links to its callers and the store, and a
 // settings file.
 func newGateway(name, storeAddr string, config *Config) (*gateway, error) {
-	g := &gateway{name: name, command: config.Command, logPath: filepath.Join(config.Dir, name+".log"), settings: filepath.Join(config.Dir, name+".json"), addrs: map[string]string{}}
+	g := &gateway{name: name, command: config.Command, logPath: filepath.Join(config.Dir, name+".log"), settingsPath: filepath.Join(config.Dir, name+".json"), addrs: map[string]string{}}
 	for _, port := range []string{"callers", "readiness", "metrics", "peers"} {
 		addr, err := link.FreeAddr()
 		if err != nil {
@@ -88,11 +88,11 @@
 		return errors.WithStack(err)
 	}
 	// The file is renamed into place, as a process that starts meanwhile must not read half of it.
-	next := g.settings + ".next"
+	next := g.settingsPath + ".next"
 	if err := os.WriteFile(next, data, 0o644); err != nil {
 		return errors.WithStack(err)
 	}
-	return errors.WithStack(os.Rename(next, g.settings))
+	return errors.WithStack(os.Rename(next, g.settingsPath))
 }
 
 // startThread starts all processes from one thread that never ends. The kernel kills a process
@@ -109,8 +109,8 @@
 	return starts
 })
 
-// supervise starts the process and restarts it until close. An end that no signal caused is an
-// EXIT violation.
+// supervise starts the process and restarts it whenever it ends, until close. An exit that no
+// signal caused is an EXIT violation.
 func (g *gateway) supervise(r *Record) {
 	for {
 		done, err := g.start(r)
@@ -140,7 +140,7 @@
 		return nil, errors.WithStack(err)
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settings)...)
+	cmd := exec.Command(g.command[0], append(append([]string(nil), g.command[1:]...), g.settingsPath)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	endStart := r.beginDisturbance(Disturbance{Kind: "start", Gateway: g.name})
@@ -198,8 +198,8 @@
 	})
 }
 
-// currentIncarnation returns the number of the current incarnation, or the negative number of the
-// last one while none runs.
+// currentIncarnation returns the number of the current incarnation. While none runs, it returns
+// the negated number of the last one.
 func (g *gateway) currentIncarnation() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
