--- a/agent/health.go
+++ b/agent/health.go
@@ -112,7 +112,7 @@
 		if !suspects[id] {
 			continue
 		}
-		a.log.Warn("cancelling a sequence that no job owns", zap.String("sequence", id))
+		a.log.Warn("cancel a sequence that nobody owns", zap.String("sequence", id))
 		if a.engine.Cancel(ctx, id) == nil {
 			delete(unowned, id)
 		}
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -371,7 +371,7 @@
 				return
 			}
 		}
-		n.entry.log.Error("outcome was not recorded: giving up", zap.String("request", n.call.id))
+		n.entry.log.Error("outcome never recorded", zap.String("request", n.call.id))
 	}()
 }
 
--- a/node/catalogue.go
+++ b/node/catalogue.go
@@ -145,7 +145,7 @@
 		c.view.Store(c.replica.View())
 	}
 	if c.replica.StaleChanges > before {
-		c.log.Warn("ignored an outdated catalogue page from the store", zap.Int("page", number), zap.Uint64("revision", page.Revision))
+		c.log.Warn("refused an old catalogue page from the store", zap.Int("page", number), zap.Uint64("revision", page.Revision))
 	}
 }
 
