--- a/soak/endpoints.go
+++ b/soak/endpoints.go
@@ -11,7 +11,7 @@
 	// portReuseDelay is the time from the end of an endpoint to the start of the next one at its
 	// address.
 	portReuseDelay = 2 * time.Second
-	// registrationTTL is the time after which a registration lapses that its endpoint no longer
+	// registrationTTL is the time after which a registration expires that its endpoint no longer
 	// renews.
 	registrationTTL = 3 * heartbeatInterval
 	// serveAfterLeaving is how long a leaving endpoint still serves after the time at which
@@ -70,7 +70,7 @@
 	h.register(p)
 }
 
-// crashEndpoint ends an endpoint at once; its registration lapses later.
+// crashEndpoint ends an endpoint at once; its registration expires later.
 func crashEndpoint(h *harness, p *endpointPort, worker *platform.Worker) {
 	p.removeWorker()
 	worker.Stop()
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -50,7 +50,7 @@
 		{"store-slow", 1, slowStore},
 		{"store-drops-history", 2, func(h *harness, _ *Fault) { h.beginStoreDisturbance("store-drops-history")(); h.store.Compact() }},
 		{"store-ends-leases", 1, func(h *harness, _ *Fault) { h.beginStoreDisturbance("store-ends-leases")(); h.store.RevokeLeases() }},
-		{"registrations-lapse", 1, lapseRegistrations},
+		{"registrations-lapse", 1, expireRegistrations},
 		{kindStoreLink, 3, disturbGatewayLink(func(g *gateway) *link.Link { return g.store })},
 		{kindCallersLink, 2, disturbGatewayLink(func(g *gateway) *link.Link { return g.callers })},
 		{kindEndpointLink, 2, disturbEndpointLink},
@@ -158,9 +158,9 @@
 // slowStore delays the store's answers by the fault's delay.
 func slowStore(h *harness, f *Fault) { storeFault(platform.StoreFaults{Delay: f.Delay})(h, f) }
 
-// lapseRegistrations deletes the registrations of two endpoints while the store is down. The
+// expireRegistrations deletes the registrations of two endpoints while the store is down. The
 // endpoints are alive and write them again within a heartbeat interval after the store is back.
-func lapseRegistrations(h *harness, f *Fault) {
+func expireRegistrations(h *harness, f *Fault) {
 	defer h.beginStoreDisturbance(f.Kind)()
 	h.store.SetFaults(platform.StoreFaults{RefuseStatus: http.StatusServiceUnavailable})
 	unregistered := []*endpointPort{h.ports[f.Port], h.ports[f.SecondPort]}
--- a/soak/harness.go
+++ b/soak/harness.go
@@ -213,16 +213,16 @@
 	h.store.Put("servers/"+p.worker.ID, p.worker.RegistrationAt(p.link.Addr(), state))
 }
 
-// restoreRegistrations writes lapsed registrations again. Registrations that still exist are not
+// restoreRegistrations writes expired registrations again. Registrations that still exist are not
 // rewritten, as renewing a lease changes nothing that a watch would show.
 func (h *harness) restoreRegistrations() {
 	for h.ctx.Err() == nil {
 		sleep(h.ctx, heartbeatInterval)
 		for _, p := range h.ports {
 			p.mu.Lock()
-			lapsed := p.worker != nil && h.store.Get("servers/"+p.worker.ID) == nil
+			expired := p.worker != nil && h.store.Get("servers/"+p.worker.ID) == nil
 			p.mu.Unlock()
-			if lapsed {
+			if expired {
 				h.register(p)
 			}
 		}
