--- a/membership/config.go
+++ b/membership/config.go
@@ -68,8 +68,8 @@
 	defaultRemoveAfter    = time.Minute
 	defaultLocalEntries   = 8
 	defaultRemoteEntries  = 2
-	// agentHeartbeatBytes is the size of an agent's heartbeat with its UDP and IP
-	// headers, as measured by the capacity bench.
+	// agentHeartbeatBytes is the size of an agent's heartbeat, including its UDP
+	// and IP headers.
 	agentHeartbeatBytes = 223
 	// missedBeforeSuspect is how many heartbeats in a row a node may miss before it is
 	// suspect.
