--- a/admission/deferral.go
+++ b/admission/deferral.go
@@ -31,9 +31,9 @@
 )
 
 // deferrals records the jobs that this endpoint refused with a Retry-After. Their
-// prefill counts as ahead of jobs that are offered later, multiplied by the observed
-// fraction of deferred jobs that come back, and a job that comes back at its due time
-// may wait longer than a new one.
+// prefill, multiplied by the observed fraction of deferred jobs that come back, counts
+// as ahead of jobs that are offered later. A job that comes back at its due time may
+// wait longer than a new one.
 //
 // Without deferrals, a caller that obeys Retry-After finds a queue that newer jobs
 // have filled in the meantime and is refused again, so that obeying it gains
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -25,8 +25,9 @@
 	// wait.
 	MaxLongRunning int
 	// MaxPrefilling bounds the jobs that have started and are not yet prefilled;
-	// default 4. More of them leave the order to the engine and take batch slots and
-	// KV cache from short prompts; fewer may leave the engine without prefill to do.
+	// default 4. With a higher bound, the engine decides the order, and these jobs take
+	// batch slots and KV cache from short prompts. With a lower one, the engine may run
+	// out of prefill to do.
 	// Only jobs of the same or more urgent levels count, so that a job that the engine
 	// would prefill first is not held back.
 	MaxPrefilling int
@@ -282,9 +283,9 @@
 
 // StartNext marks the next job that may start now as running and returns its ID, or
 // false if there is none. Jobs whose run request has not arrived are skipped. While the
-// job whose turn it is does not fit into the free KV cache, only short prompts and
-// urgent ones may pass it: a stream of medium-sized prompts would otherwise take all
-// memory as it is freed, and the job would never fit.
+// next job in order does not fit into the free KV cache, only short prompts and urgent ones
+// may start before it. Otherwise a stream of medium-sized prompts would take all memory
+// as it is freed, and the job would never fit.
 func (q *Queue) StartNext() (uint64, bool) {
 	if q.running >= q.slots {
 		return 0, false
--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -34,9 +34,9 @@
 // nonRepeatableCall is a request with an idempotency key that runs at most once.
 //
 // The order of its steps ensures this. First it reserves a place at an agent, because
-// the claim names the reservation's number. Then it writes the claim to the store, which
-// only one request can do. Last it sends the run request, which starts only if it names
-// that reservation. An entry that finds the claim later queries the one agent it names.
+// the claim names the reservation's number. Then it writes the claim to the store, where
+// the write of only one request succeeds. Last it sends the run request, which starts only
+// if it names that reservation. An entry that finds the claim later queries the one agent it names.
 type nonRepeatableCall struct {
 	entry    *Entry
 	call     *call
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -20,11 +20,12 @@
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// drain shuts the gateway down gracefully: readiness is withdrawn at once, responses tell callers
-// to close their connections, requests are accepted for a while and then refused as not run, and
-// drain returns when none is in flight or just before the process would be killed. An interrupt
-// from a terminal ends it at once. Other signals are ignored meanwhile: a supervisor that asks
-// twice, or a change of the settings file, would otherwise cut off every request in flight.
+// drain shuts the gateway down gracefully. Readiness is withdrawn at once, and responses tell
+// callers to close their connections. Requests are accepted for a while and then refused as not
+// run. drain returns when no request is in flight, or just before the process would be killed.
+// An interrupt from a terminal ends it at once. Other signals are ignored during the drain: a
+// supervisor that signals twice, or a change of the settings file, would otherwise cut off every
+// request in flight.
 func (g *Gateway) drain(signals <-chan os.Signal) {
 	limit := g.settings.DrainTimeout.D()
 	start := time.Now()
--- a/routing/direct/affinity.go
+++ b/routing/direct/affinity.go
@@ -8,7 +8,7 @@
 )
 
 // Entries that see the same loads send to the same engines until they learn of each other's
-// requests, and three prompts prefilled in one pass of an engine miss their targets however
+// requests. Three prompts that an engine prefills in one pass miss their targets, however
 // little it had to do before. Each entry therefore prefers a subset of the engines: it
 // knows at once what it sends there itself, and other entries seldom send there. Requests
 // that its own engines cannot take go to an engine of another entry, picked at random, if
--- a/routing/direct/memory.go
+++ b/routing/direct/memory.go
@@ -8,10 +8,10 @@
 
 const (
 	// singleEngineShare is the fraction of an engine's memory that one request may need; a
-	// request that needs more reserves memory on several engines. A request that needs over
-	// half of the memory finds no engine with enough free memory while each runs two other
-	// long prompts, and waits at its first engine. Meanwhile all its parts elsewhere count as
-	// pending prefill and keep others queued.
+	// request that needs more reserves memory on several engines. While each engine runs two
+	// other long prompts, none has half of its memory free, and a request that needs more
+	// than half on one engine waits at its first engine. Meanwhile all its parts elsewhere
+	// count as pending prefill and keep other prompts queued.
 	singleEngineShare = 0.5
 	// endpointShare is the fraction of its memory that the endpoint itself provides for a
 	// request that needs more than one engine's.
--- a/routing/direct/picker.go
+++ b/routing/direct/picker.go
@@ -6,16 +6,22 @@
 	"time"
 )
 
-// chooseEngines assigns the cheapest engines to a plan, as many as there are parts. A long
-// prompt is sent to the one of them whose memory is least used. A short prompt is sent to
-// the preferred engine for short prompts, where its events come sooner and its memory
-// displaces no long prompt, and its other parts go to engines for long prompts. Where none
-// of the engines has enough free memory, the cheapest one that has replaces the last of
-// them: an engine whose memory is full makes a request wait until another one ends, so that
-// prompts with less than a second of prefill would start only after several seconds. For a
-// request that needs more memory than one engine gives, the helpers are sorted by memory
-// use, as the first of them reserve memory. It returns the largest pending prefill of the
-// engines.
+// chooseEngines assigns the cheapest engines to a plan, one for each part of the prompt: one
+// as the plan's endpoint and the others as helpers. It returns the largest pending prefill
+// of these engines.
+//
+// The endpoint of a long prompt is the engine among them whose memory is least used. The
+// endpoint of a short prompt is the preferred engine for short prompts: its events come
+// sooner there, and its memory displaces no long prompt. The other parts of a short prompt
+// go to engines for long prompts.
+//
+// If none of the engines has enough free memory, the last one is replaced by the cheapest
+// engine that has, which becomes the endpoint. An engine whose memory is full makes a
+// request wait until another request ends: a prompt with less than a second of prefill
+// would start only after several seconds.
+//
+// The helpers of a request that needs more memory than one engine provides are sorted by
+// memory use, least first, because the first helpers are the ones that reserve memory.
 func (p *Policy) chooseEngines(plan *Plan, list []scored, parts, singleEngineMemory int) (maxPending time.Duration) {
 	for i := range list { // shuffle, so that equals come in random order
 		j := i + p.rand.IntN(len(list)-i)
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -88,9 +88,9 @@
 	// distanceCost is the round trip to another data centre.
 	distanceCost = 2 * time.Millisecond
 	// otherPoolCost is added for engines of the other kind. For a short prompt those are
-	// the engines for long prompts, where a part of one would delay it; for a part of a
-	// short prompt, the engines for short prompts, where it would delay the streams. It
-	// equals the cost of 40 requests in flight, so that short prompts fill the slots of
+	// the engines for long prompts, where a part of a long prompt would delay it. For a
+	// part of a short prompt they are the engines for short prompts, where the part would
+	// delay the streams. The cost equals the cost of 40 requests in flight, so that short prompts fill the slots of
 	// their own engines first.
 	otherPoolCost = 200 * time.Millisecond
 	// delayCost is added to an engine's cost for each request that a part over longestPart
@@ -197,9 +197,9 @@
 // shortEngines returns the engines for a prompt that is not long, and the number of its
 // parts. All entries see endpoints in the same order: short prompts have the engines at the
 // start of the list, long ones those at the end, and the boundary follows the demand. A
-// prompt in several parts is sent to an engine for short prompts and prefilled on those for
-// long ones: on the engines for short prompts, three or four such parts would share a pass
-// and exceed the pause that short streams allow.
+// prompt in several parts is sent to an engine for short prompts, and its other parts are
+// prefilled on the engines for long ones. On the engines for short prompts, three or four
+// such parts would share a pass, which would exceed the pause that short streams allow.
 func (p *Policy) shortEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	target := partTarget(r.Service)
 	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates))
--- a/routing/direct/queue.go
+++ b/routing/direct/queue.go
@@ -48,8 +48,8 @@
 func (q *QueuedPrompt) Dequeue() { q.policy.tracker.addQueuedPrefill(q.service.Name, -q.prefill) }
 
 // MayStart reports whether the engines for long prompts, which are at the end of the list,
-// have capacity for the prompt. Longer prompts wait until less prefill is pending, because
-// one of them would delay several shorter ones. Where at least maxParts engines are idle,
+// have capacity for the prompt. The longer the prompt, the less prefill may be pending when
+// it starts, because a long one would delay several shorter ones. Where at least maxParts engines are idle,
 // the prompt delays no other request and may start however much prefill is pending
 // elsewhere. The capacity is shared among the queued prompts of all entries at random, see
 // drawStart.
--- a/routing/scorer_queue.go
+++ b/routing/scorer_queue.go
@@ -6,7 +6,7 @@
 // by what this entry has sent there since the load report.
 //
 // Load reports lag. Without the correction, every request that arrives between two reports
-// would go to the endpoint that was idle in the first, which by then is the busiest.
+// would go to the endpoint that was idle in the first report and is the busiest by then.
 type QueueDelay struct {
 	Sent *RecentDispatches
 }
