--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -228,7 +228,7 @@
 
 // replaceClaim replaces a claim by compare-and-swap. If it is unclear whether a write
 // took effect, the claim is read back. confirmed is set when the agent has confirmed that
-// the run of old did not start. Errors: infra.ErrConflict when the store holds another
+// the run of the claim old did not start. Errors: infra.ErrConflict when the store holds another
 // claim or the change is not allowed, infra.ErrUnavailable when the store did not answer.
 func (n *nonRepeatableCall) replaceClaim(ctx context.Context, old, next *attempt.Claim, confirmed bool) error {
 	return n.replaceClaimFrom(ctx, nil, old, next, confirmed)
--- a/routing/direct/demand.go
+++ b/routing/direct/demand.go
@@ -91,10 +91,10 @@
 	return int(shortShare(d, engine)*float64(engines) + 0.5)
 }
 
-// enginesForShort returns the number of a service's engines reserved for short prompts: as
-// few as the short prompts in flight fill, and spareShortEngines more, or one for each
-// entry where engines abound, so that an entry's prompts share a pass with no others. It is
-// at most maxShortEngines and at least 1.
+// enginesForShort returns the number of a service's engines reserved for short prompts.
+// It is the number that the short prompts in flight fill, plus spareShortEngines. Where there
+// are many engines, it is at least one for each entry, so that an entry's prompts share a
+// pass with no others. It is at most maxShortEngines and at least 1.
 func enginesForShort(d Demand, engine *directory.Engine, engines, entries int) int {
 	share := maxShortEngines(d, engine, engines)
 	filled := math.Ceil(float64(d.ShortInFlight) / (float64(max(engine.Slots, 1)) * fillSlotShare))
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -179,8 +179,9 @@
 
 // addDelayCost returns a copy of the list with the cost of the requests that a part would
 // delay on each engine: streams that would be late by the pause and, with sparePrefill, the
-// prompt that is being prefilled. By pending prefill alone, a plan could be refused for the
-// streams on engines with little to prefill while other engines have no streams.
+// prompt that is being prefilled. If engines were chosen by pending prefill alone, a plan
+// could be refused because of the streams on engines with little to prefill, while other
+// engines have no streams.
 func addDelayCost(list []scored, sparePrefill bool) []scored {
 	list = slices.Clone(list)
 	for i := range list {
