--- a/admission/queue.go
+++ b/admission/queue.go
@@ -25,9 +25,9 @@
 	// wait.
 	MaxLongRunning int
 	// MaxPrefilling bounds the jobs that have started and are not yet prefilled;
-	// default 4. With a higher bound, the engine decides the order, and these jobs take
-	// batch slots and KV cache from short prompts. With a lower one, the engine may run
-	// out of prefill to do.
+	// default 4. With a higher bound, the engine decides the order of more jobs, and the
+	// started jobs take batch slots and KV cache from short prompts. With a lower one, the
+	// engine may run out of prefill to do.
 	// Only jobs of the same or more urgent levels count, so that a job that the engine
 	// would prefill first is not held back.
 	MaxPrefilling int
--- a/routing/direct/queue.go
+++ b/routing/direct/queue.go
@@ -49,10 +49,10 @@
 
 // MayStart reports whether the engines for long prompts, which are at the end of the list,
 // have capacity for the prompt. The longer the prompt, the less prefill may be pending when
-// it starts, because a long one would delay several shorter ones. Where at least maxParts engines are idle,
-// the prompt delays no other request and may start however much prefill is pending
-// elsewhere. The capacity is shared among the queued prompts of all entries at random, see
-// drawStart.
+// it starts, because a long one would delay several shorter ones. Where at least maxParts
+// engines are idle, the prompt delays no other request and may start however much prefill is
+// pending elsewhere. The capacity is shared among the queued prompts of all entries at
+// random, see drawStart.
 func (q *QueuedPrompt) MayStart(now time.Time, endpoints []*directory.EndpointState) bool {
 	p := q.policy
 	p.tracker.mu.Lock()
