--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -22,8 +22,9 @@
 // waitInQueue holds back a long prompt while the engines have enough long prompts to prefill.
 // Engines prefill the parts of long prompts before anything else. When all callers retry at once
 // after an outage, a dozen long prompts started together would delay the prefill of short ones by
-// three seconds, and the callers of short prompts give up after two. The queue is ordered by arrival time plus prefill
-// time, so that a prompt overtakes a longer one whose prefill would have ended after its own.
+// three seconds, and the callers of short prompts give up after two. The queue is ordered by
+// arrival time plus prefill time, so that a prompt overtakes a longer one whose prefill would have
+// ended after its own.
 func (f *forwarding) waitInQueue(ctx context.Context) *result.Error {
 	if f.service.Engine == nil || !direct.IsLongPrompt(f.service, f.PromptTokens) {
 		return nil
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -90,8 +90,8 @@
 	// otherPoolCost is added for engines of the other kind. For a short prompt those are
 	// the engines for long prompts, where a part of a long prompt would delay it. For a
 	// part of a short prompt they are the engines for short prompts, where the part would
-	// delay the streams. The cost equals the cost of 40 requests in flight, so that short prompts fill the slots of
-	// their own engines first.
+	// delay the streams. This cost equals the cost of 40 requests in flight, so that short
+	// prompts fill the slots of their own engines first.
 	otherPoolCost = 200 * time.Millisecond
 	// delayCost is added to an engine's cost for each request that a part over longestPart
 	// would delay. It exceeds the pending prefill of most engines.
