--- a/entry/nonrepeatable.go
+++ b/entry/nonrepeatable.go
@@ -34,9 +34,9 @@
 // nonRepeatableCall is a request with an idempotency key that runs at most once.
 //
 // The order of its steps ensures this. First it reserves a place at an agent, because
-// the claim names the reservation's number. Then it writes the claim to the store, which
-// only one request can do. Last it sends the run request, which starts only if it names
-// that reservation. An entry that finds the claim later queries the one agent it names.
+// the claim names the reservation's number. Then it writes the claim to the store, where
+// the write of only one request succeeds. Last it sends the run request, which starts only
+// if it names that reservation. An entry that finds the claim later queries the one agent it names.
 type nonRepeatableCall struct {
 	entry    *Entry
 	call     *call
@@ -228,7 +228,7 @@
 
 // replaceClaim replaces a claim by compare-and-swap. If it is unclear whether a write
 // took effect, the claim is read back. confirmed is set when the agent has confirmed that
-// the run of old did not start. Errors: infra.ErrConflict when the store holds another
+// the run of the claim old did not start. Errors: infra.ErrConflict when the store holds another
 // claim or the change is not allowed, infra.ErrUnavailable when the store did not answer.
 func (n *nonRepeatableCall) replaceClaim(ctx context.Context, old, next *attempt.Claim, confirmed bool) error {
 	return n.replaceClaimFrom(ctx, nil, old, next, confirmed)
@@ -371,7 +371,7 @@
 				return
 			}
 		}
-		n.entry.log.Error("outcome was not recorded: giving up", zap.String("request", n.call.id))
+		n.entry.log.Error("outcome never recorded", zap.String("request", n.call.id))
 	}()
 }
 
--- a/routing/direct/policy.go
+++ b/routing/direct/policy.go
@@ -88,10 +88,10 @@
 	// distanceCost is the round trip to another data centre.
 	distanceCost = 2 * time.Millisecond
 	// otherPoolCost is added for engines of the other kind. For a short prompt those are
-	// the engines for long prompts, where a part of one would delay it; for a part of a
-	// short prompt, the engines for short prompts, where it would delay the streams. It
-	// equals the cost of 40 requests in flight, so that short prompts fill the slots of
-	// their own engines first.
+	// the engines for long prompts, where a part of a long prompt would delay it. For a
+	// part of a short prompt they are the engines for short prompts, where the part would
+	// delay the streams. This cost equals the cost of 40 requests in flight, so that short
+	// prompts fill the slots of their own engines first.
 	otherPoolCost = 200 * time.Millisecond
 	// delayCost is added to an engine's cost for each request that a part over longestPart
 	// would delay. It exceeds the pending prefill of most engines.
@@ -179,8 +179,9 @@
 
 // addDelayCost returns a copy of the list with the cost of the requests that a part would
 // delay on each engine: streams that would be late by the pause and, with sparePrefill, the
-// prompt that is being prefilled. By pending prefill alone, a plan could be refused for the
-// streams on engines with little to prefill while other engines have no streams.
+// prompt that is being prefilled. If engines were chosen by pending prefill alone, a plan
+// could be refused because of the streams on engines with little to prefill, while other
+// engines have no streams.
 func addDelayCost(list []scored, sparePrefill bool) []scored {
 	list = slices.Clone(list)
 	for i := range list {
@@ -197,9 +198,9 @@
 // shortEngines returns the engines for a prompt that is not long, and the number of its
 // parts. All entries see endpoints in the same order: short prompts have the engines at the
 // start of the list, long ones those at the end, and the boundary follows the demand. A
-// prompt in several parts is sent to an engine for short prompts and prefilled on those for
-// long ones: on the engines for short prompts, three or four such parts would share a pass
-// and exceed the pause that short streams allow.
+// prompt in several parts is sent to an engine for short prompts, and its other parts are
+// prefilled on the engines for long ones. On the engines for short prompts, three or four
+// such parts would share a pass, which would exceed the pause that short streams allow.
 func (p *Policy) shortEngines(now time.Time, r *Request, candidates []*directory.EndpointState, prefill time.Duration) ([]scored, int) {
 	target := partTarget(r.Service)
 	boundary := min(p.boundary(now, r.Service, len(candidates)), len(candidates))
